--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,6 +1,6 @@
 //! What is said over the control socket: a question and its answer are a line of JSON each.
 
-use lilacquay_core::{ServerNow, State};
+use lilacquay_core::{ServerState, ServerStatus};
 use lilacquay_observe::{Snapshot, Told};
 use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
 use serde::{Deserialize, Serialize};
@@ -412,9 +412,18 @@
 
 impl Server {
     /// In words.
-    pub fn new(now: ServerNow) -> Self {
-        let ServerNow { name, zone, kind, listed, state, out, idle, held } = now;
-        let (listed, serves) = (listed == State::Serving, state == State::Serving);
+    pub fn new(now: ServerStatus) -> Self {
+        let ServerStatus {
+            name,
+            zone,
+            kind,
+            listed_state: listed,
+            effective_state: state,
+            attempts_in_flight: out,
+            idle_connections: idle,
+            order: held,
+        } = now;
+        let (listed, serves) = (listed == ServerState::Serving, state == ServerState::Serving);
         let order = held.map(|held| held.number);
         Server { server: name, zone, kind, listed, serves, out, idle, order }
     }
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacquay_core::Orders;
+use lilacquay_core::CoreHandle;
 use lilacquay_observe::Snapshot;
 use tokio::sync::Mutex;
 use tokio::task::spawn_blocking;
@@ -19,13 +19,13 @@
 
 /// Makes snapshots. The core is asked, never made to wait: what is slow (files, JSON) runs on another thread.
 pub(crate) struct Publisher {
-    orders: Orders,
+    orders: CoreHandle,
     descriptor_limit: usize,
     last: Mutex<Option<(Instant, Arc<str>)>>,
 }
 
 impl Publisher {
-    pub fn new(orders: Orders, descriptor_limit: usize) -> Self {
+    pub fn new(orders: CoreHandle, descriptor_limit: usize) -> Self {
         Publisher { orders, descriptor_limit, last: Mutex::default() }
     }
 
@@ -45,7 +45,7 @@
     }
 
     pub async fn snapshot(&self) -> Option<Snapshot> {
-        let mut snapshot = self.orders.look().await.ok()?;
+        let mut snapshot = self.orders.snapshot().await.ok()?;
         (snapshot.memory_kb, snapshot.descriptors) = spawn_blocking(process::holds).await.unwrap_or_default();
         snapshot.descriptor_limit = self.descriptor_limit;
         Some(snapshot)
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures_util::{SinkExt, StreamExt};
-use lilacquay_core::{Holding, Orders};
+use lilacquay_core::{CoreHandle, OrdersInForce};
 use lilacquay_overrides::{Ask, Done, Kept};
 use serde_json::{Value, json};
 use tokio::net::{UnixListener, UnixStream};
@@ -96,7 +96,7 @@
 
 struct Inner {
     folder: Folder,
-    orders: Orders,
+    orders: CoreHandle,
     host: Host,
     publisher: Publisher,
     places: Arc<Semaphore>,
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// If another node listens there, or the socket can't be made.
-    pub fn listen(folder: Folder, orders: Orders, host: Host) -> io::Result<Control> {
+    pub fn listen(folder: Folder, orders: CoreHandle, host: Host) -> io::Result<Control> {
         let listener = bind(&folder)?;
         let (places, recording) = (Arc::new(Semaphore::new(MOST)), Mutex::default());
         let publisher = Publisher::new(orders.clone(), host.descriptor_limit);
@@ -201,7 +201,7 @@
             send(lines, text(&most), IDLE).await;
             return;
         };
-        let _watching = self.orders.watch();
+        let _watching = self.orders.observe();
         let every = every.max(QUICKEST);
         loop {
             let next = Instant::now() + every;
@@ -249,7 +249,7 @@
 
     async fn answer(&self, verb: Verb) -> Answer {
         if let Some(ask) = verb.order() {
-            return match self.orders.steer(ask.clone()).await {
+            return match self.orders.apply_order(ask.clone()).await {
                 Ok(Ok(done)) => {
                     let held = self.in_common(CommonOrder::Server(ask), verb.wait_for()).await;
                     self.obeyed(verb, &done, held).await
@@ -372,7 +372,7 @@
 
     async fn obeyed(&self, verb: Verb, done: &Done, held: Option<HeldBy>) -> Answer {
         let _turn = self.recording.lock().await;
-        let Ok(holding) = self.orders.holding().await else { return ended() };
+        let Ok(holding) = self.orders.orders_in_force().await else { return ended() };
         let replaced = done.replaced.map(|held| Standing::new(server(&verb), held, holding.now));
         let by = held.map_or(String::new(), |held| format!(", held by {} of {} nodes", held.nodes, held.of));
         let outcome = format!("obeyed as order {}{by}", done.number);
@@ -389,7 +389,9 @@
     }
 
     async fn holding(&self) -> Answer {
-        let Ok(Holding { orders, now, .. }) = self.orders.holding().await else { return ended() };
+        let Ok(OrdersInForce { orders, now, .. }) = self.orders.orders_in_force().await else {
+            return ended();
+        };
         let orders = orders.iter().map(|(server, held)| Standing::new(server, *held, now)).collect();
         Answer::Orders { orders }
     }
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -7,8 +7,8 @@
 
 use crate::call::Call;
 use crate::permit::PermitRequester;
-use crate::resource_exhaustion::is_own_shortage;
-use crate::time_left::deadline_to_tell;
+use crate::resource_exhaustion::is_local_resource_exhaustion;
+use crate::time_left::deadline_to_send;
 use crate::upstream::{Connection, Reply, Target, Upstream};
 
 /// Makes one attempt. The connection comes back if another request may use it.
@@ -25,22 +25,24 @@
         Some(connection) => connection,
         None => match timeout(connect_timeout, upstream.connect(&target)).await {
             Ok(Ok(connection)) => connection,
-            Ok(Err(error)) if is_own_shortage(&error) => return (Reply::of(Outcome::Ignored), None),
-            Ok(Err(_)) | Err(_) => return (Reply::of(Outcome::ConnectError), None),
+            Ok(Err(error)) if is_local_resource_exhaustion(&error) => {
+                return (Reply::from_outcome(Outcome::Ignored), None);
+            }
+            Ok(Err(_)) | Err(_) => return (Reply::from_outcome(Outcome::ConnectError), None),
         },
     };
     let connect_time = began.elapsed();
     // What the decision went by may have changed while the connection came up.
     let Some(permit) = requester.permit().await else {
-        return (Reply::of(Outcome::Ignored), Some(connection));
+        return (Reply::from_outcome(Outcome::Ignored), Some(connection));
     };
     if !target.standing().serving() {
-        return (Reply::of(Outcome::Ignored), None); // at an address that the list has left
+        return (Reply::from_outcome(Outcome::Ignored), None); // at an address that the list has left
     }
     if !connection.is_live() {
-        return (Reply::of(Outcome::ConnectError), None); // closed while it waited for leave: nothing is written
+        return (Reply::from_outcome(Outcome::ConnectError), None); // closed while it waited for leave: nothing is written
     }
     target.begins();
-    let deadline = deadline_to_tell(Instant::now(), permit.deadline, connect_time);
-    connection.ask(call, &target, deadline).await
+    let deadline = deadline_to_send(Instant::now(), permit.deadline, connect_time);
+    connection.send_request(call, &target, deadline).await
 }
--- a/crates/core/src/buffer_budget.rs
+++ b/crates/core/src/buffer_budget.rs
@@ -9,7 +9,7 @@
 
 use tokio::sync::Notify;
 
-use crate::resource_share::Portion;
+use crate::resource_share::ResourceShare;
 
 /// A flow that holds nothing may read so much, whatever the others hold, in bytes.
 pub const LEAST: usize = 4 << 10;
@@ -24,13 +24,13 @@
 #[derive(Debug)]
 pub(crate) struct Governor {
     most: usize,
-    portion: Portion,
+    portion: ResourceShare,
     held: AtomicUsize,
 }
 
 impl Governor {
     /// For this process's portion of so many bytes, beside the least of each flow.
-    pub fn new(most: usize, portion: Portion) -> Arc<Governor> {
+    pub fn new(most: usize, portion: ResourceShare) -> Arc<Governor> {
         Arc::new(Governor { most, portion, held: AtomicUsize::new(0) })
     }
 
@@ -124,7 +124,7 @@
         for seed in 0..50 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let (most, flows) = (rng.usize(0..300_000), rng.usize(1..100));
-            let governor = Governor::new(most, Portion::default());
+            let governor = Governor::new(most, ResourceShare::default());
             let mut held: Vec<(Held, Vec<Share>)> =
                 (0..flows).map(|_| (Held::new(governor.clone()), Vec::new())).collect();
             for _ in 0..3_000 {
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use paddlefold::Micros;
 
-use crate::value_stream::Flow;
+use crate::value_stream::ValueStream;
 
 /// The longest value that is taken whole from a server before it is answered, in bytes.
-pub const VALUE_LIMIT: usize = 64 << 10;
+pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
 /// The longest value of a write, in bytes.
-pub const WRITE_LIMIT: usize = 4 << 20;
+pub const MAX_WRITE_VALUE_BYTES: usize = 4 << 20;
 /// Key, id and facts together are no longer than this, in bytes.
 const TEXTS: usize = 2 << 10;
 /// The longest wait that is believed, in microseconds.
@@ -33,7 +33,7 @@
 
 /// What a client wants kept beside a value.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct StoreOptions {
     /// Given back with the value; the client's own.
     pub flags: u32,
     /// When it ends, as memcached counts it: seconds from now up to 30 days, else Unix time; 0 is never.
@@ -54,13 +54,13 @@
     /// How long the client will wait, from when the request's last byte was read. No longer than an hour.
     wait: Micros,
     /// By which servers know a keyed write's repeats.
-    pub idempotency: Option<Bytes>,
+    pub idempotency_key: Option<Bytes>,
     /// What it asks for.
     pub verb: Verb,
     /// What a write stores.
     pub value: Option<Bytes>,
     /// How it is to be stored.
-    pub terms: Terms,
+    pub store_options: StoreOptions,
     /// Names and values as in `c=read,t=acme,d=480`: what goes on unchanged, but for `d` to caches. No control
     /// characters.
     pub facts: Bytes,
@@ -79,17 +79,17 @@
         value: Option<Bytes>,
         wait: Micros,
     ) -> Result<Call, CallError> {
-        if value.as_ref().is_some_and(|value| value.len() > WRITE_LIMIT) {
+        if value.as_ref().is_some_and(|value| value.len() > MAX_WRITE_VALUE_BYTES) {
             return Err(CallError::ValueTooLong);
         }
         let fits = key.len() + id.len() + facts.len() <= TEXTS;
         if key.is_empty() || !plain(&id) || !plain(&facts) || !fits {
-            return Err(CallError::Text);
+            return Err(CallError::InvalidText);
         }
         let wait = wait.min(LONGEST);
         let verb = if value.is_some() { Verb::Set } else { Verb::Get };
-        let (class, tenant, idempotency, terms) = Default::default();
-        Ok(Call { key, id, class, tenant, wait, idempotency, verb, value, terms, facts })
+        let (class, tenant, idempotency_key, store_options) = Default::default();
+        Ok(Call { key, id, class, tenant, wait, idempotency_key, verb, value, store_options, facts })
     }
 
     /// How long the client will wait, from when the request's last byte was read, in microseconds; an hour at
@@ -113,15 +113,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
     /// An empty key, or a key, id or facts that can't go on.
-    Text,
-    /// The value is over [`WRITE_LIMIT`].
+    InvalidText,
+    /// The value is over [`MAX_WRITE_VALUE_BYTES`].
     ValueTooLong,
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CallError::Text => "wrong arguments",
+            CallError::InvalidText => "wrong arguments",
             CallError::ValueTooLong => "value over 4 MiB",
         })
     }
@@ -131,7 +131,7 @@
 
 /// What a server made for a request that it has carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Made {
+pub enum OperationResult {
     /// The value, or the write's receipt.
     Value {
         /// Its bytes.
@@ -145,10 +145,10 @@
     Exists,
 }
 
-impl Made {
+impl OperationResult {
     /// A value with no flags.
-    pub fn value(bytes: impl Into<Bytes>) -> Made {
-        Made::Value { bytes: bytes.into(), flags: 0 }
+    pub fn value(bytes: impl Into<Bytes>) -> OperationResult {
+        OperationResult::Value { bytes: bytes.into(), flags: 0 }
     }
 }
 
@@ -156,9 +156,9 @@
 #[derive(Debug)]
 pub enum Answer {
     /// As a server made it for this request.
-    Served(Made),
+    Served(OperationResult),
     /// A large value has begun to come, and comes on; one that ends too early is broken.
-    Begun(Flow),
+    Streaming(ValueStream),
     /// Refused: trying again is harmless. The client should stay away so long, if that is not 0.
     Busy(Micros),
     /// Failed, with no promise about its effect.
@@ -180,10 +180,13 @@
         for (key, id, facts) in
             [("", "i", "d=1"), ("k", "", "d=1"), ("k", "i\n", "d=1"), ("k", "i", "\x7f"), (&long, "i", "d=1")]
         {
-            assert_eq!(call(key, id.as_bytes(), facts.as_bytes(), None).unwrap_err(), CallError::Text);
+            assert_eq!(call(key, id.as_bytes(), facts.as_bytes(), None).unwrap_err(), CallError::InvalidText);
         }
-        assert_eq!(call("k", b"i", b"d=1", Some(WRITE_LIMIT + 1)).unwrap_err(), CallError::ValueTooLong);
-        let good = call("k", b"i", b"d=1", Some(WRITE_LIMIT)).unwrap();
+        assert_eq!(
+            call("k", b"i", b"d=1", Some(MAX_WRITE_VALUE_BYTES + 1)).unwrap_err(),
+            CallError::ValueTooLong
+        );
+        let good = call("k", b"i", b"d=1", Some(MAX_WRITE_VALUE_BYTES)).unwrap();
         assert!(good.is_write() && good.wait == LONGEST);
     }
 }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -13,15 +13,15 @@
 use tracing::debug;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::list::{Entry, List, State};
+use crate::list::{ServerEntry, ServerList, ServerState};
 use crate::permit::{ClientLeft, InvariantChecker};
-use crate::reuse::{KeepPolicy, ReusePolicy};
+use crate::reuse::{RetentionPolicy, ReusePolicy};
 use crate::upstream::{Connection, IdleState, Standing, Target};
 use crate::value_stream::Opening;
 
 struct Server<C> {
     /// As the list has it.
-    entry: Entry,
+    entry: ServerEntry,
     addr: SocketAddr,
     origin: bool,
     kind: Arc<str>,
@@ -60,7 +60,7 @@
     /// Counts attempts.
     tries: Tries,
     /// How long idle connections are kept.
-    keep: KeepPolicy,
+    keep: RetentionPolicy,
     /// How many there are at all servers together: asked for with each attempt.
     idle: usize,
 }
@@ -69,19 +69,19 @@
     /// For one of so many nodes, whose servers close idle connections at this age.
     pub fn new(keepalive: Duration, nodes: usize, tries: Tries) -> Self {
         let (news, servers) = Default::default();
-        Directory { news, servers, tries, keep: KeepPolicy::new(keepalive, nodes), idle: 0 }
+        Directory { news, servers, tries, keep: RetentionPolicy::new(keepalive, nodes), idle: 0 }
     }
 
     /// It is one of so many nodes from now on.
     pub fn set_nodes(&mut self, nodes: usize) {
-        self.keep = self.keep.at_nodes(nodes);
+        self.keep = self.keep.with_node_count(nodes);
     }
 
     /// Takes over a list; tells the module's view of its entries. Servers of which kinds of machine discard the
     /// repeats of keyed writes is the upstream's to say.
     pub fn apply(
         &mut self,
-        mut list: List,
+        mut list: ServerList,
         setup: &mut Setup,
         discards: impl Fn(&str) -> bool,
     ) -> Vec<Member> {
@@ -104,14 +104,14 @@
         members
     }
 
-    fn enter(&mut self, entry: Entry, setup: &mut Setup, discards: impl Fn(&str) -> bool) -> Member {
+    fn enter(&mut self, entry: ServerEntry, setup: &mut Setup, discards: impl Fn(&str) -> bool) -> Member {
         let id = self.id_of(&entry.id);
         self.note(id, &entry);
         let origin = setup.is_origin(&entry.kind);
         let state = match entry.state {
-            State::Serving => MemberState::Up,
-            State::Draining => MemberState::Draining,
-            State::Deleted => MemberState::Removed,
+            ServerState::Serving => MemberState::Up,
+            ServerState::Draining => MemberState::Draining,
+            ServerState::Deleted => MemberState::Removed,
         };
         let member = Member {
             id,
@@ -157,12 +157,12 @@
     }
 
     /// Notes what an entry changes.
-    fn note(&mut self, id: ServerId, entry: &Entry) {
+    fn note(&mut self, id: ServerId, entry: &ServerEntry) {
         let before = self.servers.get(&id).map(|server| server.standing.serving());
         let news = match (entry.state, before) {
-            (State::Serving, None | Some(false)) => News::Serves,
-            (State::Draining, None | Some(true)) => News::Drains,
-            (State::Deleted, Some(_)) => News::Gone,
+            (ServerState::Serving, None | Some(false)) => News::Serves,
+            (ServerState::Draining, None | Some(true)) => News::Drains,
+            (ServerState::Deleted, Some(_)) => News::Gone,
             _ => return,
         };
         self.news.push((entry.id.clone(), news));
@@ -195,9 +195,9 @@
         let (mut pooled, mut believed_from) = (None, now);
         while let Some(place) = server.rested(now) {
             let (since, connection) = server.idle.remove(place);
-            if keep.keeps(now, since, false) && server.may_use(&connection, now) {
+            if keep.retains(now, since, false) && server.may_use(&connection, now) {
                 pooled = Some(connection);
-                believed_from = ReusePolicy::believed_from(since);
+                believed_from = ReusePolicy::trusted_from(since);
                 break;
             }
         }
@@ -219,9 +219,9 @@
     }
 
     /// Notes how long an answer of a server took.
-    pub fn answered(&mut self, id: ServerId, took: Duration) {
+    pub fn record_answer(&mut self, id: ServerId, took: Duration) {
         if let Some(server) = self.servers.get_mut(&id) {
-            server.reuse.answered(took);
+            server.reuse.record_answer(took);
         }
     }
 
@@ -230,7 +230,7 @@
         let keep = self.keep;
         if let Some(server) = self.servers.get_mut(&id).filter(|s| s.addr == addr && s.standing.serving()) {
             let idle = server.idle.len();
-            server.idle.retain(|(since, _)| keep.keeps(now, *since, true));
+            server.idle.retain(|(since, _)| keep.retains(now, *since, true));
             server.idle.push((now, connection));
             self.idle = self.idle + server.idle.len() - idle;
         }
@@ -245,7 +245,7 @@
             let mut place = 0..;
             idle.retain(|(since, connection)| {
                 let spare = place.next() < Some(last);
-                keep.keeps(now, *since, spare) && server.may_use(connection, now)
+                keep.retains(now, *since, spare) && server.may_use(connection, now)
             });
             server.idle = idle;
         }
@@ -257,7 +257,7 @@
     }
 
     /// The list, as it was told.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<ServerEntry> {
         self.servers.values().map(|server| server.entry.clone()).collect()
     }
 
@@ -303,7 +303,7 @@
     /// Whether a connection that was idle can be used; notes what the server has sent unasked.
     fn may_use(&mut self, connection: &C, now: Instant) -> bool {
         let state = connection.idle_state();
-        if state == IdleState::Unasked {
+        if state == IdleState::UnsolicitedData {
             debug!(server = self.entry.id, "something came unasked: its connections rest longer");
         }
         self.reuse.may_use(now, state)
@@ -329,7 +329,7 @@
         fn idle_state(&self) -> IdleState {
             IdleState::Live
         }
-        async fn ask(self, _: &Call, _: &Target, _: Instant) -> (Reply, Option<Self>) {
+        async fn send_request(self, _: &Call, _: &Target, _: Instant) -> (Reply, Option<Self>) {
             unreachable!("nothing is sent")
         }
     }
@@ -342,11 +342,11 @@
         let stated: paddlefold::setup::Stated = serde_json::from_str(stated).expect("settings");
         let mut setup = Setup::try_from(stated).expect("settings");
         let addr = "127.0.0.1:1".parse().expect("an address");
-        let (id, zone, kind, state) = ("s".to_owned(), "a".to_owned(), "m".to_owned(), State::Serving);
-        let entry = Entry { id, addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 };
+        let (id, zone, kind, state) = ("s".to_owned(), "a".to_owned(), "m".to_owned(), ServerState::Serving);
+        let entry = ServerEntry { id, addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 };
         let mut directory =
             Directory::new(KEEPALIVE, nodes, lilacquay_metrics::Book::new(Vec::new()).tries());
-        let members = directory.apply(List { full: true, servers: vec![entry] }, &mut setup, |_| true);
+        let members = directory.apply(ServerList { full: true, servers: vec![entry] }, &mut setup, |_| true);
         (directory, members[0].id, addr)
     }
 
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -29,14 +29,14 @@
 use crate::call::{Answer, Call};
 use crate::clock::Clock;
 use crate::directory::{Directory, News};
-use crate::list::List;
-use crate::members::Members;
-use crate::message::{Arrival, Fellows, Heritage, InCommon, ListTold, Message, Orders};
-use crate::overrides::{ServerNow, Steering};
+use crate::list::ServerList;
+use crate::members::MembershipHandle;
+use crate::message::{Arrival, CoreHandle, HandoverState, ListUpdate, Message, PeerStatus, ReplicatedUpdate};
+use crate::overrides::{ServerStatus, Steering};
 use crate::permit::{ClientLeft, PermitRequest};
 use crate::request_log::{Watched, kind};
 use crate::requests::Requests;
-use crate::resource_share::Portion;
+use crate::resource_share::ResourceShare;
 use crate::stall;
 use crate::upstream::{Reply, Upstream};
 use crate::value_stream::Begun;
@@ -122,7 +122,7 @@
         self.connections.load(Ordering::Relaxed)
     }
     /// Requests that are owed an answer or have an attempt out.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 }
@@ -134,25 +134,25 @@
     /// For the module's random choices.
     pub seed: u64,
     /// The list of servers last known. It counts as whole.
-    pub known: List,
+    pub initial_list: ServerList,
     /// Most connections to servers.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes that open requests may hold before fronts stop reading on.
-    pub memory: usize,
+    pub request_memory_bytes: usize,
     /// Quotas, before the module.
     pub quotas: Option<Admission>,
     /// What is counted of its work.
-    pub book: Book,
+    pub metrics: Book,
     /// The list's version, where it came from one before this process.
-    pub version: Option<u64>,
+    pub list_version: Option<u64>,
     /// What one before this process has learned.
     pub learned: Option<Learned>,
     /// The part of all bounds that is this process's.
-    pub portion: Portion,
+    pub resource_share: ResourceShare,
     /// Where operators may order servers away: the orders that lasted over a restart.
-    pub steered: Option<Vec<Kept>>,
+    pub persisted_orders: Option<Vec<Kept>>,
     /// Who is told each list that the node's own source tells.
-    pub lists: Option<UnboundedSender<ListTold>>,
+    pub list_updates: Option<UnboundedSender<ListUpdate>>,
 }
 
 /// What others need to speak to a driver. It runs as long as any of these is left.
@@ -160,9 +160,9 @@
     /// For fronts.
     pub requests: Requests,
     /// For sources of members.
-    pub members: Members,
+    pub members: MembershipHandle,
     /// For whoever runs it.
-    pub orders: Orders,
+    pub core: CoreHandle,
 }
 
 /// Carries out what the module decides, and tells it what happens.
@@ -173,17 +173,17 @@
     upstream: U,
     quotas: Option<Admission>,
     steering: Option<Steering>,
-    lists: Option<UnboundedSender<ListTold>>,
+    lists: Option<UnboundedSender<ListUpdate>>,
     watched: Watched,
     /// Who is there, where nodes speak to one another.
-    siblings: Option<Fellows>,
+    siblings: Option<PeerStatus>,
     /// What they hold in common.
     common: Option<CommonNow>,
     book: Book,
     /// The version of the list, where its source has one.
     version: Option<u64>,
     /// The part of all bounds that is this process's.
-    portion: Portion,
+    portion: ResourceShare,
     directory: Directory<U::Connection>,
     open: HashMap<RequestId, Open>,
     /// Attempts under way: each holds a connection, or is making one.
@@ -222,16 +222,16 @@
             directory: Directory::new(
                 Duration::from_micros(settings.keepalive),
                 settings.nodes,
-                options.book.tries(),
+                options.metrics.tries(),
             ),
-            book: options.book,
-            version: options.version,
-            portion: options.portion.clone(),
+            book: options.metrics,
+            version: options.list_version,
+            portion: options.resource_share.clone(),
             balancer: Balancer::new(settings, options.seed, clock.now()),
             setup: options.setup,
             quotas: options.quotas,
-            steering: options.steered.map(|kept| Steering::new(clock.now(), kept)),
-            lists: options.lists,
+            steering: options.persisted_orders.map(|kept| Steering::new(clock.now(), kept)),
+            lists: options.list_updates,
             watched,
             siblings: None,
             common: None,
@@ -239,14 +239,14 @@
             upstream,
             open: HashMap::new(),
             running: 0,
-            connections: options.connections,
+            connections: options.max_connections,
             gauges: Arc::default(),
             timers: DelayQueue::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
             subscribe,
             inbox,
-            governor: Governor::new(options.memory, options.portion.clone()),
+            governor: Governor::new(options.request_memory_bytes, options.resource_share.clone()),
             to_begin,
             begun,
             to_permits,
@@ -257,24 +257,24 @@
         };
         driver.timers.insert(Due::Sweep, SWEEP);
         driver.timers.insert(Due::Count, COUNT);
-        driver.list_told(List { full: true, ..options.known }, options.version);
+        driver.list_told(ServerList { full: true, ..options.initial_list }, options.list_version);
         driver.directory.take_news(); // what is known from the start is none
         driver.decide();
         if let Some(learned) = &options.learned {
             driver.balancer.resume(learned);
         }
         driver.count();
-        let (requests, orders) = (
+        let (requests, core) = (
             Requests::new(
                 to.clone(),
-                options.memory,
-                options.portion,
+                options.request_memory_bytes,
+                options.resource_share,
                 driver.book.clone(),
                 driver.over.clone(),
             ),
-            Orders(to.clone()),
+            CoreHandle(to.clone()),
         );
-        (driver, Handles { requests, members: Members { to, source: "configuration", asked }, orders })
+        (driver, Handles { requests, members: MembershipHandle { to, source: "configuration", asked }, core })
     }
 
     /// What it holds, kept up to date.
@@ -302,7 +302,7 @@
             self.decide();
             log_news(&self.directory.take_news());
             self.gauges.open.store(self.open.len(), Ordering::Relaxed);
-            stall::mark(self.timers.peek().map(|next| self.timers.deadline(&next)));
+            stall::record_activity(self.timers.peek().map(|next| self.timers.deadline(&next)));
         }
     }
 
@@ -316,9 +316,9 @@
                 self.list_told(list, version);
             }
             Message::HandOver(answer) => drop(answer.send(self.heritage())), // who asked may have left
-            Message::Watch(more) => self.watched.watch(more),
-            Message::Fellows(fellows) => self.fellows(fellows),
-            Message::InCommon(what) => self.in_common(what),
+            Message::Observe(more) => self.watched.watch(more),
+            Message::PeerStatus(fellows) => self.fellows(fellows),
+            Message::Replicated(what) => self.in_common(what),
             Message::Sights(answer) => drop(answer.send(self.sights())), // who asked may have left
             Message::EndAt(at) => {
                 let left = at.saturating_duration_since(Instant::now() + LAST_ANSWERS);
@@ -337,7 +337,7 @@
                     let _ = answer.send(done); // who ordered may have left
                 }
             }
-            Message::Holding(answer) => {
+            Message::OrdersInForce(answer) => {
                 if let Some(steering) = &self.steering {
                     let _ = answer.send(steering.holding(self.clock.now())); // who asked may have left
                 }
@@ -355,12 +355,12 @@
     }
 
     /// Goes by who is there: what may be used, and for how many others there must be room.
-    fn fellows(&mut self, fellows: Fellows) {
-        let left = fellows.until.saturating_duration_since(Instant::now());
+    fn fellows(&mut self, fellows: PeerStatus) {
+        let left = fellows.valid_until.saturating_duration_since(Instant::now());
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
-        self.events.push_back(Event::Part { part: f64::from(fellows.thousandths) / 1e3, until });
-        self.directory.set_nodes(fellows.nodes());
-        self.book.siblings(fellows.numbers);
+        self.events.push_back(Event::Part { part: f64::from(fellows.share_thousandths) / 1e3, until });
+        self.directory.set_nodes(fellows.node_count());
+        self.book.siblings(fellows.peer_counts);
         self.siblings = Some(fellows);
     }
 
@@ -426,27 +426,27 @@
     }
 
     /// A list of the node's own source.
-    fn list_told(&mut self, list: List, version: Option<u64>) {
+    fn list_told(&mut self, list: ServerList, version: Option<u64>) {
         if let Some(lists) = &self.lists {
-            let _ = lists.send(ListTold { list: list.clone(), version }); // who tells others may have ended
+            let _ = lists.send(ListUpdate { list: list.clone(), version }); // who tells others may have ended
         }
         self.list(list);
     }
 
     /// Goes by what the nodes hold in common.
-    fn in_common(&mut self, what: InCommon) {
+    fn in_common(&mut self, what: ReplicatedUpdate) {
         let (now, steering) = (self.clock.now(), self.steering.as_mut());
         match (what, steering) {
-            (InCommon::Orders { whole, orders }, Some(steering)) => {
-                let changes = steering.common(now, whole, orders);
+            (ReplicatedUpdate::Orders { complete, orders }, Some(steering)) => {
+                let changes = steering.common(now, complete, orders);
                 self.steered(changes);
             }
-            (InCommon::Hearsay(servers), Some(steering)) => {
+            (ReplicatedUpdate::RemovedByPeers(servers), Some(steering)) => {
                 let changes = steering.hearsay(now, servers);
                 self.steered(changes);
             }
-            (InCommon::Believed(believed), _) => self.believe(now, &believed),
-            (InCommon::Seen(seen), _) => {
+            (ReplicatedUpdate::PeerSlowness(believed), _) => self.believe(now, &believed),
+            (ReplicatedUpdate::Statistics(seen), _) => {
                 self.book.common([seen.records, seen.conflicts, usize::from(seen.behind)]);
                 self.common = Some(seen);
             }
@@ -479,7 +479,7 @@
         names.iter().filter_map(seen).collect()
     }
 
-    fn list(&mut self, list: List) {
+    fn list(&mut self, list: ServerList) {
         let list = match &mut self.steering {
             Some(steering) => steering.list(self.clock.now(), list, |kind| self.setup.is_origin(kind)),
             None => list,
@@ -488,12 +488,12 @@
     }
 
     /// Walks over all that is open: asked by an operator, not by each request.
-    fn heritage(&self) -> Heritage {
-        let list = List { full: true, servers: self.directory.entries() };
-        Heritage { version: self.version, list, learned: self.balancer.learned() }
+    fn heritage(&self) -> HandoverState {
+        let list = ServerList { full: true, servers: self.directory.entries() };
+        HandoverState { version: self.version, list, learned: self.balancer.learned() }
     }
 
-    fn servers(&self, steering: &Steering) -> Vec<ServerNow> {
+    fn servers(&self, steering: &Steering) -> Vec<ServerStatus> {
         let mut out: HashMap<ServerId, usize> = HashMap::new();
         for running in self.open.values().flat_map(|open| open.attempts.iter().flatten()) {
             *out.entry(running.server).or_default() += 1;
@@ -507,15 +507,15 @@
 
     /// What orders change. Where they change nothing the module is told nothing: it would take that for an answer
     /// of the list's source.
-    fn steered(&mut self, changes: List) {
+    fn steered(&mut self, changes: ServerList) {
         if !changes.servers.is_empty() {
             self.enter(changes);
         }
     }
 
-    fn enter(&mut self, list: List) {
+    fn enter(&mut self, list: ServerList) {
         let scope = if list.full { ListScope::Full } else { ListScope::Delta };
-        let discards = |kind: &str| self.upstream.discards_repeats(kind);
+        let discards = |kind: &str| self.upstream.deduplicates_writes(kind);
         let members = self.directory.apply(list, &mut self.setup, discards);
         self.events.push_back(Event::Members { scope, members });
         self.count();
@@ -551,7 +551,7 @@
             key: Some(call.key.clone()),
             budget: call.wait().saturating_sub(spent),
             write: call.is_write(),
-            keyed: !call.is_write() || call.idempotency.is_some(),
+            keyed: !call.is_write() || call.idempotency_key.is_some(),
         };
         let effect =
             call.class.and_then(|class| self.setup.settings.classes.get(class)).map(|class| class.effect);
@@ -616,7 +616,7 @@
 
 fn end(answer: &Answer) -> End {
     match answer {
-        Answer::Served(_) | Answer::Begun(_) => End::Passed,
+        Answer::Served(_) | Answer::Streaming(_) => End::Passed,
         Answer::Busy(_) => End::Dropped,
         Answer::Failed => End::Failed,
     }
--- a/crates/core/src/driver/attempts.rs
+++ b/crates/core/src/driver/attempts.rs
@@ -136,7 +136,7 @@
         let began = running.began.filter(|_| reply.outcome == Outcome::Ok);
         let elapsed = began.unwrap_or_else(|| running.sent.elapsed());
         if reply.outcome == Outcome::Ok {
-            self.directory.answered(server, elapsed);
+            self.directory.record_answer(server, elapsed);
         }
         if running.began.is_some() {
             self.flowed(id, reply.outcome);
@@ -148,9 +148,9 @@
         {
             self.watched.answered(id, Kind::Served, || &open.call.key);
             self.book.ended(open.call.class, Some(End::Passed));
-            let _ = sender.send(Answer::Served(reply.made)); // the client may have left
+            let _ = sender.send(Answer::Served(reply.result)); // the client may have left
         }
-        self.tell_end(id, attempt, reply.outcome, elapsed, reply.hit);
+        self.tell_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
     }
 
     /// The head of a large value has come. The first one is the client's.
@@ -165,7 +165,7 @@
             self.timers.try_remove(&timer);
         }
         open.flows = true;
-        let _ = sender.send(Answer::Begun(flow)); // the client may have left
+        let _ = sender.send(Answer::Streaming(flow)); // the client may have left
         self.events.push_back(Event::FirstByte { id, attempt });
     }
 
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 
 use super::Driver;
-use crate::list::State;
-use crate::overrides::ServerNow;
+use crate::list::ServerState;
+use crate::overrides::ServerStatus;
 use crate::upstream::Upstream;
 
 fn waits(waiting: Waiting) -> Waits {
@@ -55,10 +55,14 @@
         snapshot.since_start = Answers { served, busy, failed, gone: 0 };
         snapshot.tries = counted.tries;
         snapshot.siblings = self.siblings.map(|fellows| SiblingsNow {
-            here: fellows.numbers[0],
-            gone: fellows.numbers[1],
-            unknown: fellows.numbers[2],
-            part: if fellows.until > Instant::now() { f64::from(fellows.thousandths) / 1e3 } else { 0.0 },
+            here: fellows.peer_counts[0],
+            gone: fellows.peer_counts[1],
+            unknown: fellows.peer_counts[2],
+            part: if fellows.valid_until > Instant::now() {
+                f64::from(fellows.share_thousandths) / 1e3
+            } else {
+                0.0
+            },
         });
         snapshot.common = self.common;
         if let Some(quotas) = &mut self.quotas {
@@ -104,11 +108,11 @@
             let (id, serves, idle) = known.get(name).copied().unwrap_or((ServerId(0), false, 0));
             (serves, out.get(&id).map_or(0, |out| out.count), idle)
         });
-        let tell = |server: ServerNow| {
+        let tell = |server: ServerStatus| {
             let id = known.get(server.name.as_str()).map(|(id, ..)| *id);
             let at = id.and_then(|id| out.get(&id)).copied().unwrap_or_default();
             let view = id.and_then(|id| self.balancer.server(id));
-            let order = server.held.map(|held| OrderNow {
+            let order = server.order.map(|held| OrderNow {
                 number: held.number,
                 seconds_left: match held.hold {
                     Hold::Drain => None,
@@ -127,13 +131,13 @@
                 name: server.name,
                 zone: server.zone,
                 kind: server.kind,
-                listed: server.listed == State::Serving,
-                serves: server.state == State::Serving,
+                listed: server.listed_state == ServerState::Serving,
+                serves: server.effective_state == ServerState::Serving,
                 order,
-                out: server.out,
+                out: server.attempts_in_flight,
                 oldest_ms: at.oldest.map_or(0.0, |oldest| ms(instant.saturating_duration_since(oldest))),
                 free_in_ms: at.free.map_or(0.0, |free| ms(free.saturating_duration_since(instant))),
-                idle: server.idle,
+                idle: server.idle_connections,
                 warmth: view.map_or(1.0, |view| view.warmth),
                 slowness: view.map_or(1.0, |view| view.slowness),
                 left_out,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,10 +3,10 @@
 //! It knows no protocol. Three kinds of parts plug into it:
 //!
 //! - a *front* hands in a [`Call`] with [`Requests::open`] and gets exactly one [`Answer`] from the
-//!   [`Pending`] that it holds; dropping that says that the client has gone;
+//!   [`PendingAnswer`] that it holds; dropping that says that the client has gone;
 //! - an [`Upstream`] carries out one attempt at one server and tells how it ended, as an [`Outcome`] of the
 //!   protocol's table;
-//! - a *source of members* hands in [`List`]s by its [`Members`].
+//! - a *source of members* hands in [`ServerList`]s by its [`MembershipHandle`].
 //!
 //! What is sent where, tried again or refused is decided by [`paddlefold::Balancer`] alone: [`Driver`] tells
 //! it what happens and carries out what it asks for.
@@ -34,16 +34,21 @@
 mod value_stream;
 
 pub use admission::Admission;
-pub use call::{Answer, Call, CallError, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
+pub use call::{
+    Answer, Call, CallError, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult, StoreOptions,
+    Verb,
+};
 pub use clock::Clock;
 pub use driver::{Driver, Gauges, Handles, Options};
-pub use list::{Entry, List, State};
-pub use members::Members;
-pub use message::{Fellows, Heritage, InCommon, ListTold, Orders, Watching};
-pub use overrides::{Holding, ServerNow};
+pub use list::{ServerEntry, ServerList, ServerState};
+pub use members::MembershipHandle;
+pub use message::{CoreHandle, HandoverState, ListUpdate, ObserverGuard, PeerStatus, ReplicatedUpdate};
+pub use overrides::{OrdersInForce, ServerStatus};
 pub use paddlefold::{Learned, Micros, Outcome};
-pub use requests::{InUse, Pending, Requests};
-pub use resource_exhaustion::is_own_shortage;
-pub use resource_share::Portion;
+pub use requests::{DuplicateRequestId, PendingAnswer, Requests};
+pub use resource_exhaustion::is_local_resource_exhaustion;
+pub use resource_share::ResourceShare;
 pub use upstream::{Connection, IdleState, Reply, Target, Upstream};
-pub use value_stream::{FLOW_LIMIT, Feeder, Flow, Piece, Room, Unwanted};
+pub use value_stream::{
+    BufferReservation, MAX_STREAMED_VALUE_BYTES, ReceiverClosed, ValueChunk, ValueSender, ValueStream,
+};
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -4,16 +4,16 @@
 
 /// What a source tells: the whole list, or what has changed in it.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct List {
+pub struct ServerList {
     /// Servers that a whole list leaves out are gone.
     pub full: bool,
     /// The entries.
-    pub servers: Vec<Entry>,
+    pub servers: Vec<ServerEntry>,
 }
 
 /// A server in the list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Its name, the same at every node.
     pub id: String,
     /// Where it listens, as this node sees it.
@@ -25,7 +25,7 @@
     /// The cell, for classes whose repeats a cell discards.
     pub cell: u32,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: ServerState,
     /// Its size in comparison with the others.
     pub weight: Option<f64>,
     /// When it last started, Unix time in milliseconds; 0 is long ago.
@@ -34,7 +34,7 @@
 
 /// Whether a server takes requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum State {
+pub enum ServerState {
     /// In service.
     Serving,
     /// Finishing what it has; wants nothing new.
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -5,43 +5,43 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::list::List;
+use crate::list::ServerList;
 use crate::message::Message;
 
 /// By which a source of members tells the core.
 #[derive(Clone)]
-pub struct Members {
+pub struct MembershipHandle {
     pub(crate) to: UnboundedSender<Message>,
     /// Which source it is, for operators.
     pub(crate) source: &'static str,
     pub(crate) asked: Option<Arc<Notify>>,
 }
 
-impl Members {
+impl MembershipHandle {
     /// The same, in the name of a source.
-    pub fn of(mut self, source: &'static str) -> Members {
+    pub fn with_source(mut self, source: &'static str) -> MembershipHandle {
         self.source = source;
         self
     }
 
     /// Tells a list. False once the core has ended.
-    pub fn list(&self, list: List) -> bool {
+    pub fn update_list(&self, list: ServerList) -> bool {
         self.to.send(Message::List(list, self.source, None)).is_ok()
     }
 
     /// Tells a list with the version from which its source goes on. False once the core has ended.
-    pub fn list_at(&self, list: List, version: u64) -> bool {
+    pub fn update_list_at_version(&self, list: ServerList, version: u64) -> bool {
         self.to.send(Message::List(list, self.source, Some(version))).is_ok()
     }
 
     /// Tells that a call for the list failed, or that the subscription broke; the list held stays. False once
     /// the core has ended.
-    pub fn failed(&self) -> bool {
+    pub fn report_failure(&self) -> bool {
         self.to.send(Message::ListFailed).is_ok()
     }
 
     /// Where the list must be subscribed to: told when the module asks for that, at first and after a failure.
-    pub fn asked(&self) -> Option<&Notify> {
+    pub fn subscribe_signal(&self) -> Option<&Notify> {
         self.asked.as_deref()
     }
 }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -12,8 +12,8 @@
 
 use crate::admission::Admission;
 use crate::call::{Answer, Call};
-use crate::list::List;
-use crate::overrides::{Holding, ServerNow};
+use crate::list::ServerList;
+use crate::overrides::{OrdersInForce, ServerStatus};
 
 /// What the driver is told from outside.
 ///
@@ -22,63 +22,63 @@
 pub(crate) enum Message {
     Arrived(Arrival),
     Gone(RequestId),
-    List(List, &'static str, Option<u64>),
-    HandOver(oneshot::Sender<Heritage>),
+    List(ServerList, &'static str, Option<u64>),
+    HandOver(oneshot::Sender<HandoverState>),
     ListFailed,
     Quotas(Box<Admission>),
     Steer(Box<Ask>, oneshot::Sender<Result<Done, Refusal>>),
-    Holding(oneshot::Sender<Holding>),
-    Servers(oneshot::Sender<Vec<ServerNow>>),
-    Watch(bool),
+    OrdersInForce(oneshot::Sender<OrdersInForce>),
+    Servers(oneshot::Sender<Vec<ServerStatus>>),
+    Observe(bool),
     Look(oneshot::Sender<Snapshot>),
     EndAt(Instant),
-    Fellows(Fellows),
-    InCommon(InCommon),
+    PeerStatus(PeerStatus),
+    Replicated(ReplicatedUpdate),
     Sights(oneshot::Sender<BTreeMap<String, f64>>),
 }
 
 /// What the nodes hold in common, as far as a core goes by it.
 #[derive(Debug, Clone, PartialEq)]
-pub enum InCommon {
+pub enum ReplicatedUpdate {
     /// Operators' orders; `whole` if these are all.
     Orders {
         /// Whether one that is missing was lifted.
-        whole: bool,
+        complete: bool,
         /// By server.
         orders: Vec<Common>,
     },
     /// Servers that other nodes' lists have taken away.
-    Hearsay(BTreeSet<String>),
+    RemovedByPeers(BTreeSet<String>),
     /// How much slower than others servers are, as other nodes have seen them.
-    Believed(BTreeMap<String, f64>),
+    PeerSlowness(BTreeMap<String, f64>),
     /// How much of it there is, for whoever looks.
-    Seen(CommonNow),
+    Statistics(CommonNow),
 }
 
 /// A list that the node's own source has told, for whoever tells other nodes.
 #[derive(Debug, Clone)]
-pub struct ListTold {
+pub struct ListUpdate {
     /// The list, or what has changed in it.
-    pub list: List,
+    pub list: ServerList,
     /// Its version, where its source has one.
     pub version: Option<u64>,
 }
 
 /// What a node may use of what all nodes share, and who they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fellows {
+pub struct PeerStatus {
     /// How much of its equal part, in thousandths.
-    pub thousandths: u32,
+    pub share_thousandths: u32,
     /// It holds until then.
-    pub until: Instant,
+    pub valid_until: Instant,
     /// Others that are here, gone, and not known.
-    pub numbers: [usize; 3],
+    pub peer_counts: [usize; 3],
 }
 
-impl Fellows {
+impl PeerStatus {
     /// Nodes that may be using something, this one included.
-    pub fn nodes(&self) -> usize {
-        1 + self.numbers[0] + self.numbers[2]
+    pub fn node_count(&self) -> usize {
+        1 + self.peer_counts[0] + self.peer_counts[2]
     }
 }
 
@@ -93,22 +93,22 @@
 
 /// What one process hands to the next.
 #[derive(Debug, Clone)]
-pub struct Heritage {
+pub struct HandoverState {
     /// The version of the list, where its source has one.
     pub version: Option<u64>,
     /// The whole list.
-    pub list: List,
+    pub list: ServerList,
     /// What the module has learned.
     pub learned: Learned,
 }
 
 /// By which a running core is told what changes.
 #[derive(Clone)]
-pub struct Orders(pub(crate) UnboundedSender<Message>);
+pub struct CoreHandle(pub(crate) UnboundedSender<Message>);
 
-impl Orders {
+impl CoreHandle {
     /// The process ends then: all that is owed is answered a little before, and nothing more is taken.
-    pub fn end_at(&self, at: Instant) {
+    pub fn shut_down_at(&self, at: Instant) {
         let _ = self.0.send(Message::EndAt(at)); // a core that has ended owes nothing
     }
 
@@ -120,65 +120,65 @@
     }
 
     /// Goes by other quotas from now on. A core that was made without keeps none.
-    pub fn quotas(&self, quotas: Admission) {
+    pub fn set_quotas(&self, quotas: Admission) {
         let _ = self.0.send(Message::Quotas(Box::new(quotas))); // nobody goes by them once the core has ended
     }
 
     /// Gives an operator's order on a server; the answer tells whether it is obeyed. A core that was made without
     /// steering, or has ended, answers nothing.
-    pub fn steer(&self, ask: Ask) -> oneshot::Receiver<Result<Done, Refusal>> {
+    pub fn apply_order(&self, ask: Ask) -> oneshot::Receiver<Result<Done, Refusal>> {
         self.ask(|answer| Message::Steer(Box::new(ask), answer))
     }
 
     /// The servers of the list and what is out at each. A core that was made without steering, or has ended,
     /// answers nothing.
-    pub fn servers(&self) -> oneshot::Receiver<Vec<ServerNow>> {
+    pub fn servers(&self) -> oneshot::Receiver<Vec<ServerStatus>> {
         self.ask(Message::Servers)
     }
 
     /// The node at this moment. A core that has ended answers nothing.
-    pub fn look(&self) -> oneshot::Receiver<Snapshot> {
+    pub fn snapshot(&self) -> oneshot::Receiver<Snapshot> {
         self.ask(Message::Look)
     }
 
     /// Tells who is there, and what this node may use.
-    pub fn fellows(&self, fellows: Fellows) {
-        let _ = self.0.send(Message::Fellows(fellows)); // nobody goes by them once the core has ended
+    pub fn set_peer_status(&self, fellows: PeerStatus) {
+        let _ = self.0.send(Message::PeerStatus(fellows)); // nobody goes by them once the core has ended
     }
 
     /// Goes by what the nodes hold in common. A core that was made without steering goes by none of it.
-    pub fn in_common(&self, what: InCommon) {
-        let _ = self.0.send(Message::InCommon(what)); // nobody goes by it once the core has ended
+    pub fn apply_replicated(&self, what: ReplicatedUpdate) {
+        let _ = self.0.send(Message::Replicated(what)); // nobody goes by it once the core has ended
     }
 
     /// How much slower than others this node has seen servers to be by its own requests, by name; those that answer
     /// nothing count as the slowest. A core that has ended answers nothing.
-    pub fn sights(&self) -> oneshot::Receiver<BTreeMap<String, f64>> {
+    pub fn observed_slowness(&self) -> oneshot::Receiver<BTreeMap<String, f64>> {
         self.ask(Message::Sights)
     }
 
     /// Has figures gathered until this is dropped.
-    pub fn watch(&self) -> Watching {
-        let _ = self.0.send(Message::Watch(true)); // nobody is watched once the core has ended
-        Watching(self.0.clone())
+    pub fn observe(&self) -> ObserverGuard {
+        let _ = self.0.send(Message::Observe(true)); // nobody is watched once the core has ended
+        ObserverGuard(self.0.clone())
     }
 
     /// What another process needs to go on in this one's place. A core that has ended answers nothing.
-    pub fn hand_over(&self) -> oneshot::Receiver<Heritage> {
+    pub fn handover_state(&self) -> oneshot::Receiver<HandoverState> {
         self.ask(Message::HandOver)
     }
 
     /// The orders that hold. A core that was made without steering, or has ended, answers nothing.
-    pub fn holding(&self) -> oneshot::Receiver<Holding> {
-        self.ask(Message::Holding)
+    pub fn orders_in_force(&self) -> oneshot::Receiver<OrdersInForce> {
+        self.ask(Message::OrdersInForce)
     }
 }
 
-/// Somebody who watches; see [`Orders::watch`].
-pub struct Watching(UnboundedSender<Message>);
+/// Somebody who watches; see [`CoreHandle::observe`].
+pub struct ObserverGuard(UnboundedSender<Message>);
 
-impl Drop for Watching {
+impl Drop for ObserverGuard {
     fn drop(&mut self) {
-        let _ = self.0.send(Message::Watch(false)); // nobody is watched once the core has ended
+        let _ = self.0.send(Message::Observe(false)); // nobody is watched once the core has ended
     }
 }
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -5,11 +5,11 @@
 use lilacquay_overrides::{Ask, Change, Common, Done, Held, Kept, Listed, Refusal, Steer};
 use paddlefold::Micros;
 
-use crate::list::{Entry, List, State};
+use crate::list::{ServerEntry, ServerList, ServerState};
 
 /// The orders that hold.
 #[derive(Debug, Clone)]
-pub struct Holding {
+pub struct OrdersInForce {
     /// By server.
     pub orders: Vec<(String, Held)>,
     /// Those of them that are to last over a restart.
@@ -20,7 +20,7 @@
 
 /// A server as a running core has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerNow {
+pub struct ServerStatus {
     /// Its name in the list.
     pub name: String,
     /// Its zone, by name.
@@ -28,21 +28,21 @@
     /// Its kind of machine, by name.
     pub kind: String,
     /// What the list says.
-    pub listed: State,
+    pub listed_state: ServerState,
     /// What holds, under the orders.
-    pub state: State,
+    pub effective_state: ServerState,
     /// Our requests that are out there.
-    pub out: usize,
+    pub attempts_in_flight: usize,
     /// Our connections that rest there.
-    pub idle: usize,
+    pub idle_connections: usize,
     /// The order that holds it.
-    pub held: Option<Held>,
+    pub order: Option<Held>,
 }
 
 /// The list as its source tells it, and the orders that are laid over it.
 pub(crate) struct Steering {
     steer: Steer,
-    entries: HashMap<String, Entry>,
+    entries: HashMap<String, ServerEntry>,
 }
 
 impl Steering {
@@ -54,14 +54,14 @@
     }
 
     /// What a list comes to under the orders.
-    pub fn list(&mut self, now: Micros, list: List, is_origin: impl Fn(&str) -> bool) -> List {
-        let List { full, servers } = list;
-        let listed = |entry: &Entry| Listed {
+    pub fn list(&mut self, now: Micros, list: ServerList, is_origin: impl Fn(&str) -> bool) -> ServerList {
+        let ServerList { full, servers } = list;
+        let listed = |entry: &ServerEntry| Listed {
             name: entry.id.clone(),
             state: match entry.state {
-                State::Serving => Some(lilacquay_overrides::State::Serving),
-                State::Draining => Some(lilacquay_overrides::State::Draining),
-                State::Deleted => None,
+                ServerState::Serving => Some(lilacquay_overrides::State::Serving),
+                ServerState::Draining => Some(lilacquay_overrides::State::Draining),
+                ServerState::Deleted => None,
             },
             origin: is_origin(&entry.kind),
         };
@@ -71,7 +71,7 @@
         }
         let mut gone = Vec::new();
         for entry in servers {
-            if entry.state == State::Deleted {
+            if entry.state == ServerState::Deleted {
                 self.entries.remove(&entry.id);
                 gone.push(entry);
             } else {
@@ -79,66 +79,66 @@
             }
         }
         gone.extend(self.worded(changes));
-        List { full, servers: gone }
+        ServerList { full, servers: gone }
     }
 
     /// Obeys an order, or says why not; tells what changes.
-    pub fn ask(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, List) {
+    pub fn ask(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, ServerList) {
         let (done, changes) = self.steer.ask(now, ask);
-        (done, List { full: false, servers: self.worded(changes) })
+        (done, ServerList { full: false, servers: self.worded(changes) })
     }
 
     /// Goes by what the nodes hold in common; tells what changes.
-    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<Common>) -> List {
+    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<Common>) -> ServerList {
         let changes = self.steer.common(now, whole, orders);
-        List { full: false, servers: self.worded(changes) }
+        ServerList { full: false, servers: self.worded(changes) }
     }
 
     /// Leaves servers out on the word of other nodes; tells what changes.
-    pub fn hearsay(&mut self, now: Micros, servers: BTreeSet<String>) -> List {
+    pub fn hearsay(&mut self, now: Micros, servers: BTreeSet<String>) -> ServerList {
         let changes = self.steer.hearsay(now, servers);
-        List { full: false, servers: self.worded(changes) }
+        ServerList { full: false, servers: self.worded(changes) }
     }
 
     /// The orders that hold.
-    pub fn holding(&self, now: Micros) -> Holding {
+    pub fn holding(&self, now: Micros) -> OrdersInForce {
         let orders = self.steer.orders().map(|(server, held)| (server.to_owned(), held)).collect();
-        Holding { orders, kept: self.steer.kept(), now }
+        OrdersInForce { orders, kept: self.steer.kept(), now }
     }
 
     /// Ends orders whose time is over; tells what changes.
-    pub fn tick(&mut self, now: Micros) -> List {
+    pub fn tick(&mut self, now: Micros) -> ServerList {
         let changes = self.steer.tick(now);
-        List { full: false, servers: self.worded(changes) }
+        ServerList { full: false, servers: self.worded(changes) }
     }
 
     /// The servers of the list, by name; of each, `now` tells whether it serves, what is out there and what rests.
-    pub fn servers(&self, now: impl Fn(&str) -> (bool, usize, usize)) -> Vec<ServerNow> {
-        let server = |entry: &Entry| {
+    pub fn servers(&self, now: impl Fn(&str) -> (bool, usize, usize)) -> Vec<ServerStatus> {
+        let server = |entry: &ServerEntry| {
             let (serves, out, idle) = now(&entry.id);
-            ServerNow {
+            ServerStatus {
                 name: entry.id.clone(),
                 zone: entry.zone.clone(),
                 kind: entry.kind.clone(),
-                listed: entry.state,
-                state: if serves { State::Serving } else { State::Draining },
-                out,
-                idle,
-                held: self.steer.held(&entry.id),
+                listed_state: entry.state,
+                effective_state: if serves { ServerState::Serving } else { ServerState::Draining },
+                attempts_in_flight: out,
+                idle_connections: idle,
+                order: self.steer.held(&entry.id),
             }
         };
-        let mut servers: Vec<ServerNow> = self.entries.values().map(server).collect();
+        let mut servers: Vec<ServerStatus> = self.entries.values().map(server).collect();
         servers.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         servers
     }
 
-    fn worded(&self, changes: Vec<Change>) -> Vec<Entry> {
+    fn worded(&self, changes: Vec<Change>) -> Vec<ServerEntry> {
         let entry = |change: Change| {
             let state = match change.state {
-                lilacquay_overrides::State::Serving => State::Serving,
-                lilacquay_overrides::State::Draining => State::Draining,
+                lilacquay_overrides::State::Serving => ServerState::Serving,
+                lilacquay_overrides::State::Draining => ServerState::Draining,
             };
-            self.entries.get(&change.server).map(|entry| Entry { state, ..entry.clone() })
+            self.entries.get(&change.server).map(|entry| ServerEntry { state, ..entry.clone() })
         };
         changes.into_iter().filter_map(entry).collect()
     }
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -102,7 +102,7 @@
 
 pub(crate) fn kind(answer: &Answer) -> Kind {
     match answer {
-        Answer::Served(_) | Answer::Begun(_) => Kind::Served,
+        Answer::Served(_) | Answer::Streaming(_) => Kind::Served,
         Answer::Busy(_) => Kind::Busy,
         Answer::Failed => Kind::Failed,
     }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -16,7 +16,7 @@
 
 use crate::call::{Answer, Call};
 use crate::message::{Arrival, Message};
-use crate::resource_share::Portion;
+use crate::resource_share::ResourceShare;
 
 /// What an open request is reckoned to hold in memory beside its command, in bytes.
 const PER_REQUEST: usize = 4 << 10;
@@ -30,7 +30,7 @@
     /// Bytes held by open requests.
     held: Arc<AtomicUsize>,
     memory: usize,
-    portion: Portion,
+    portion: ResourceShare,
     book: Book,
     /// Set once nothing more is taken.
     over: Arc<AtomicBool>,
@@ -38,13 +38,13 @@
 
 /// A request with this id is open.
 #[derive(Debug, PartialEq, Eq)]
-pub struct InUse;
+pub struct DuplicateRequestId;
 
 impl Requests {
     pub(crate) fn new(
         to: UnboundedSender<Message>,
         memory: usize,
-        portion: Portion,
+        portion: ResourceShare,
         book: Book,
         over: Arc<AtomicBool>,
     ) -> Self {
@@ -57,43 +57,43 @@
     /// # Errors
     /// If a request with its id is open, at whichever front. Guards against: the answer to another client's
     /// request, or one for both.
-    pub fn open(&self, call: Call, at: Instant, bytes: usize) -> Result<Pending, InUse> {
-        let open_id = OpenId::take(&call.id, &self.open_ids).ok_or(InUse)?;
+    pub fn open(&self, call: Call, at: Instant, bytes: usize) -> Result<PendingAnswer, DuplicateRequestId> {
+        let open_id = OpenId::take(&call.id, &self.open_ids).ok_or(DuplicateRequestId)?;
         let held = Held::new(PER_REQUEST + bytes, &self.held);
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
         // A driver that is gone drops the sender, and the request ends as failed.
         let _ = self.to.send(Message::Arrived(Arrival { id, call: Arc::new(call), at, answer: sender }));
-        Ok(Pending { id, answer, answered: false, to: self.to.clone(), open_id, _held: held })
+        Ok(PendingAnswer { id, answer, answered: false, to: self.to.clone(), open_id, _held: held })
     }
 
     /// A request was answered as failed before it was opened: it counts as such.
-    pub fn not_begun(&self, class: Option<usize>) {
+    pub fn record_failed_before_open(&self, class: Option<usize>) {
         self.book.taken();
         self.book.ended(class, Some(End::Failed));
     }
 
     /// A request that was read gets no answer, though its client has not left.
-    pub fn left_unanswered(&self, pending: &Pending) {
+    pub fn record_closed_unanswered(&self, pending: &PendingAnswer) {
         warn!(request = pending.id.0, id = %String::from_utf8_lossy(&pending.open_id.id), "closed unanswered");
         self.book.violations().count(Rule::ClosedUnanswered, pending.id.0);
     }
 
     /// Whether the process is about to end: what a front reads from now on could not be answered.
-    pub fn are_over(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.over.load(Ordering::Relaxed)
     }
 
     /// Whether open requests leave memory for more. A front should read on only then, but for one request of
     /// each connection.
-    pub fn have_room(&self) -> bool {
+    pub fn has_memory(&self) -> bool {
         self.held.load(Ordering::Relaxed) < self.portion.of(self.memory)
     }
 }
 
 /// A request that waits for its answer: a future of exactly one. Dropped before, it tells that the client has
 /// gone, so that a front which ends leaves nothing open.
-pub struct Pending {
+pub struct PendingAnswer {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
@@ -102,7 +102,7 @@
     _held: Held,
 }
 
-impl Pending {
+impl PendingAnswer {
     /// The answer, if it is there.
     pub fn try_answer(&mut self) -> Option<Answer> {
         let answer = match self.answer.try_recv() {
@@ -115,7 +115,7 @@
     }
 }
 
-impl Future for Pending {
+impl Future for PendingAnswer {
     type Output = Answer;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Answer> {
@@ -126,7 +126,7 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if !self.answered {
             let _ = self.to.send(Message::Gone(self.id));
--- a/crates/core/src/resource_share.rs
+++ b/crates/core/src/resource_share.rs
@@ -8,7 +8,7 @@
 
 /// A part of all bounds, which may change while they hold. Clones are of one part.
 #[derive(Debug, Clone)]
-pub struct Portion(Arc<Part>);
+pub struct ResourceShare(Arc<Part>);
 
 #[derive(Debug)]
 struct Part {
@@ -16,14 +16,17 @@
     in_company: AtomicBool,
 }
 
-impl Default for Portion {
+impl Default for ResourceShare {
     /// The whole.
     fn default() -> Self {
-        Portion(Arc::new(Part { thousandths: AtomicU32::new(WHOLE), in_company: AtomicBool::new(false) }))
+        ResourceShare(Arc::new(Part {
+            thousandths: AtomicU32::new(WHOLE),
+            in_company: AtomicBool::new(false),
+        }))
     }
 }
 
-impl Portion {
+impl ResourceShare {
     /// Is so many thousandths from now on; `in_company`: another process has the rest and takes connections too.
     pub fn set(&self, thousandths: u32, in_company: bool) {
         self.0.thousandths.store(thousandths.min(WHOLE), Ordering::Relaxed);
@@ -31,7 +34,7 @@
     }
 
     /// Whether another process has the rest and takes connections too.
-    pub fn in_company(&self) -> bool {
+    pub fn is_shared(&self) -> bool {
         self.0.in_company.load(Ordering::Relaxed)
     }
 
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -11,12 +11,12 @@
 use crate::upstream::IdleState;
 
 /// How long a connection rests before it is used again.
-pub const REST: Duration = Duration::from_millis(15);
+pub const REUSE_DELAY: Duration = Duration::from_millis(15);
 /// An origin that seldom answers within the rest may be asked again after a shorter one: it takes few connections and turns
 /// others away. An answer that comes within the longer rest is not believed then.
-pub const SHORT_REST: Duration = Duration::from_millis(1);
+pub const SHORT_REUSE_DELAY: Duration = Duration::from_millis(1);
 /// Connections of a server that has lately sent something unasked rest for so long ...
-pub const LONG_REST: Duration = Duration::from_millis(100);
+pub const LONG_REUSE_DELAY: Duration = Duration::from_millis(100);
 /// ... which counts as lately for so long.
 const DISTRUST: Duration = Duration::from_secs(60);
 /// An origin answers seldom within the rest if less than this part of its answers does ...
@@ -42,12 +42,12 @@
 
 impl ReusePolicy {
     /// How long a connection of this server rests.
-    pub fn rest(&self, now: Instant, origin: bool) -> Duration {
+    pub fn reuse_delay(&self, now: Instant, origin: bool) -> Duration {
         let distrusted = self.unasked.is_some_and(|at| now < at + DISTRUST);
         match distrusted {
-            true => LONG_REST,
-            false if origin && self.quick < SELDOM => SHORT_REST,
-            false => REST,
+            true => LONG_REUSE_DELAY,
+            false if origin && self.quick < SELDOM => SHORT_REUSE_DELAY,
+            false => REUSE_DELAY,
         }
     }
 
@@ -59,40 +59,40 @@
         origin: bool,
         mut idle_since: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator,
     ) -> Option<usize> {
-        let rest = self.rest(now, origin);
+        let rest = self.reuse_delay(now, origin);
         idle_since.rposition(|since| now >= since + rest)
     }
 
     /// From when on an answer is believed on a connection that has been idle since then.
-    pub fn believed_from(since: Instant) -> Instant {
-        since + REST
+    pub fn trusted_from(since: Instant) -> Instant {
+        since + REUSE_DELAY
     }
 
     /// Whether an idle connection in that state may be used; what a server sends unasked is remembered.
     pub fn may_use(&mut self, now: Instant, state: IdleState) -> bool {
-        if state == IdleState::Unasked {
+        if state == IdleState::UnsolicitedData {
             self.unasked = Some(now);
         }
         state == IdleState::Live
     }
 
     /// Notes how long an answer took.
-    pub fn answered(&mut self, took: Duration) {
-        let quick = if took <= REST { 1.0 } else { 0.0 };
+    pub fn record_answer(&mut self, took: Duration) {
+        let quick = if took <= REUSE_DELAY { 1.0 } else { 0.0 };
         self.quick += LATEST * (quick - self.quick);
     }
 }
 
 /// How long idle connections are kept.
 #[derive(Debug, Clone, Copy)]
-pub struct KeepPolicy {
+pub struct RetentionPolicy {
     /// The age at which any is closed, before its server does it.
     limit: Duration,
     /// The age at which one is closed where a younger one is idle at the same server.
     spare: Duration,
 }
 
-impl KeepPolicy {
+impl RetentionPolicy {
     /// For servers that close idle connections at this age, at one of so many nodes.
     ///
     /// Guards against: a server's table of connections that is full of what hundreds of nodes keep beyond the one
@@ -100,16 +100,16 @@
     /// small fleet does.
     pub fn new(keepalive: Duration, nodes: usize) -> Self {
         let limit = keepalive * 9 / 10;
-        KeepPolicy { limit, spare: limit }.at_nodes(nodes)
+        RetentionPolicy { limit, spare: limit }.with_node_count(nodes)
     }
 
     /// The same at one of so many nodes.
-    pub fn at_nodes(self, nodes: usize) -> Self {
-        KeepPolicy { spare: self.limit / u32::try_from(nodes.max(1)).unwrap_or(u32::MAX), ..self }
+    pub fn with_node_count(self, nodes: usize) -> Self {
+        RetentionPolicy { spare: self.limit / u32::try_from(nodes.max(1)).unwrap_or(u32::MAX), ..self }
     }
 
     /// Whether a connection that has been idle since then is kept; a spare one has a younger one beside it.
-    pub fn keeps(&self, now: Instant, since: Instant, spare: bool) -> bool {
+    pub fn retains(&self, now: Instant, since: Instant, spare: bool) -> bool {
         now < since + if spare { self.spare } else { self.limit }
     }
 }
--- a/crates/core/src/stall.rs
+++ b/crates/core/src/stall.rs
@@ -17,7 +17,7 @@
 
 /// What is known of one thread's hold-ups. No clock: times are handed in.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct HoldUps {
+pub struct StallTracker {
     /// When the thread was last seen to run.
     marked: Option<Instant>,
     /// When its next timer is due.
@@ -26,15 +26,15 @@
     last: Option<(Instant, Instant)>,
 }
 
-impl HoldUps {
+impl StallTracker {
     /// The thread runs now, and its next timer is due then.
-    pub fn mark(&mut self, now: Instant, due: Option<Instant>) {
+    pub fn record_activity(&mut self, now: Instant, due: Option<Instant>) {
         self.note(self.marked, now);
         (self.marked, self.due) = (Some(now), due.or(self.due));
     }
 
     /// The thread goes on after it had nothing to do.
-    pub fn resume(&mut self, now: Instant) {
+    pub fn record_wakeup(&mut self, now: Instant) {
         self.note(self.due, now);
         self.marked = Some(now);
     }
@@ -47,7 +47,7 @@
     }
 
     /// Since when something may have been there that is read now.
-    pub fn arrival(&self, now: Instant) -> Instant {
+    pub fn estimated_arrival(&self, now: Instant) -> Instant {
         match self.last {
             Some((begin, end)) if now <= end + CAUGHT_UP => begin.max(now - LONGEST),
             _ => now,
@@ -56,10 +56,10 @@
 }
 
 thread_local! {
-    static THREAD: Cell<HoldUps> = Cell::default();
+    static THREAD: Cell<StallTracker> = Cell::default();
 }
 
-fn update(change: impl FnOnce(&mut HoldUps)) {
+fn update(change: impl FnOnce(&mut StallTracker)) {
     THREAD.with(|thread| {
         let mut hold_ups = thread.get();
         change(&mut hold_ups);
@@ -68,16 +68,16 @@
 }
 
 /// Notes that this thread runs now, and when its next timer is due, if that is known.
-pub fn mark(due: Option<Instant>) {
-    update(|hold_ups| hold_ups.mark(Instant::now(), due));
+pub fn record_activity(due: Option<Instant>) {
+    update(|hold_ups| hold_ups.record_activity(Instant::now(), due));
 }
 
 /// Notes that this thread goes on after it had nothing to do: for [`tokio::runtime::Builder::on_thread_unpark`].
-pub fn resume() {
-    update(|hold_ups| hold_ups.resume(Instant::now()));
+pub fn record_wakeup() {
+    update(|hold_ups| hold_ups.record_wakeup(Instant::now()));
 }
 
 /// Since when something may have been there that this thread reads now.
-pub fn arrival(now: Instant) -> Instant {
-    THREAD.with(|thread| thread.get().arrival(now))
+pub fn estimated_arrival(now: Instant) -> Instant {
+    THREAD.with(|thread| thread.get().estimated_arrival(now))
 }
--- a/crates/core/src/time_left.rs
+++ b/crates/core/src/time_left.rs
@@ -18,7 +18,7 @@
 const LATE_STALL: Duration = Duration::from_secs(1);
 
 /// The deadline to tell now on a connection that took so long to come up.
-pub fn deadline_to_tell(now: Instant, deadline: Instant, connect_time: Duration) -> Instant {
+pub fn deadline_to_send(now: Instant, deadline: Instant, connect_time: Duration) -> Instant {
     if connect_time < LATE_HANDSHAKE {
         return deadline;
     }
@@ -27,7 +27,7 @@
 }
 
 /// When a server that has just given some of a value is given up, unless it gives more.
-pub fn value_given_up_at(now: Instant, deadline: Instant) -> Instant {
+pub fn value_read_deadline(now: Instant, deadline: Instant) -> Instant {
     match now < deadline {
         true => (now + STALL).min(deadline + LAST_ANSWER),
         false => now + LATE_STALL,
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -11,9 +11,9 @@
 use paddlefold::Outcome;
 use tokio::time::Instant;
 
-use crate::call::{Call, Made};
+use crate::call::{Call, OperationResult};
 use crate::permit::InvariantChecker;
-use crate::value_stream::{Feeder, Opening};
+use crate::value_stream::{Opening, ValueSender};
 
 /// Makes connections to servers.
 ///
@@ -23,7 +23,7 @@
     type Connection: Connection;
 
     /// Whether servers of this kind of machine discard the repeats of a keyed write.
-    fn discards_repeats(&self, _kind: &str) -> bool {
+    fn deduplicates_writes(&self, _kind: &str) -> bool {
         true
     }
 
@@ -43,7 +43,7 @@
 
     /// Sends one request, whose client waits until then, and waits for its answer. What is told of that time is
     /// reckoned as it is written. The connection comes back if another request may use it.
-    fn ask(
+    fn send_request(
         self,
         call: &Call,
         target: &Target,
@@ -59,7 +59,7 @@
     /// It has closed or broken it.
     Closed,
     /// It has sent something that nobody asked for, such as an answer once more.
-    Unasked,
+    UnsolicitedData,
 }
 
 /// Where an attempt goes.
@@ -82,14 +82,14 @@
 }
 
 impl Target {
-    /// Tells that the head of a value over [`VALUE_LIMIT`](crate::VALUE_LIMIT) has come: from here on the attempt is
+    /// Tells that the head of a value over [`MAX_BUFFERED_VALUE_BYTES`](crate::MAX_BUFFERED_VALUE_BYTES) has come: from here on the attempt is
     /// the client's if it is the first, and nobody wants it if not. Once in an attempt.
-    pub fn begin(&self, length: usize, flags: u32) -> Feeder {
+    pub fn begin_stream(&self, length: usize, flags: u32) -> ValueSender {
         self.opening.begin(length, flags)
     }
 
     /// Whether what comes now may be the answer to the request before on the same connection, sent once more.
-    pub fn may_be_repeated(&self) -> bool {
+    pub fn may_be_duplicate_answer(&self) -> bool {
         Instant::now() < self.believed_from
     }
 
@@ -100,7 +100,7 @@
 
     /// Tells that an attempt has been written whole, and how long its server was told that the client waits, if it
     /// was told.
-    pub fn written(&self, told: Option<Duration>) {
+    pub fn request_written(&self, told: Option<Duration>) {
         self.tries.count();
         if let Some(told) = told {
             self.invariants.written(told);
@@ -134,19 +134,19 @@
     /// By the protocol's table.
     pub outcome: Outcome,
     /// What to serve, after [`Outcome::Ok`].
-    pub made: Made,
+    pub result: OperationResult,
     /// Whether the value was at hand, where the server told.
-    pub hit: Option<bool>,
+    pub cache_hit: Option<bool>,
 }
 
 impl Reply {
     /// An outcome that comes with nothing.
-    pub fn of(outcome: Outcome) -> Self {
-        Reply { outcome, made: Made::value(Bytes::new()), hit: None }
+    pub fn from_outcome(outcome: Outcome) -> Self {
+        Reply { outcome, result: OperationResult::value(Bytes::new()), cache_hit: None }
     }
 
     /// What a server has made, with nothing told beside.
-    pub fn served(made: Made) -> Self {
-        Reply { made, ..Reply::of(Outcome::Ok) }
+    pub fn success(result: OperationResult) -> Self {
+        Reply { result, ..Reply::from_outcome(Outcome::Ok) }
     }
 }
--- a/crates/core/src/value_stream.rs
+++ b/crates/core/src/value_stream.rs
@@ -9,25 +9,25 @@
 use crate::buffer_budget::{Governor, Held, Share};
 
 /// The longest value that flows, in bytes. Longer ones are taken for spoilt answers.
-pub const FLOW_LIMIT: usize = 8 << 20;
+pub const MAX_STREAMED_VALUE_BYTES: usize = 8 << 20;
 
 /// A value of which the head has come: the client's side.
 #[derive(Debug)]
-pub struct Flow {
+pub struct ValueStream {
     length: usize,
     flags: u32,
-    pieces: UnboundedReceiver<Piece>,
+    pieces: UnboundedReceiver<ValueChunk>,
 }
 
 /// Some bytes of a value. Dropped once the client has taken them, it lets the server go on.
 #[derive(Debug)]
-pub struct Piece {
+pub struct ValueChunk {
     /// The bytes.
     pub bytes: Bytes,
     _share: Share,
 }
 
-impl Flow {
+impl ValueStream {
     /// All of the value's bytes.
     pub fn length(&self) -> usize {
         self.length
@@ -39,37 +39,37 @@
     }
 
     /// The next bytes; none after the last. One that ends before its length is broken.
-    pub async fn next(&mut self) -> Option<Piece> {
+    pub async fn next(&mut self) -> Option<ValueChunk> {
         self.pieces.recv().await
     }
 }
 
 /// The server's side of a flow.
 #[derive(Debug)]
-pub struct Feeder {
+pub struct ValueSender {
     left: usize,
-    to: UnboundedSender<Piece>,
+    to: UnboundedSender<ValueChunk>,
     held: Held,
 }
 
 /// The client wants no more, or never did: another attempt was first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unwanted;
+pub struct ReceiverClosed;
 
 /// Room for some bytes of a flow.
 #[derive(Debug)]
-pub struct Room(Share);
+pub struct BufferReservation(Share);
 
-impl Room {
+impl BufferReservation {
     /// How many bytes may be read into it.
     pub fn bytes(&self) -> usize {
         self.0.bytes()
     }
 }
 
-impl Feeder {
+impl ValueSender {
     /// How many of the value's bytes are still to come.
-    pub fn left(&self) -> usize {
+    pub fn remaining(&self) -> usize {
         self.left
     }
 
@@ -77,11 +77,11 @@
     ///
     /// # Errors
     /// If nobody wants them.
-    pub async fn room(&self) -> Result<Room, Unwanted> {
+    pub async fn reserve(&self) -> Result<BufferReservation, ReceiverClosed> {
         tokio::select! {
             biased;
-            () = self.to.closed() => Err(Unwanted),
-            share = self.held.room() => Ok(Room(share)),
+            () = self.to.closed() => Err(ReceiverClosed),
+            share = self.held.room() => Ok(BufferReservation(share)),
         }
     }
 
@@ -89,11 +89,15 @@
     ///
     /// # Errors
     /// If nobody wants them.
-    pub fn feed(&mut self, bytes: Bytes, Room(mut share): Room) -> Result<(), Unwanted> {
+    pub fn send(
+        &mut self,
+        bytes: Bytes,
+        BufferReservation(mut share): BufferReservation,
+    ) -> Result<(), ReceiverClosed> {
         let bytes = bytes.slice(..bytes.len().min(self.left));
         self.left -= bytes.len();
         share.resize(bytes.len());
-        self.to.send(Piece { bytes, _share: share }).map_err(|_| Unwanted)
+        self.to.send(ValueChunk { bytes, _share: share }).map_err(|_| ReceiverClosed)
     }
 }
 
@@ -101,7 +105,7 @@
 pub(crate) struct Begun {
     pub id: RequestId,
     pub attempt: usize,
-    pub flow: Flow,
+    pub flow: ValueStream,
 }
 
 /// By which an attempt tells that its answer has begun.
@@ -114,11 +118,11 @@
 }
 
 impl Opening {
-    pub fn begin(&self, length: usize, flags: u32) -> Feeder {
+    pub fn begin(&self, length: usize, flags: u32) -> ValueSender {
         let (to, pieces) = unbounded_channel(); // bounded by the rooms that are granted
-        let flow = Flow { length, flags, pieces };
+        let flow = ValueStream { length, flags, pieces };
         // A driver that is gone drops the flow, and the feeder hears that nobody wants it.
         let _ = self.to.send(Begun { id: self.id, attempt: self.attempt, flow });
-        Feeder { left: length, to, held: Held::new(self.governor.clone()) }
+        ValueSender { left: length, to, held: Held::new(self.governor.clone()) }
     }
 }
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -6,8 +6,9 @@
 
 use bytes::Bytes;
 use lilacquay_core::{
-    Answer, Call, Connection, Driver, Entry, Handles, IdleState, List, Made, Members, Options, Orders,
-    Outcome, Pending, Portion, Reply, Requests, State, Target, Upstream,
+    Answer, Call, Connection, CoreHandle, Driver, Handles, IdleState, MembershipHandle, OperationResult,
+    Options, Outcome, PendingAnswer, Reply, Requests, ResourceShare, ServerEntry, ServerList, ServerState,
+    Target, Upstream,
 };
 use lilacquay_overrides::{Ask, Done, Kept, Order, Refusal};
 use paddlefold::setup::{Setup, Stated};
@@ -35,24 +36,24 @@
     fn idle_state(&self) -> IdleState {
         IdleState::Live
     }
-    async fn ask(self, _: &Call, target: &Target, _: Instant) -> (Reply, Option<Scripted>) {
+    async fn send_request(self, _: &Call, target: &Target, _: Instant) -> (Reply, Option<Scripted>) {
         let (answer, reply) = oneshot::channel();
         let _ = self.0.send((target.addr.port(), answer));
-        (reply.await.unwrap_or(Reply::of(Outcome::Reset)), Some(self))
+        (reply.await.unwrap_or(Reply::from_outcome(Outcome::Reset)), Some(self))
     }
 }
 
 struct Stage {
     requests: Requests,
-    members: Members,
-    orders: Orders,
+    members: MembershipHandle,
+    core: CoreHandle,
     asked: mpsc::UnboundedReceiver<(u16, oneshot::Sender<Reply>)>,
     opened: usize,
 }
 
-fn entry(id: &str, port: u16, state: State) -> Entry {
+fn entry(id: &str, port: u16, state: ServerState) -> ServerEntry {
     let (addr, zone, kind) = (SocketAddr::from((Ipv4Addr::LOCALHOST, port)), String::new(), String::new());
-    Entry { id: id.into(), addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 }
+    ServerEntry { id: id.into(), addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 }
 }
 
 impl Stage {
@@ -61,33 +62,33 @@
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
-        let servers = vec![entry("s1", 1, State::Serving), entry("s2", 2, State::Serving)];
-        let known = List { full: true, servers };
+        let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
+        let known = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
         let book = lilacquay_metrics::Book::new(Vec::new());
-        let portion = Portion::default();
+        let portion = ResourceShare::default();
         let options = Options {
             setup,
             seed: 1,
-            known,
-            connections,
-            memory,
+            initial_list: known,
+            max_connections: connections,
+            request_memory_bytes: memory,
             quotas: None,
-            book,
-            version: None,
+            metrics: book,
+            list_version: None,
             learned: None,
-            portion,
-            steered,
-            lists: None,
+            resource_share: portion,
+            persisted_orders: steered,
+            list_updates: None,
         };
         let (to, asked) = mpsc::unbounded_channel();
-        let (driver, Handles { requests, members, orders }) = Driver::new(options, Scripted(to));
+        let (driver, Handles { requests, members, core }) = Driver::new(options, Scripted(to));
         tokio::spawn(driver.run());
-        Stage { requests, members, orders, asked, opened: 0 }
+        Stage { requests, members, core, asked, opened: 0 }
     }
 
     /// Opens a read; tells which server is asked for it.
-    async fn read(&mut self) -> (Pending, u16, oneshot::Sender<Reply>) {
+    async fn read(&mut self) -> (PendingAnswer, u16, oneshot::Sender<Reply>) {
         self.opened += 1;
         let id = Bytes::from(format!("id-{}", self.opened));
         let call = Call::new(format!("k{}", self.opened), id, Bytes::from("d=1"), None, 60_000_000).unwrap();
@@ -103,7 +104,7 @@
             let (pending, port, answer) = self.read().await;
             to[usize::from(port) - 1] += 1;
             sleep(TOOK).await;
-            answer.send(Reply::served(Made::value("v"))).unwrap();
+            answer.send(Reply::success(OperationResult::value("v"))).unwrap();
             assert!(matches!(pending.await, Answer::Served(_)));
         }
         to
@@ -111,7 +112,7 @@
 
     async fn order(&self, server: &str, order: Order) -> Result<Done, Refusal> {
         let ask = Ask { server: server.into(), order, lasting: false, force: false, seen: None };
-        self.orders.steer(ask).await.expect("a core that is steered")
+        self.core.apply_order(ask).await.expect("a core that is steered")
     }
 }
 
@@ -125,15 +126,19 @@
         if read.1 == 1 {
             break read;
         }
-        read.2.send(Reply::served(Made::value("v"))).unwrap();
+        read.2.send(Reply::success(OperationResult::value("v"))).unwrap();
     };
     assert_eq!(stage.order("s1", Order::Drain).await.unwrap().replaced, None);
     assert_eq!(stage.fifty().await, [0, 50], "nothing new");
-    answer.send(Reply::served(Made::value("late"))).unwrap();
-    assert!(matches!(pending.await, Answer::Served(made) if made == Made::value("late")));
+    answer.send(Reply::success(OperationResult::value("late"))).unwrap();
+    assert!(matches!(pending.await, Answer::Served(made) if made == OperationResult::value("late")));
     assert_eq!(port, 1);
     // Neither does word from the list bring it back, nor would the other be let go.
-    assert!(stage.members.list(List { full: false, servers: vec![entry("s1", 1, State::Serving)] }));
+    assert!(
+        stage
+            .members
+            .update_list(ServerList { full: false, servers: vec![entry("s1", 1, ServerState::Serving)] })
+    );
     assert_eq!(stage.fifty().await, [0, 50], "the list does not override an operator");
     assert_eq!(stage.order("s2", Order::Drain).await, Err(Refusal::LastServing));
     stage.order("s1", Order::Undrain).await.unwrap();
@@ -155,5 +160,5 @@
     assert_eq!(stage.fifty().await, [50, 0]);
     let stage = Stage::new(None);
     let ask = Ask { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
-    assert!(stage.orders.steer(ask).await.is_err());
+    assert!(stage.core.apply_order(ask).await.is_err());
 }
--- a/crates/core/tests/resource_exhaustion.rs
+++ b/crates/core/tests/resource_exhaustion.rs
@@ -2,16 +2,16 @@
 
 use std::io::Error;
 
-use lilacquay_core::is_own_shortage;
+use lilacquay_core::is_local_resource_exhaustion;
 use rustix::io::Errno;
 
 #[test]
 fn a_server_was_blamed_for_what_this_machine_lacked() {
     for errno in [Errno::NOMEM, Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::ADDRNOTAVAIL] {
-        assert!(is_own_shortage(&Error::from(errno)), "{errno}");
+        assert!(is_local_resource_exhaustion(&Error::from(errno)), "{errno}");
     }
     for errno in [Errno::CONNABORTED, Errno::CONNREFUSED, Errno::NETUNREACH, Errno::HOSTUNREACH, Errno::INTR]
     {
-        assert!(!is_own_shortage(&Error::from(errno)), "{errno}");
+        assert!(!is_local_resource_exhaustion(&Error::from(errno)), "{errno}");
     }
 }
--- a/crates/fronts/src/accept_policy.rs
+++ b/crates/fronts/src/accept_policy.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use lilacquay_core::is_own_shortage;
+use lilacquay_core::is_local_resource_exhaustion;
 use tokio::time::Instant;
 
 use crate::connection_limiter::{Goes, Micros, goes};
@@ -31,7 +31,7 @@
     fn from(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::WouldBlock => AcceptFailure::NoneWaits,
-            _ if is_own_shortage(error) => AcceptFailure::Shortage,
+            _ if is_local_resource_exhaustion(error) => AcceptFailure::Shortage,
             _ => AcceptFailure::OneConnection,
         }
     }
--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -117,8 +117,8 @@
         let (start, bounds) = (Instant::now(), &self.0.bounds);
         while self.0.sessions.len() >= bounds.limit() {
             let waited = start.elapsed().as_micros() as Micros;
-            let cleared = self.make_room(goes(bounds.portion.in_company(), waited)).await;
-            if cleared && bounds.portion.in_company() {
+            let cleared = self.make_room(goes(bounds.portion.is_shared(), waited)).await;
+            if cleared && bounds.portion.is_shared() {
                 return;
             }
         }
--- a/crates/fronts/src/memcache/command_rules.rs
+++ b/crates/fronts/src/memcache/command_rules.rs
@@ -4,7 +4,7 @@
 
 use std::str;
 
-use lilacquay_core::{Micros, Terms};
+use lilacquay_core::{Micros, StoreOptions};
 use xxhash_rust::xxh3::Xxh3;
 
 /// A class as the settings name it, with its index there.
@@ -95,7 +95,7 @@
         key: &'a str,
         cas: u64,
         write: bool,
-        terms: Terms,
+        terms: StoreOptions,
     ) -> Result<Facts<'a>, Compares> {
         if cas != 0 && self.repeats != Repeats::Cas {
             return Err(Compares);
@@ -182,23 +182,23 @@
     fn facts_say_what_servers_are_told() {
         let tenant = Some(Named { name: "acme".into(), index: 0 });
         let row = Row { tenant, repeats: Repeats::Suffix("#".into()), ..row("") };
-        let read = row.facts(None, "a#1", 0, false, Terms::default()).unwrap();
+        let read = row.facts(None, "a#1", 0, false, StoreOptions::default()).unwrap();
         assert_eq!((read.key, &*read.text), ("a#1", "c=lookup,t=acme,d=481"));
-        let write = row.facts(None, "a#1", 0, true, Terms::default()).unwrap();
+        let write = row.facts(None, "a#1", 0, true, StoreOptions::default()).unwrap();
         let key = write.idempotency.clone().unwrap();
         assert_eq!((write.key, write.text), ("a", format!("c=signup,t=acme,d=481,k={key}")));
         for unmarked in ["a", "a#", "#1"] {
-            let facts = row.facts(None, unmarked, 0, true, Terms::default()).unwrap();
+            let facts = row.facts(None, unmarked, 0, true, StoreOptions::default()).unwrap();
             assert_eq!((facts.key, facts.idempotency), (unmarked, None));
         }
-        assert_eq!(row.facts(None, "a", 7, true, Terms::default()), Err(Compares));
-        let terms = Terms { flags: 3, expiry: 60 };
+        assert_eq!(row.facts(None, "a", 7, true, StoreOptions::default()), Err(Compares));
+        let terms = StoreOptions { flags: 3, expiry: 60 };
         let row = Row { repeats: Repeats::Unmarked, ..row };
         let kept = row.facts(None, "a", 0, true, terms).unwrap().text;
         assert_eq!(kept, "c=signup,t=acme,d=481,flags=3,expiry=60");
         let bare = Row { read: None, wait: 1, ..row };
         assert_eq!(
-            Row { tenant: None, ..bare }.facts(None, "a", 0, false, Terms::default()).unwrap().text,
+            Row { tenant: None, ..bare }.facts(None, "a", 0, false, StoreOptions::default()).unwrap().text,
             "d=1"
         );
     }
@@ -206,7 +206,8 @@
     #[test]
     fn a_repeat_has_the_same_key_and_nobody_elses_has() {
         let row = Row { repeats: Repeats::Cas, ..row("") };
-        let key = |user, key, cas| row.facts(user, key, cas, true, Terms::default()).unwrap().idempotency;
+        let key =
+            |user, key, cas| row.facts(user, key, cas, true, StoreOptions::default()).unwrap().idempotency;
         assert_eq!(key(None, "a", 0), None);
         assert_eq!(key(Some("ann"), "a", 7), key(Some("ann"), "a", 7));
         let others =
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -13,7 +13,10 @@
 
 use bytes::{Bytes, BytesMut};
 use lilacquay_codec::memcache::{self, KEY_LIMIT, Opcode, Packet, Status, next_request};
-use lilacquay_core::{Answer, Call, CallError, Gauges, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
+use lilacquay_core::{
+    Answer, Call, CallError, Gauges, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult,
+    StoreOptions, Verb,
+};
 
 use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
 use command_rules::{Compares, Table};
@@ -98,7 +101,7 @@
 
 impl Protocol for Memcache {
     type Reply = Asked;
-    const LONGEST: usize = WRITE_LIMIT + VALUE_LIMIT;
+    const LONGEST: usize = MAX_WRITE_VALUE_BYTES + MAX_BUFFERED_VALUE_BYTES;
     /// A run of quiet commands is one's own way to ask for many keys at once. More than these wait unread.
     const AT_ONCE: usize = usize::MAX;
 
@@ -133,22 +136,22 @@
             ..Packet::new(opcode, opaque)
         };
         let packet = match answer {
-            Answer::Served(Made::Value { bytes, flags }) if verb == Verb::Get => {
+            Answer::Served(OperationResult::Value { bytes, flags }) if verb == Verb::Get => {
                 let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
                 Packet { extras, key, value: bytes, ..Packet::new(opcode, opaque) }
             }
             // What is not seen of quiet commands (sections "Get" and "Set"): a miss, and a write's success.
-            Answer::Served(Made::Absent) if verb == Verb::Get && quiet => return,
-            Answer::Served(Made::Value { .. }) if quiet => return,
-            Answer::Served(Made::Value { .. }) => Packet::new(opcode, opaque),
-            Answer::Served(Made::Absent) if !key.is_empty() => {
+            Answer::Served(OperationResult::Absent) if verb == Verb::Get && quiet => return,
+            Answer::Served(OperationResult::Value { .. }) if quiet => return,
+            Answer::Served(OperationResult::Value { .. }) => Packet::new(opcode, opaque),
+            Answer::Served(OperationResult::Absent) if !key.is_empty() => {
                 Packet { status: Status::KEY_NOT_FOUND.0, key, ..Packet::new(opcode, opaque) }
             }
-            Answer::Served(Made::Absent) => with(Status::KEY_NOT_FOUND, "Not found".into()),
-            Answer::Served(Made::Exists) => with(Status::KEY_EXISTS, "Data exists for key".into()),
+            Answer::Served(OperationResult::Absent) => with(Status::KEY_NOT_FOUND, "Not found".into()),
+            Answer::Served(OperationResult::Exists) => with(Status::KEY_EXISTS, "Data exists for key".into()),
             Answer::Busy(0) => with(Status::BUSY, "BUSY".into()),
             Answer::Busy(wait) => with(Status::BUSY, format!("BUSY {}", wait.div_ceil(1000))),
-            Answer::Failed | Answer::Begun(_) => with(Status::INTERNAL_ERROR, "failed".into()),
+            Answer::Failed | Answer::Streaming(_) => with(Status::INTERNAL_ERROR, "failed".into()),
         };
         packet.put_response(out);
     }
@@ -241,8 +244,8 @@
         let mut call = Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, row.wait)?;
         call.class = class.as_ref().map(|class| class.index);
         call.tenant = row.tenant.as_ref().map(|tenant| tenant.index);
-        call.idempotency = facts.idempotency.map(Bytes::from);
-        (call.verb, call.terms) = (verb, terms);
+        call.idempotency_key = facts.idempotency.map(Bytes::from);
+        (call.verb, call.store_options) = (verb, terms);
         let key = match opcode {
             Opcode::GetK | Opcode::GetKQ => Bytes::copy_from_slice(&packet.key),
             _ => Bytes::new(),
@@ -251,14 +254,14 @@
     }
 
     /// How a value is to be stored, if that can be kept.
-    fn terms(&self, verb: Verb, extras: &[u8]) -> Result<Terms, CommandError> {
+    fn terms(&self, verb: Verb, extras: &[u8]) -> Result<StoreOptions, CommandError> {
         let able = self.front.abilities;
         if matches!(verb, Verb::Add | Verb::Replace | Verb::Delete) && !able.conditions {
             return Err(CommandError(Status::NOT_SUPPORTED, "who takes writes here knows no conditions"));
         }
         let number = |at: usize| extras.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
         let number = |at: usize| number(at).map_or(0, u32::from_be_bytes);
-        let terms = Terms { flags: number(0), expiry: number(4) };
+        let terms = StoreOptions { flags: number(0), expiry: number(4) };
         if terms.flags != 0 && !able.flags {
             return Err(CommandError(Status::NOT_SUPPORTED, "flags are not kept here; send 0"));
         }
@@ -280,7 +283,7 @@
             ("time", unix.to_string()),
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
             ("total_connections", self.front.connections.load(Ordering::Relaxed).to_string()),
-            ("lilacquay_requests_open", self.front.gauges.open().to_string()),
+            ("lilacquay_requests_open", self.front.gauges.open_requests().to_string()),
             ("lilacquay_server_connections", self.front.gauges.connections().to_string()),
         ];
         let one = |(name, value): (&str, String)| Packet {
@@ -369,7 +372,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::ValueTooLong => CommandError(Status::VALUE_TOO_LARGE, "value over 4 MiB"),
-            CallError::Text => CommandError(Status::INVALID_ARGUMENTS, "wrong arguments"),
+            CallError::InvalidText => CommandError(Status::INVALID_ARGUMENTS, "wrong arguments"),
         }
     }
 }
--- a/crates/fronts/src/responses.rs
+++ b/crates/fronts/src/responses.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lilacquay_core::{Answer, Flow, Pending, Requests};
+use lilacquay_core::{Answer, PendingAnswer, Requests, ValueStream};
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout};
 
@@ -27,7 +27,7 @@
 
 /// A request that waits for its answer.
 pub(crate) struct Waiting<R> {
-    pub pending: Pending,
+    pub pending: PendingAnswer,
     /// What is kept of the command to word its answer.
     pub reply: R,
     /// Of a long command, which are free again when it is answered.
@@ -37,7 +37,7 @@
 /// A large value, as far as it has come.
 pub(crate) struct LargeValue<R> {
     pub reply: R,
-    pub flow: Flow,
+    pub flow: ValueStream,
     /// What has come of it and was not passed on.
     pub come: BytesMut,
 }
@@ -46,7 +46,7 @@
 ///
 /// Guards against: a value that breaks in the middle and takes the answers behind it along.
 pub(crate) struct Collecting<R> {
-    pending: Pending,
+    pending: PendingAnswer,
     value: LargeValue<R>,
     until: Instant,
     _places: OwnedSemaphorePermit,
@@ -54,7 +54,7 @@
 
 impl<R> Collecting<R> {
     /// Collects a value from now on, in these places.
-    pub fn new(pending: Pending, reply: R, flow: Flow, places: OwnedSemaphorePermit) -> Self {
+    pub fn new(pending: PendingAnswer, reply: R, flow: ValueStream, places: OwnedSemaphorePermit) -> Self {
         let value = LargeValue { reply, flow, come: BytesMut::new() };
         Collecting { pending, value, until: Instant::now() + COLLECTING, _places: places }
     }
@@ -67,7 +67,7 @@
                 Ok(Some(piece)) => come.extend_from_slice(&piece.bytes),
                 Ok(None) => return Collected::Broken,
                 // What is owed behind it has no more time than the process.
-                Err(_) if requests.are_over() => return Collected::Broken,
+                Err(_) if requests.is_shutting_down() => return Collected::Broken,
                 // One that has stopped breaks in its time: nothing of it is passed on then.
                 Err(_) => continue,
             }
@@ -136,7 +136,7 @@
     }
 
     /// The requests among them.
-    pub fn requests(&self) -> impl Iterator<Item = &Pending> {
+    pub fn requests(&self) -> impl Iterator<Item = &PendingAnswer> {
         self.0.iter().filter_map(|response| match response {
             Response::Ready(_) => None,
             Response::Waiting(waiting) => Some(&waiting.pending),
--- a/crates/fronts/src/session.rs
+++ b/crates/fronts/src/session.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bytes::BytesMut;
-use lilacquay_core::{Answer, Call, Flow, stall};
+use lilacquay_core::{Answer, Call, ValueStream, stall};
 use lilacquay_stream::Stream;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -72,7 +72,7 @@
 impl<P: Protocol> Drop for Session<P> {
     /// One that has not run to its end takes with it what its client is owed.
     fn drop(&mut self) {
-        self.owed.requests().for_each(|pending| self.shared.requests.left_unanswered(pending));
+        self.owed.requests().for_each(|pending| self.shared.requests.record_closed_unanswered(pending));
     }
 }
 
@@ -200,7 +200,7 @@
             just_answered,
             malformed: self.broken,
             quits: self.quits,
-            process_ends: self.shared.requests.are_over(),
+            process_ends: self.shared.requests.is_shutting_down(),
             long_command: long,
         }
     }
@@ -228,8 +228,8 @@
     /// Bytes have come. Those that lay unread for a while count from when they were first seen.
     fn received(&mut self, read: usize, unread: &mut Option<Instant>) {
         self.read_at = Instant::now();
-        stall::mark(None);
-        self.came_at = unread.unwrap_or(stall::arrival(self.read_at));
+        stall::record_activity(None);
+        self.came_at = unread.unwrap_or(stall::estimated_arrival(self.read_at));
         if self.buffer.len() < self.buffer.capacity() {
             *unread = None; // there was room for more, and no more
         }
@@ -276,7 +276,12 @@
     }
 
     /// Writes a large value as it comes, from where so many bytes of it are written.
-    async fn pass_on(&mut self, writer: &mut Stream, mut flow: Flow, written: usize) -> io::Result<()> {
+    async fn pass_on(
+        &mut self,
+        writer: &mut Stream,
+        mut flow: ValueStream,
+        written: usize,
+    ) -> io::Result<()> {
         let mut left = flow.length().saturating_sub(written);
         while left > 0 {
             // Guards against: a value that is not whole and looks so. The client sees the connection end.
@@ -296,7 +301,7 @@
             match due {
                 Due::Ready(ready) if text.is_empty() => text = ready,
                 Due::Ready(ready) => text.extend_from_slice(&ready),
-                Due::Answer(waiting, Answer::Begun(flow)) => match self.begun(waiting, flow, &mut text) {
+                Due::Answer(waiting, Answer::Streaming(flow)) => match self.begun(waiting, flow, &mut text) {
                     Begun::PassedOn(large) => return (text, Some(large)),
                     Begun::Collected => return (text, None),
                     Begun::Failed => {}
@@ -322,7 +327,12 @@
     }
 
     /// A large value has begun to come: it is passed on, or collected where commands wait behind it.
-    fn begun(&mut self, waiting: Waiting<P::Reply>, flow: Flow, text: &mut BytesMut) -> Begun<P::Reply> {
+    fn begun(
+        &mut self,
+        waiting: Waiting<P::Reply>,
+        flow: ValueStream,
+        text: &mut BytesMut,
+    ) -> Begun<P::Reply> {
         let Waiting { pending, reply, .. } = waiting;
         if self.owed.is_empty() && self.buffer.is_empty() {
             self.open -= 1;
@@ -339,7 +349,7 @@
 
     /// Whether another command may be begun.
     fn may_begin(&self) -> bool {
-        let room = || self.shared.requests.have_room();
+        let room = || self.shared.requests.has_memory();
         self.broken.is_none() && !self.quits && self.owed.len() < OWED && (self.owed.is_empty() || room())
     }
 
@@ -407,7 +417,7 @@
                 Response::Waiting(Waiting { pending, reply, _places: places })
             }
             Err(why) => {
-                self.shared.requests.not_begun(class);
+                self.shared.requests.record_failed_before_open(class);
                 let mut text = BytesMut::new();
                 self.protocol.refuse(reply, why, &mut text);
                 Response::Ready(text)
--- a/crates/fronts/src/shared.rs
+++ b/crates/fronts/src/shared.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lilacquay_core::{Gauges, Portion, Requests, VALUE_LIMIT};
+use lilacquay_core::{Gauges, MAX_BUFFERED_VALUE_BYTES, Requests, ResourceShare};
 use lilacquay_lifecycle::Bearing;
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::task::TaskTracker;
@@ -10,7 +10,7 @@
 use crate::idle_connections::Seats;
 
 /// What one place of a buffer that is not small stands for, in bytes: most commands that are not small have one.
-pub(crate) const LARGE: usize = 2 * VALUE_LIMIT;
+pub(crate) const LARGE: usize = 2 * MAX_BUFFERED_VALUE_BYTES;
 
 /// How much clients may hold of a node.
 #[derive(Clone)]
@@ -24,7 +24,7 @@
     /// Bytes for buffers that are not small.
     pub memory: usize,
     /// The part of these that is this process's.
-    pub portion: Portion,
+    pub portion: ResourceShare,
 }
 
 impl Bounds {
--- a/crates/fronts/src/socket.rs
+++ b/crates/fronts/src/socket.rs
@@ -69,7 +69,7 @@
         if stream.peek(&mut [0]).await? == 0 {
             return Ok(());
         }
-        unread.get_or_insert_with(|| stall::arrival(Instant::now()));
+        unread.get_or_insert_with(|| stall::estimated_arrival(Instant::now()));
         // The end may stand behind what is not read.
         if stream.socket().ready(Interest::READABLE).await?.is_read_closed() {
             return Ok(());
@@ -90,7 +90,7 @@
 ) -> io::Result<Received> {
     let Some(places) = wanted else { return receive(reader, buffer, expected).await.map(Received::Bytes) };
     reader.peek(&mut [0]).await?;
-    let readable = stall::arrival(Instant::now());
+    let readable = stall::estimated_arrival(Instant::now());
     let held = large.clone().acquire_many_owned(places).await.map_err(io::Error::other)?;
     Ok(Received::Places(held, readable))
 }
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -7,8 +7,8 @@
 
 use bytes::{Bytes, BytesMut};
 use lilacquay_core::{
-    Answer, Call, Connection, Driver, Entry, Gauges, Handles, IdleState, List, Made, Options, Outcome,
-    Portion, Reply, State, Target, Upstream,
+    Answer, Call, Connection, Driver, Gauges, Handles, IdleState, OperationResult, Options, Outcome, Reply,
+    ResourceShare, ServerEntry, ServerList, ServerState, Target, Upstream,
 };
 use lilacquay_fronts::resp::Resp;
 use lilacquay_fronts::{Acceptor, Bounds, Input, Malformed, Parting, Protocol, Refusal};
@@ -58,10 +58,10 @@
 
     fn answer(&mut self, id: String, answer: Answer, out: &mut BytesMut) {
         let text = match answer {
-            Answer::Served(Made::Value { bytes, .. }) => format!("{id}: {} bytes\n", bytes.len()),
+            Answer::Served(OperationResult::Value { bytes, .. }) => format!("{id}: {} bytes\n", bytes.len()),
             Answer::Served(_) => format!("{id}: nothing\n"),
             Answer::Busy(_) => format!("{id}: busy\n"),
-            Answer::Failed | Answer::Begun(_) => format!("{id}: failed\n"),
+            Answer::Failed | Answer::Streaming(_) => format!("{id}: failed\n"),
         };
         out.extend_from_slice(text.as_bytes());
     }
@@ -100,15 +100,15 @@
     fn idle_state(&self) -> IdleState {
         IdleState::Live
     }
-    async fn ask(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<Scripted>) {
+    async fn send_request(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<Scripted>) {
         let (answer, reply) = oneshot::channel();
         let _ = self.0.send(Asked { call: call.clone(), answer });
-        (reply.await.unwrap_or(Reply::of(Outcome::Reset)), Some(self))
+        (reply.await.unwrap_or(Reply::from_outcome(Outcome::Reset)), Some(self))
     }
 }
 
 fn served(value: impl Into<Bytes>) -> Reply {
-    Reply::served(Made::value(value))
+    Reply::success(OperationResult::value(value))
 }
 
 /// A core with two fronts.
@@ -127,37 +127,37 @@
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":1}}"#;
         let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
-        let (names, entry) = (setup.names.clone(), |id: &str| Entry {
+        let (names, entry) = (setup.names.clone(), |id: &str| ServerEntry {
             id: id.into(),
             addr: (Ipv4Addr::LOCALHOST, 1).into(),
             zone: String::new(),
             kind: String::new(),
             cell: 0,
-            state: State::Serving,
+            state: ServerState::Serving,
             weight: None,
             started_ms: 0.0,
         });
-        let known = List { full: true, servers: vec![entry("s1"), entry("s2")] };
+        let known = ServerList { full: true, servers: vec![entry("s1"), entry("s2")] };
         let (to, asked) = mpsc::unbounded_channel();
         let book = Book::new(Vec::new());
         let violations = book.violations();
         let options = Options {
             setup,
             seed: 1,
-            known,
-            connections: 1000,
-            memory: 8 << 20,
+            initial_list: known,
+            max_connections: 1000,
+            request_memory_bytes: 8 << 20,
             quotas: None,
-            book,
-            version: None,
+            metrics: book,
+            list_version: None,
             learned: None,
-            portion: Portion::default(),
-            steered: None,
-            lists: None,
+            resource_share: ResourceShare::default(),
+            persisted_orders: None,
+            list_updates: None,
         };
         let (driver, Handles { requests, members, .. }) = Driver::new(options, Scripted(to));
         let gauges = driver.gauges();
-        let portion = Portion::default();
+        let portion = ResourceShare::default();
         let bounds =
             Bounds { connections, with_servers: 0, gauges: gauges.clone(), memory: 8 << 20, portion };
         let (bearing, told) = watch::channel(Bearing { accepts: true, says_yes: true, ..Bearing::default() });
@@ -180,7 +180,7 @@
 
     async fn nothing_open(&self) {
         let none = async {
-            while self.gauges.open() > 0 {
+            while self.gauges.open_requests() > 0 {
                 tokio::task::yield_now().await;
             }
         };
@@ -257,7 +257,7 @@
     for _ in 0..5 {
         asked.push(stage.asked().await);
     }
-    assert_eq!(stage.gauges.open(), 5);
+    assert_eq!(stage.gauges.open_requests(), 5);
     drop(lines);
     stage.nothing_open().await;
     for late in asked {
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::{fmt, fs, io};
 
-use lilacquay_core::{Gauges, List, Portion};
+use lilacquay_core::{Gauges, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::Bounds;
 use lilacquay_inherit::{PassedError, number};
@@ -93,7 +93,7 @@
 /// What a reload looks at: where the list of servers comes from, and what changes only with a restart.
 pub struct Sources {
     /// The list, where no source tells it.
-    pub fixed: Option<List>,
+    pub fixed: Option<ServerList>,
     pub discovery: Option<SocketAddr>,
     pub etcd: Option<(Etcd, Settings)>,
     pub memcached: Option<Memcached>,
@@ -405,7 +405,7 @@
             Source::Options(_) | Source::Appliance(_) => {
                 let Config { discovery, etcd, memcached, quota, known, fixed, siblings, .. } =
                     Config::read(source)?;
-                let fixed = fixed.then_some(List { full: true, ..known.list });
+                let fixed = fixed.then_some(ServerList { full: true, ..known.list });
                 let memcached = memcached.map(|(file, _)| file);
                 Ok(Sources { fixed, discovery, etcd, memcached, quota, siblings })
             }
@@ -445,7 +445,7 @@
 
     /// What clients may hold: a third of the descriptors, and more while servers need fewer, with some left
     /// for those to come.
-    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: Portion) -> Bounds {
+    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> Bounds {
         let with_servers = (self.sockets - self.sockets / 8).saturating_sub(self.reserved());
         let memory = self.request_memory();
         Bounds { connections: self.sockets / 3, with_servers, gauges, memory, portion }
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -12,7 +12,7 @@
 
 use bytes::BytesMut;
 use lilacquay_control::SiblingsAsk;
-use lilacquay_core::{Heritage, Learned, List, Orders, Portion, State};
+use lilacquay_core::{CoreHandle, HandoverState, Learned, ResourceShare, ServerList, ServerState};
 use lilacquay_handover::messages::{self, Come, Message};
 use lilacquay_handover::resource_split::{Above, Action, Event, Tie};
 use lilacquay_lifecycle::Bearing;
@@ -63,7 +63,7 @@
 #[derive(Debug, Default)]
 pub struct Received {
     /// The list, and the version from which its source goes on.
-    pub list: Option<(List, Option<u64>)>,
+    pub list: Option<(ServerList, Option<u64>)>,
     /// What was learned.
     pub learned: Option<Learned>,
     /// What it held in common with other nodes: records as text, and how long each lives yet, in microseconds.
@@ -77,7 +77,7 @@
 pub struct Succession {
     place: Place,
     tie: Tie,
-    portion: Portion,
+    portion: ResourceShare,
     /// Held as long as the process lives.
     lock: File,
     elder: Option<Peer>,
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// If the folder can't be used. Then nothing passes, and nobody can be met.
-    pub async fn begin(place: Place, portion: Portion) -> io::Result<(Succession, Received)> {
+    pub async fn begin(place: Place, portion: ResourceShare) -> io::Result<(Succession, Received)> {
         let lock = place.lock()?;
         let (tie, elder, heir, listener) = Default::default();
         let listens_at = Instant::now();
@@ -210,7 +210,7 @@
     /// Keeps the tie for as long as the process runs; ends only with it. `holds` tells what it holds, in thousandths.
     pub async fn keep(
         mut self,
-        orders: Orders,
+        orders: CoreHandle,
         copy: Option<Holder>,
         holds: impl Fn() -> u32 + Send,
         mut bearing: watch::Receiver<Bearing>,
@@ -286,7 +286,7 @@
     }
 
     /// Somebody asks to follow.
-    async fn asked(&mut self, stream: UnixStream, orders: &Orders, copy: Option<&Holder>) {
+    async fn asked(&mut self, stream: UnixStream, orders: &CoreHandle, copy: Option<&Holder>) {
         let Ok(mut peer) = Peer::new(stream) else { return };
         match timeout(ANSWER, peer.hear()).await {
             Ok(Ok(Message::Asks { build, .. })) => {
@@ -311,7 +311,7 @@
         &self,
         heir: &mut Peer,
         actions: &[Action],
-        orders: &Orders,
+        orders: &CoreHandle,
         copy: Option<&Holder>,
     ) -> io::Result<()> {
         let build = env!("CARGO_PKG_VERSION").to_owned();
@@ -321,7 +321,7 @@
                 heir.say(&Message::Grant(*all)).await?;
             }
         }
-        if let Ok(Ok(heritage)) = timeout(ANSWER, orders.hand_over()).await {
+        if let Ok(Ok(heritage)) = timeout(ANSWER, orders.handover_state()).await {
             for (name, version, body) in parts(&heritage) {
                 heir.say(&Message::Part { name: name.into(), version, body }).await?;
             }
@@ -341,7 +341,7 @@
         let taken = match name {
             "list" => messages::part::<Told>(version, LIST, body.clone()).map(|told| {
                 let known = body["version"].as_u64();
-                self.list = Some((List { full: true, ..told.list }, known));
+                self.list = Some((ServerList { full: true, ..told.list }, known));
             }),
             "copy" => messages::part(version, COPY, body).map(|copy| self.copy = copy),
             "learned" => messages::part(version, LEARNED, body).map(|learned| self.learned = Some(learned)),
@@ -353,12 +353,12 @@
     }
 }
 
-fn parts(heritage: &Heritage) -> [(&'static str, u32, Value); 2] {
+fn parts(heritage: &HandoverState) -> [(&'static str, u32, Value); 2] {
     let servers = heritage.list.servers.iter().map(|server| {
         let state = match server.state {
-            State::Serving => "SERVING",
-            State::Draining => "DRAINING",
-            State::Deleted => "DELETED",
+            ServerState::Serving => "SERVING",
+            ServerState::Draining => "DRAINING",
+            ServerState::Deleted => "DELETED",
         };
         json!({
             "id": server.id, "addr": server.addr, "zone": server.zone, "kind": server.kind, "cell": server.cell,
@@ -393,7 +393,7 @@
 }
 
 /// Meets the process before, within a bound on the whole of it; without a folder there is nobody to meet.
-pub async fn begin(place: Option<Place>, portion: &Portion) -> (Option<Succession>, Received) {
+pub async fn begin(place: Option<Place>, portion: &ResourceShare) -> (Option<Succession>, Received) {
     let Some(place) = place else { return Default::default() };
     let began =
         timeout_at(Instant::now() + PATIENCE + ANSWER, Succession::begin(place, portion.clone())).await;
--- a/crates/lilacquay/src/main.rs
+++ b/crates/lilacquay/src/main.rs
@@ -160,7 +160,7 @@
 
 fn runtime() -> Result<Runtime, Failure> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    builder.enable_all().on_thread_unpark(stall::resume);
+    builder.enable_all().on_thread_unpark(stall::record_wakeup);
     builder.build().map_err(Failure::Start)
 }
 
--- a/crates/lilacquay/src/members.rs
+++ b/crates/lilacquay/src/members.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use lilacquay_etcd::Settings;
 use lilacquay_members::etcd::list_cache::Kept;
 use lilacquay_members::etcd::registry::{Listed, Registry, RegistryError};
@@ -71,11 +71,11 @@
                 }
             },
             MembersOrder::Drain { id } => {
-                let revision = connect(&etcd, &settings).await?.set_state(&id, State::Draining).await?;
+                let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Draining).await?;
                 said(&id, "drains", revision)
             }
             MembersOrder::Undrain { id } => {
-                let revision = connect(&etcd, &settings).await?.set_state(&id, State::Serving).await?;
+                let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Serving).await?;
                 said(&id, "serves", revision)
             }
             MembersOrder::Remove { id } => {
@@ -94,15 +94,15 @@
     Ok(writeln!(io::stdout(), "{id} {what}, revision {revision}")?)
 }
 
-fn entry(put: &PutArgs) -> Entry {
+fn entry(put: &PutArgs) -> ServerEntry {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Entry {
+    ServerEntry {
         id: put.id.clone(),
         addr: put.addr,
         zone: put.zone.clone(),
         kind: put.kind.clone(),
         cell: put.cell,
-        state: State::Serving,
+        state: ServerState::Serving,
         weight: put.weight,
         started_ms: if put.cold { now.as_millis() as f64 } else { 0.0 },
     }
@@ -124,7 +124,7 @@
     writeln!(io::stderr(), "lilacquay: {error}; this is the kept list")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let age = now.saturating_sub(Duration::from_micros(kept.as_of)).as_secs();
-    let listed = |(entry, revision): (Entry, i64)| Listed {
+    let listed = |(entry, revision): (ServerEntry, i64)| Listed {
         id: entry.id.clone(),
         entry: Ok(entry),
         revision,
@@ -143,8 +143,8 @@
     writeln!(out, "{:longest$}  {a:<21}  {z:<8}  {k:<10}  {s:<8}  {w:>6}  {t:>13}  {r:>8}  {l:>5}", "ID")?;
     for Listed { id, entry, revision, lease } in listed {
         match entry {
-            Ok(Entry { addr, zone, kind, state, weight, started_ms, .. }) => {
-                let state = if *state == State::Serving { "serving" } else { "draining" };
+            Ok(ServerEntry { addr, zone, kind, state, weight, started_ms, .. }) => {
+                let state = if *state == ServerState::Serving { "serving" } else { "draining" };
                 let (addr, weight) =
                     (addr.to_string(), weight.map_or("-".into(), |weight| weight.to_string()));
                 let lease = if *lease == 0 { "-".into() } else { format!("{lease:x}") };
@@ -161,7 +161,7 @@
 }
 
 /// Holds a server on a lease until this process is told to end.
-async fn hold(etcd: &Etcd, settings: &Settings, entry: &Entry, seconds: i64) -> Done {
+async fn hold(etcd: &Etcd, settings: &Settings, entry: &ServerEntry, seconds: i64) -> Done {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let registry = connect(etcd, settings).await?;
     let mut held = Some((registry.grant(seconds).await?, registry));
@@ -203,7 +203,7 @@
 async fn listed_anew(
     etcd: &Etcd,
     settings: &Settings,
-    entry: &Entry,
+    entry: &ServerEntry,
     seconds: i64,
 ) -> Option<(i64, Registry)> {
     let put = async {
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -7,7 +7,7 @@
 
 use lilacquay_admin::Admin;
 use lilacquay_control::{Command, Control, Folder, Host, Outcome};
-use lilacquay_core::{Driver, Handles, List, Members, Options, Orders, Portion};
+use lilacquay_core::{CoreHandle, Driver, Handles, MembershipHandle, Options, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::Acceptor;
 use lilacquay_fronts::accept_policy::BACKLOG;
@@ -95,7 +95,7 @@
         parts.spawn(Admin::new(second, Desk { keeper, book, prometheus, audit: state.clone() }).run());
     }
     let (connections, memory) = (config.server_connections(), config.request_memory());
-    let portion = Portion::default();
+    let portion = ResourceShare::default();
     let place = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
     let place = place.map(|folder| Place::new(folder, config.listen.port()));
     let (succession, received) = handover::begin(place, &portion).await;
@@ -116,21 +116,21 @@
     let options = Options {
         setup: config.setup.clone(),
         seed: config.seed,
-        known,
-        connections,
-        memory,
+        initial_list: known,
+        max_connections: connections,
+        request_memory_bytes: memory,
         quotas,
-        book,
-        version,
+        metrics: book,
+        list_version: version,
         learned: received.learned,
-        portion: portion.clone(),
-        steered,
-        lists: in_common.then_some(to_lists),
+        resource_share: portion.clone(),
+        persisted_orders: steered,
+        list_updates: in_common.then_some(to_lists),
     };
     let names = config.setup.names.clone();
     let kinds = config.memcached.as_ref().map(|(_, ready)| ready.kinds.clone());
     let servers = Servers::new(kinds.unwrap_or_default());
-    let (driver, Handles { requests, members, orders }) = Driver::new(options, servers);
+    let (driver, Handles { requests, members, core: orders }) = Driver::new(options, servers);
     let gauges = driver.gauges();
     let acceptor = Acceptor::new(requests, config.client_bounds(gauges.clone(), portion), keeper.bearing());
     let mut fronts = Vec::new();
@@ -196,7 +196,7 @@
     let mut told_end = false;
     let ended = loop {
         if let Some(at) = keeper.ends().filter(|_| !told_end) {
-            to_core.end_at(at);
+            to_core.shut_down_at(at);
             told_end = true;
         }
         // Whoever is accepted by then is counted before the acceptor can be seen to be empty.
@@ -222,7 +222,7 @@
         return Err(Failure::Core(what));
     }
     // A process that was held up may come here before the core has given its last answers.
-    to_core.end_at(Instant::now());
+    to_core.shut_down_at(Instant::now());
     let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.emptied()).await; // killed soon after
     Ok(())
 }
@@ -305,9 +305,9 @@
     /// Where another list of nodes is told.
     siblings: Option<watch::Sender<Site>>,
     /// Where other quotas are told, with the names that they are read by.
-    quotas: Option<(Orders, Arc<Names>)>,
+    quotas: Option<(CoreHandle, Arc<Names>)>,
     /// Where the list is told, if the configuration has all of it.
-    fixed: Option<Members>,
+    fixed: Option<MembershipHandle>,
 }
 
 impl Followed {
@@ -315,8 +315,8 @@
     ///
     /// `known`: the version of the list that the core has.
     fn start(
-        members: Members,
-        orders: Orders,
+        members: MembershipHandle,
+        orders: CoreHandle,
         known: Option<u64>,
         config: &Config,
         nodes: watch::Receiver<usize>,
@@ -325,7 +325,7 @@
     ) -> Followed {
         let discovery = config.discovery.map(|at| {
             let (to, address) = watch::channel(at);
-            let members = members.clone().of("discovery");
+            let members = members.clone().with_source("discovery");
             let follow =
                 move || discovery::Watch::new(members.clone(), known, nodes.clone()).run(address.clone());
             (to, parts.spawn(keep("discovery", follow)))
@@ -335,7 +335,7 @@
         let etcd = config.etcd.clone().map(|(etcd, settings)| {
             let (to, followed) = watch::channel(settings.clone());
             let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.keep.clone(), config.seed);
-            let members = members.of("etcd");
+            let members = members.with_source("etcd");
             parts.spawn(keep("etcd", move || {
                 let (members, settings) = (members.clone(), followed.borrow().clone());
                 let (folder, rival) = (folder.clone(), rival.clone());
@@ -366,9 +366,9 @@
         Ok("the configuration is read again: sources of members, boxes of a fixed list, quotas".into())
     }
 
-    fn list_changed(&self, new: Option<List>) {
+    fn list_changed(&self, new: Option<ServerList>) {
         match (&self.fixed, new) {
-            (Some(members), Some(list)) => _ = members.list(list), // nobody goes by it once the core has ended
+            (Some(members), Some(list)) => _ = members.update_list(list), // nobody goes by it once the core has ended
             (None, None) => {}
             _ => warn!("a source of members comes or goes only with a restart; kept as it was"),
         }
@@ -402,7 +402,7 @@
 
     fn quotas_changed(&self, new: Option<Quota>) {
         match (&self.quotas, new) {
-            (Some((orders, names)), Some(new)) => orders.quotas(new.admission(names)),
+            (Some((orders, names)), Some(new)) => orders.set_quotas(new.admission(names)),
             (None, None) => {}
             _ => warn!("quotas come or go only with a restart; kept as they were"),
         }
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -6,7 +6,7 @@
 
 use lilacquay_codec::replica::{Part, Record, Said, Sent, put, read};
 use lilacquay_control::{Command, CommonOrder, CopyNow, HeldBy, KindNow, OrderHeld, PeerCopy, RecordNow};
-use lilacquay_core::{InCommon, ListTold, Micros, Orders, State};
+use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
 use lilacquay_observe::CommonNow;
 use lilacquay_overrides::{Ask, Hold, Kept, Order as Asked};
 use lilacquay_replica::endpoint_reports::{self, Ended, Listed, OwnList};
@@ -124,11 +124,13 @@
 }
 
 /// Goes by a list of the node's own source; tells what it has taken away.
-pub fn list(own: &mut OwnList, told: ListTold) -> Vec<Ended> {
-    let listed = |entry: lilacquay_core::Entry| {
-        let listed =
-            Listed { serves: entry.state == State::Serving, started_ms: entry.started_ms.max(0.0) as u64 };
-        (entry.id, (entry.state != State::Deleted).then_some(listed))
+pub fn list(own: &mut OwnList, told: ListUpdate) -> Vec<Ended> {
+    let listed = |entry: lilacquay_core::ServerEntry| {
+        let listed = Listed {
+            serves: entry.state == ServerState::Serving,
+            started_ms: entry.started_ms.max(0.0) as u64,
+        };
+        (entry.id, (entry.state != ServerState::Deleted).then_some(listed))
     };
     own.told(told.list.full, told.version, told.list.servers.into_iter().map(listed))
 }
@@ -148,7 +150,7 @@
     replica: Replica,
     setup: Setup,
     kinds: Kinds,
-    core: Orders,
+    core: CoreHandle,
     commands: mpsc::Sender<Command>,
     waiting: Vec<Waiting>,
     here: usize,
@@ -170,7 +172,7 @@
         setup: Setup,
         kinds: Kinds,
         now: Micros,
-        core: Orders,
+        core: CoreHandle,
         commands: mpsc::Sender<Command>,
     ) -> Common {
         Common {
@@ -244,7 +246,7 @@
             self.seen = None;
         }
         if now >= self.seen_at + SEEN {
-            (self.seen, self.seen_at) = (Some(self.core.sights()), now);
+            (self.seen, self.seen_at) = (Some(self.core.observed_slowness()), now);
         }
     }
 
@@ -362,7 +364,7 @@
             left_out: self.left_out.len(),
         };
         if self.told != Some(seen) {
-            self.core.in_common(InCommon::Seen(seen));
+            self.core.apply_replicated(ReplicatedUpdate::Statistics(seen));
             self.told = Some(seen);
         }
     }
@@ -389,7 +391,7 @@
         }
         self.conflicts = conflicts;
         let whole = matches!(self.replica.stage(), Stage::Level(_));
-        self.core.in_common(InCommon::Orders { whole, orders });
+        self.core.apply_replicated(ReplicatedUpdate::Orders { complete: whole, orders });
         if let Some(number) = level.filter(|_| level != self.level) {
             self.level = level;
             let name = LEVELS[usize::from(number).min(LEVELS.len() - 1)];
@@ -406,7 +408,7 @@
         for server in left_out.difference(&self.left_out) {
             info!(server, "common: other nodes' lists say that it drains or is gone; it is left out here");
         }
-        self.core.in_common(InCommon::Hearsay(left_out.clone()));
+        self.core.apply_replicated(ReplicatedUpdate::RemovedByPeers(left_out.clone()));
         self.left_out = left_out;
     }
 
@@ -414,7 +416,7 @@
     fn tell_evidence(&mut self, now: Micros) {
         let believed = evidence::believed(&self.replica, self.setup.me as u16);
         if !believed.is_empty() || !self.believed.is_empty() {
-            self.core.in_common(InCommon::Believed(believed.clone()));
+            self.core.apply_replicated(ReplicatedUpdate::PeerSlowness(believed.clone()));
         }
         (self.believed, self.believed_at) = (believed, now);
     }
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -10,7 +10,7 @@
 use lilacquay_codec::replica;
 use lilacquay_codec::siblings::{LONGEST, site};
 use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
-use lilacquay_core::{Clock, Fellows, ListTold, Micros, Orders};
+use lilacquay_core::{Clock, CoreHandle, ListUpdate, Micros, PeerStatus};
 use lilacquay_lifecycle::State as Life;
 use lilacquay_replica::endpoint_reports::OwnList;
 use lilacquay_siblings::{Change, Fellow, Out, Setup, Siblings, State, Terms, Why};
@@ -121,7 +121,7 @@
 /// What a node tells its siblings' task, and is told by it.
 pub struct Ties {
     /// Who goes by the part and the numbers.
-    pub orders: Orders,
+    pub orders: CoreHandle,
     /// Who goes by the number of nodes that may be using something.
     pub nodes: watch::Sender<usize>,
     pub keeper: Keeper,
@@ -130,7 +130,7 @@
     pub site: watch::Receiver<Site>,
     pub seed: u64,
     /// The lists that the node's own source tells.
-    pub lists: mpsc::UnboundedReceiver<ListTold>,
+    pub lists: mpsc::UnboundedReceiver<ListUpdate>,
     /// Who carries out orders on the node itself.
     pub commands: mpsc::Sender<Command>,
     /// What is held in common from before: over a restart, another list of nodes, a hand-over.
@@ -167,7 +167,7 @@
     siblings: Siblings,
     /// Datagrams from addresses that are no node's.
     unlisted: u64,
-    told: Option<Fellows>,
+    told: Option<PeerStatus>,
     /// What is held in common, if anything is.
     common: Option<Common>,
     /// Whether enough of the others confirmed this node at the last look.
@@ -342,21 +342,21 @@
         let now = self.clock.now();
         let part = self.siblings.part(now);
         let left = Duration::from_micros(part.until.saturating_sub(now)).min(LONG);
-        let fellows = Fellows {
-            thousandths: part.at(now),
-            until: Instant::now() + left,
-            numbers: self.siblings.numbers(),
+        let fellows = PeerStatus {
+            share_thousandths: part.at(now),
+            valid_until: Instant::now() + left,
+            peer_counts: self.siblings.numbers(),
         };
-        let renewed = |told: &Fellows| {
-            (told.thousandths, told.numbers) == (fellows.thousandths, fellows.numbers)
-                && fellows.until < told.until + Duration::from_millis(100)
+        let renewed = |told: &PeerStatus| {
+            (told.share_thousandths, told.peer_counts) == (fellows.share_thousandths, fellows.peer_counts)
+                && fellows.valid_until < told.valid_until + Duration::from_millis(100)
         };
         if !self.told.as_ref().is_some_and(renewed) {
             self.told = Some(fellows);
-            ties.orders.fellows(fellows);
+            ties.orders.set_peer_status(fellows);
             ties.nodes.send_if_modified(|nodes| {
-                let changed = *nodes != fellows.nodes();
-                *nodes = fellows.nodes();
+                let changed = *nodes != fellows.node_count();
+                *nodes = fellows.node_count();
                 changed
             });
         }
--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -9,7 +9,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lilacquay_core::{Entry, List, Members, State};
+use lilacquay_core::{MembershipHandle, ServerEntry, ServerList, ServerState};
 use lilacquay_stream::Stream;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -44,7 +44,7 @@
     /// A watch goes on from here.
     pub version: u64,
     /// What it tells.
-    pub list: List,
+    pub list: ServerList,
     /// Entries that can't be read.
     pub skipped: usize,
 }
@@ -97,30 +97,30 @@
     fn from(told: Whole) -> Told {
         let listed = told.servers.len();
         let readable = told.servers.into_iter().filter_map(|one| match one {
-            Listed::Server(server) => Some(Entry::from(server)),
+            Listed::Server(server) => Some(ServerEntry::from(server)),
             Listed::Unreadable(_) => None,
         });
-        let servers: Vec<Entry> = readable.collect();
+        let servers: Vec<ServerEntry> = readable.collect();
         let skipped = listed - servers.len();
-        Told { version: told.version, list: List { full: told.full, servers }, skipped }
+        Told { version: told.version, list: ServerList { full: told.full, servers }, skipped }
     }
 }
 
-impl From<Server> for Entry {
-    fn from(server: Server) -> Entry {
+impl From<Server> for ServerEntry {
+    fn from(server: Server) -> ServerEntry {
         let Server { id, addr, zone, kind, cell, state, weight, started_ms } = server;
         let state = match state {
-            Word::Serving => State::Serving,
-            Word::Draining => State::Draining,
-            Word::Deleted => State::Deleted,
+            Word::Serving => ServerState::Serving,
+            Word::Draining => ServerState::Draining,
+            Word::Deleted => ServerState::Deleted,
         };
-        Entry { id, addr, zone, kind, cell, state, weight, started_ms }
+        ServerEntry { id, addr, zone, kind, cell, state, weight, started_ms }
     }
 }
 
 /// Follows the list.
 pub struct Watch {
-    to: Members,
+    to: MembershipHandle,
     after: u64,
     connection: Option<Client>,
     /// How many nodes ask the same service, and whether it is one that is asked at all.
@@ -145,8 +145,8 @@
 
 impl Watch {
     /// A watch of one of so many nodes, which may change, that knows a list of this version, if it knows one.
-    pub fn new(to: Members, after: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
-        let held = to.asked().is_some();
+    pub fn new(to: MembershipHandle, after: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
+        let held = to.subscribe_signal().is_some();
         let whole = after.is_none();
         let (asked, after) = (held, after.unwrap_or(0));
         Watch { to, after, nodes, asked, connection: None, whole, held, complained: false }
@@ -171,8 +171,8 @@
                 told = self.call(at) => told,
             };
             let heard = match told {
-                Some(list) => self.to.list_at(list, self.after),
-                None => self.to.failed(),
+                Some(list) => self.to.update_list_at_version(list, self.after),
+                None => self.to.report_failure(),
             };
             if !heard {
                 return;
@@ -181,8 +181,8 @@
     }
 
     /// The next call, when it is due; nothing if it failed. Cancelled, it leaves nothing open.
-    async fn call(&mut self, at: SocketAddr) -> Option<List> {
-        match self.to.asked() {
+    async fn call(&mut self, at: SocketAddr) -> Option<ServerList> {
+        match self.to.subscribe_signal() {
             Some(asked) if self.held => asked.notified().await,
             None if self.held => sleep(PAUSE).await,
             _ => {}
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use lilacquay_core::{Entry, List, Micros, State};
+use lilacquay_core::{Micros, ServerEntry, ServerList, ServerState};
 use lilacquay_etcd::api::event::EventType;
 use lilacquay_etcd::api::{
     self, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchCreateRequest, WatchResponse,
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     /// What to tell.
-    pub list: List,
+    pub list: ServerList,
     /// The revision that the list has with it.
     pub revision: i64,
     /// How many histories came before this one: one more for each store that went backwards.
@@ -186,7 +186,7 @@
     /// The revision in which it changed last.
     revision: i64,
     /// Nothing if it could never be read.
-    entry: Option<Entry>,
+    entry: Option<ServerEntry>,
     /// Why its newest value can't be read.
     malformed: Option<String>,
 }
@@ -254,7 +254,7 @@
     /// Whether the core has a list.
     told: bool,
     /// The servers of which the core does not know the newest yet, each as it knows it.
-    untold: BTreeMap<String, Option<Entry>>,
+    untold: BTreeMap<String, Option<ServerEntry>>,
     told_at: Micros,
     phase: Phase,
     call: u64,
@@ -568,7 +568,7 @@
         self.untold.clear();
         let items = self.held.iter().flat_map(|held| held.items.values());
         let servers = items.filter_map(|item| item.entry.clone()).collect();
-        self.push_change(List { full: true, servers }, out);
+        self.push_change(ServerList { full: true, servers }, out);
     }
 
     /// Tells what the core does not know, as one change.
@@ -579,16 +579,16 @@
             std::mem::take(&mut self.untold).into_iter().filter_map(|(id, known)| match now_as(&id) {
                 entry if entry == known => None,
                 Some(entry) => Some(entry),
-                None => known.map(|known| Entry { state: State::Deleted, ..known }),
+                None => known.map(|known| ServerEntry { state: ServerState::Deleted, ..known }),
             });
-        let servers: Vec<Entry> = changed.collect();
+        let servers: Vec<ServerEntry> = changed.collect();
         if !servers.is_empty() {
             self.told_at = now;
-            self.push_change(List { full: false, servers }, out);
+            self.push_change(ServerList { full: false, servers }, out);
         }
     }
 
-    fn push_change(&self, list: List, out: &mut Vec<Action>) {
+    fn push_change(&self, list: ServerList, out: &mut Vec<Action>) {
         let revision = self.held.as_ref().map_or(0, |held| held.revision);
         out.push(Action::Tell(Change { list, revision, history: self.history }));
     }
@@ -798,7 +798,7 @@
 impl From<Kept> for Held {
     fn from(kept: Kept) -> Self {
         let Kept { cluster, revision, as_of, servers, .. } = kept;
-        let item = |(entry, revision): (Entry, i64)| {
+        let item = |(entry, revision): (ServerEntry, i64)| {
             (entry.id.clone(), Item { revision, entry: Some(entry), malformed: None })
         };
         Held { cluster, revision, as_of, items: servers.into_iter().map(item).collect() }
@@ -807,10 +807,10 @@
 
 /// Notes that the core does not know a server's newest entry, with the entry that it knows.
 fn note_untold(
-    untold: &mut BTreeMap<String, Option<Entry>>,
+    untold: &mut BTreeMap<String, Option<ServerEntry>>,
     id: &str,
     old: Option<Item>,
-    new: Option<&Entry>,
+    new: Option<&ServerEntry>,
 ) {
     let old = old.and_then(|old| old.entry);
     if old.as_ref() != new && !untold.contains_key(id) {
--- a/crates/members/src/etcd/follower_tests.rs
+++ b/crates/members/src/etcd/follower_tests.rs
@@ -103,7 +103,7 @@
                 Action::Close => {}
                 Action::Tell(Change { list, revision, .. }) => {
                     let words =
-                        |entry: &Entry| format!("{} {} {:?}", entry.id, entry.addr.port(), entry.state);
+                        |entry: &ServerEntry| format!("{} {} {:?}", entry.id, entry.addr.port(), entry.state);
                     let mut words: Vec<_> = list.servers.iter().map(words).collect();
                     words.extend(list.full.then(|| "whole".to_owned()));
                     self.lists.push((revision, words));
--- a/crates/members/src/etcd/layout.rs
+++ b/crates/members/src/etcd/layout.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use serde::{Deserialize, Serialize};
 
 /// The longest id, in bytes.
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// What is wrong with it, by field.
-pub fn entry(id: &str, bytes: &[u8]) -> Result<Entry, Malformed> {
+pub fn entry(id: &str, bytes: &[u8]) -> Result<ServerEntry, Malformed> {
     if bytes.len() > LONGEST_VALUE {
         return Err(Malformed(format!("the value has {} bytes; {LONGEST_VALUE} are the most", bytes.len())));
     }
@@ -95,19 +95,19 @@
         return Err(Malformed("started_ms: must be Unix time in milliseconds, or 0".into()));
     }
     let state = match state {
-        Word::Serving => State::Serving,
-        Word::Draining => State::Draining,
+        Word::Serving => ServerState::Serving,
+        Word::Draining => ServerState::Draining,
     };
-    Ok(Entry { id: id.to_owned(), addr, zone, kind, cell, state, weight, started_ms })
+    Ok(ServerEntry { id: id.to_owned(), addr, zone, kind, cell, state, weight, started_ms })
 }
 
 /// Writes a value. A server that is gone has none; it is written as draining.
-pub fn value(entry: &Entry) -> Vec<u8> {
-    let Entry { addr, cell, weight, started_ms, .. } = *entry;
+pub fn value(entry: &ServerEntry) -> Vec<u8> {
+    let ServerEntry { addr, cell, weight, started_ms, .. } = *entry;
     let (zone, kind) = (entry.zone.clone(), entry.kind.clone());
     let state = match entry.state {
-        State::Serving => Word::Serving,
-        State::Draining | State::Deleted => Word::Draining,
+        ServerState::Serving => Word::Serving,
+        ServerState::Draining | ServerState::Deleted => Word::Draining,
     };
     let value = Value { addr, zone, kind, cell, state, weight, started_ms };
     serde_json::to_vec(&value).expect("numbers and texts are JSON")
@@ -122,10 +122,10 @@
     #[test]
     fn a_value_read_and_written_is_the_same() {
         let read = entry("box-1", GOOD.as_bytes()).unwrap();
-        assert_eq!((read.state, read.weight, read.cell), (State::Draining, Some(2.0), 3));
+        assert_eq!((read.state, read.weight, read.cell), (ServerState::Draining, Some(2.0), 3));
         assert_eq!(entry("box-1", &value(&read)).unwrap(), read);
         let short = entry("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
-        assert_eq!((short.state, short.weight, short.started_ms), (State::Serving, None, 0.0));
+        assert_eq!((short.state, short.weight, short.started_ms), (ServerState::Serving, None, 0.0));
         assert_eq!(entry("b", &value(&short)).unwrap(), short);
     }
 
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-use lilacquay_core::{Entry, Micros};
+use lilacquay_core::{Micros, ServerEntry};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
@@ -30,7 +30,7 @@
     /// When it was last known to be the newest, Unix time.
     pub as_of: Micros,
     /// The servers, each with the revision in which it changed last.
-    pub servers: Vec<(Entry, i64)>,
+    pub servers: Vec<(ServerEntry, i64)>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     }
 
     fn body(&self) -> Vec<u8> {
-        let line = |(entry, revision): &(Entry, i64)| {
+        let line = |(entry, revision): &(ServerEntry, i64)| {
             let value = String::from_utf8(layout::value(entry)).expect("JSON is UTF-8");
             let value = RawValue::from_string(value).expect("it is JSON");
             Line { id: entry.id.clone(), revision: *revision, value }
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use lilacquay_etcd::api::compare::{CompareResult, CompareTarget, TargetUnion};
 use lilacquay_etcd::api::request_op::Request;
 use lilacquay_etcd::api::{
@@ -66,7 +66,7 @@
     /// Its id.
     pub id: String,
     /// What its value says.
-    pub entry: Result<Entry, Malformed>,
+    pub entry: Result<ServerEntry, Malformed>,
     /// The revision in which it changed last.
     pub revision: i64,
     /// Its lease; 0 for none.
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// If the id or the entry is one that nodes would not read, and as the call's.
-    pub async fn put(&self, entry: &Entry, lease: i64) -> Result<i64, RegistryError> {
+    pub async fn put(&self, entry: &ServerEntry, lease: i64) -> Result<i64, RegistryError> {
         let (key, value) = (self.key(&entry.id)?, layout::value(entry));
         layout::entry(&entry.id, &value).map_err(|why| RegistryError::Malformed(entry.id.clone(), why))?;
         let told = in_time(self.client.put(PutRequest { key, value, lease, ignore_lease: false })).await?;
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// If it is not listed or can't be read, if others change it at the same time, and as the calls'.
-    pub async fn set_state(&self, id: &str, state: State) -> Result<i64, RegistryError> {
+    pub async fn set_state(&self, id: &str, state: ServerState) -> Result<i64, RegistryError> {
         let key = self.key(id)?;
         for _ in 0..TRIES {
             let (limit, revision, range_end) = (1, 0, Vec::new());
@@ -170,7 +170,7 @@
             let kv = found.ok_or_else(|| RegistryError::Unlisted(id.to_owned()))?;
             let entry = layout::entry(id, &kv.value);
             let entry = entry.map_err(|why| RegistryError::Malformed(id.to_owned(), why))?;
-            let value = layout::value(&Entry { state, ..entry });
+            let value = layout::value(&ServerEntry { state, ..entry });
             // Guards against: a change that another made between the reading and the writing.
             let unchanged = Compare {
                 result: CompareResult::Equal.into(),
--- a/crates/members/src/etcd/source.rs
+++ b/crates/members/src/etcd/source.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use lilacquay_core::{Clock, Members};
+use lilacquay_core::{Clock, MembershipHandle};
 use lilacquay_etcd::api::{RangeRequest, WatchCreateRequest};
 use lilacquay_etcd::{Asker, Client, Error, Settings};
 use tokio::sync::{mpsc, watch};
@@ -21,7 +21,7 @@
 
 /// Follows the list and tells it to the core.
 pub struct Source {
-    members: Members,
+    members: MembershipHandle,
     follower: Follower,
     settings: Settings,
     clock: Clock,
@@ -46,7 +46,7 @@
     /// A source by these settings. With a folder, the list is kept there, and what is kept there serves until the
     /// store has been heard. The first list ends the rival, if there is one.
     pub fn new(
-        members: Members,
+        members: MembershipHandle,
         settings: Settings,
         prefix: &str,
         seed: u64,
@@ -122,7 +122,7 @@
                     rival.abort();
                     info!(source = "etcd", "etcd goes before discovery from here on");
                 }
-                return self.members.list(change.list);
+                return self.members.update_list(change.list);
             }
             Action::Keep => self.keep(),
             Action::Note(note) => self.note(&note),
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lilacquay_core::{Entry, Micros, State};
+use lilacquay_core::{Micros, ServerEntry, ServerState};
 use lilacquay_etcd::Fault;
 use lilacquay_etcd::api::{WatchCreateRequest, WatchResponse};
 use lilacquay_fleet::etcd::Store;
@@ -66,7 +66,7 @@
     Options { prefix: PREFIX.into(), endpoints, seed, pace, keeps: true }
 }
 
-fn text(entry: &Entry) -> String {
+fn text(entry: &ServerEntry) -> String {
     format!("{} {:?}", entry.addr, entry.state)
 }
 
@@ -377,7 +377,7 @@
         }
         for entry in change.list.servers {
             match entry.state {
-                State::Deleted => {
+                ServerState::Deleted => {
                     assert!(self.core.remove(&entry.id).is_some(), "{} was not there", entry.id)
                 }
                 _ => drop(self.core.insert(entry.id.clone(), text(&entry))),
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -43,7 +43,7 @@
     type Connection = Link;
 
     /// A cache that speaks memcached knows no idempotency keys.
-    fn discards_repeats(&self, kind: &str) -> bool {
+    fn deduplicates_writes(&self, kind: &str) -> bool {
         !self.memcached.contains(kind)
     }
 
@@ -70,18 +70,18 @@
         }
     }
 
-    async fn ask(self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Link>) {
+    async fn send_request(self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Link>) {
         match self {
             Link::Cache(cache) => {
-                let (reply, cache) = cache.ask(call, target, deadline).await;
+                let (reply, cache) = cache.send_request(call, target, deadline).await;
                 (reply, cache.map(Link::Cache))
             }
             Link::Memcache(cache) => {
-                let (reply, cache) = cache.ask(call, target, deadline).await;
+                let (reply, cache) = cache.send_request(call, target, deadline).await;
                 (reply, cache.map(Link::Memcache))
             }
             Link::Origin(origin) => {
-                let (reply, origin) = origin.ask(call, target, deadline).await;
+                let (reply, origin) = origin.send_request(call, target, deadline).await;
                 (reply, origin.map(Link::Origin))
             }
         }
@@ -94,6 +94,6 @@
     match stream.try_peek() {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Live,
         Err(_) | Ok(0) => IdleState::Closed,
-        Ok(_) => IdleState::Unasked,
+        Ok(_) => IdleState::UnsolicitedData,
     }
 }
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -12,7 +12,8 @@
     HEADER, Head, KEY_LIMIT, Opcode, Packet, Status, next_response, response_head,
 };
 use lilacquay_core::{
-    Call, Connection, FLOW_LIMIT, IdleState, Made, Outcome, Reply, Target, Terms, VALUE_LIMIT, Verb,
+    Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
+    Outcome, Reply, StoreOptions, Target, Verb,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -20,7 +21,7 @@
 use crate::pass::{pass, read};
 
 /// The longest body of an answer: a value, its flags, and some room for a key, which none should bring.
-const LONGEST: usize = VALUE_LIMIT + 512;
+const LONGEST: usize = MAX_BUFFERED_VALUE_BYTES + 512;
 /// What stands before a read's value: its flags.
 const FLAGS: usize = 4;
 /// The least room of a request's buffer, which takes the answer later: most come whole in one read.
@@ -48,18 +49,23 @@
         idle_state(&self.stream)
     }
 
-    async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
+    async fn send_request(
+        mut self,
+        call: &Call,
+        target: &Target,
+        deadline: Instant,
+    ) -> (Reply, Option<Self>) {
         // Nothing is sent of a key that the protocol can't carry.
         if call.key.len() > KEY_LIMIT {
-            return (Reply::of(Outcome::Ignored), Some(self));
+            return (Reply::from_outcome(Outcome::Ignored), Some(self));
         }
         self.opaque = self.opaque.wrapping_add(1);
         let mut buffer = request(call, self.opaque);
         // Broken before the last byte was written: it never ran. After that it may have.
         if self.stream.write_all(&buffer).await.is_err() {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::from_outcome(Outcome::ConnectError), None);
         }
-        target.written(None); // the protocol has no word for the time that is left
+        target.request_written(None); // the protocol has no word for the time that is left
         buffer.clear();
         loop {
             if let Some(head) = response_head(&buffer).filter(|head| self.is_large(call.verb, head)) {
@@ -70,13 +76,13 @@
                     let ours = answer.opaque == self.opaque && answer.opcode == opcode(call.verb) as u8;
                     let reply = if ours { reply(call.verb, &answer) } else { Err(Unusable) };
                     let usable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), usable.then_some(self));
+                    return (reply.unwrap_or(Reply::from_outcome(Outcome::Failed)), usable.then_some(self));
                 }
                 Ok(None) => {}
-                Err(_) => return (Reply::of(Outcome::Failed), None),
+                Err(_) => return (Reply::from_outcome(Outcome::Failed), None),
             }
             match self.stream.read_buf(&mut buffer).await {
-                Ok(0) | Err(_) => return (Reply::of(Outcome::Reset), None),
+                Ok(0) | Err(_) => return (Reply::from_outcome(Outcome::Reset), None),
                 Ok(_) => {}
             }
         }
@@ -88,7 +94,9 @@
     fn is_large(&self, verb: Verb, head: &Head) -> bool {
         let ours = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
         let value = ours && head.status == Status::OK && head.extras == FLAGS && head.key == 0;
-        verb == Verb::Get && value && (VALUE_LIMIT + 1..=FLOW_LIMIT).contains(&head.value)
+        verb == Verb::Get
+            && value
+            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value)
     }
 
     /// Passes a large value on.
@@ -101,15 +109,18 @@
     ) -> (Reply, Option<Self>) {
         while come.len() < HEADER + FLAGS {
             if !matches!(read(deadline, self.stream.read_buf(&mut come)).await, Ok(1..)) {
-                return (Reply::of(Outcome::Reset), None);
+                return (Reply::from_outcome(Outcome::Reset), None);
             }
         }
         come.advance(HEADER);
         let flags = come.get_u32();
-        let mut feeder = target.begin(head.value, flags);
+        let mut feeder = target.begin_stream(head.value, flags);
         match pass(&mut self.stream, &mut come, &mut feeder, deadline).await {
-            Err(broken) => (Reply::of(broken.outcome()), None),
-            Ok(()) => (Reply { hit: Some(true), ..Reply::of(Outcome::Ok) }, come.is_empty().then_some(self)),
+            Err(broken) => (Reply::from_outcome(broken.outcome()), None),
+            Ok(()) => (
+                Reply { cache_hit: Some(true), ..Reply::from_outcome(Outcome::Ok) },
+                come.is_empty().then_some(self),
+            ),
         }
     }
 }
@@ -127,7 +138,7 @@
 fn request(call: &Call, opaque: u32) -> BytesMut {
     let mut extras = BytesMut::new();
     if matches!(call.verb, Verb::Set | Verb::Add | Verb::Replace) {
-        let Terms { flags, expiry } = call.terms;
+        let StoreOptions { flags, expiry } = call.store_options;
         extras.put_u32(flags);
         extras.put_u32(expiry);
     }
@@ -144,32 +155,35 @@
 /// What an answer to this request means. The connection stays: it was a whole answer.
 fn reply(verb: Verb, answer: &Packet) -> Result<Reply, Unusable> {
     let absent = match verb {
-        Verb::Get => Reply { hit: Some(false), ..Reply::of(Outcome::Miss) },
-        _ => Reply::served(Made::Absent),
+        Verb::Get => Reply { cache_hit: Some(false), ..Reply::from_outcome(Outcome::Miss) },
+        _ => Reply::success(OperationResult::Absent),
     };
     Ok(match Status(answer.status) {
         Status::OK if verb == Verb::Get => {
             // Guards against: a spoilt answer, served. A value has its flags and no more than a value may hold.
             let flags = <[u8; 4]>::try_from(&answer.extras[..]).map_err(|_| Unusable)?;
-            if answer.value.len() > VALUE_LIMIT || !answer.key.is_empty() {
+            if answer.value.len() > MAX_BUFFERED_VALUE_BYTES || !answer.key.is_empty() {
                 return Err(Unusable);
             }
-            let made = Made::Value { bytes: answer.value.clone(), flags: u32::from_be_bytes(flags) };
-            Reply { hit: Some(true), ..Reply::served(made) }
+            let made =
+                OperationResult::Value { bytes: answer.value.clone(), flags: u32::from_be_bytes(flags) };
+            Reply { cache_hit: Some(true), ..Reply::success(made) }
         }
         Status::OK if answer.extras.is_empty() && answer.key.is_empty() && answer.value.is_empty() => {
-            Reply::served(Made::value(Bytes::new()))
+            Reply::success(OperationResult::value(Bytes::new()))
         }
         Status::OK => return Err(Unusable),
         Status::KEY_NOT_FOUND if verb != Verb::Set && verb != Verb::Add => absent,
-        Status::KEY_EXISTS | Status::ITEM_NOT_STORED if verb == Verb::Add => Reply::served(Made::Exists),
-        Status::ITEM_NOT_STORED if verb == Verb::Replace => Reply::served(Made::Absent),
+        Status::KEY_EXISTS | Status::ITEM_NOT_STORED if verb == Verb::Add => {
+            Reply::success(OperationResult::Exists)
+        }
+        Status::ITEM_NOT_STORED if verb == Verb::Replace => Reply::success(OperationResult::Absent),
         // Turned away before it was begun.
-        Status::BUSY | Status::TEMPORARY_FAILURE => Reply::of(Outcome::QueueFull),
+        Status::BUSY | Status::TEMPORARY_FAILURE => Reply::from_outcome(Outcome::QueueFull),
         // A read had no memory for its answer, and changed nothing.
-        Status::OUT_OF_MEMORY if verb == Verb::Get => Reply::of(Outcome::QueueFull),
+        Status::OUT_OF_MEMORY if verb == Verb::Get => Reply::from_outcome(Outcome::QueueFull),
         // All others, known or not, may come from one that has run: out of memory of a write drops the old value.
-        _ => Reply::of(Outcome::Failed),
+        _ => Reply::from_outcome(Outcome::Failed),
     })
 }
 
@@ -178,8 +192,8 @@
     use super::*;
 
     /// What a status means to each verb; nothing where its connection can't be relied on.
-    fn outcome(verb: Verb, answer: &Packet) -> Option<(Outcome, Made)> {
-        reply(verb, answer).ok().map(|reply| (reply.outcome, reply.made))
+    fn outcome(verb: Verb, answer: &Packet) -> Option<(Outcome, OperationResult)> {
+        reply(verb, answer).ok().map(|reply| (reply.outcome, reply.result))
     }
 
     fn plain(status: Status) -> Packet {
@@ -189,17 +203,17 @@
     #[test]
     fn each_status_has_its_outcome_by_the_table() {
         use Verb::*;
-        let empty = || Made::value(Bytes::new());
+        let empty = || OperationResult::value(Bytes::new());
         let told = |verb: Verb, status: Status| outcome(verb, &plain(status)).unwrap();
         for verb in [Set, Add, Replace, Delete] {
             assert_eq!(told(verb, Status::OK), (Outcome::Ok, empty()));
         }
         assert_eq!(told(Get, Status::KEY_NOT_FOUND).0, Outcome::Miss);
-        assert_eq!(told(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(told(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(told(Add, Status::KEY_EXISTS), (Outcome::Ok, Made::Exists));
-        assert_eq!(told(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Exists));
-        assert_eq!(told(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Absent));
+        assert_eq!(told(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, OperationResult::Absent));
+        assert_eq!(told(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, OperationResult::Absent));
+        assert_eq!(told(Add, Status::KEY_EXISTS), (Outcome::Ok, OperationResult::Exists));
+        assert_eq!(told(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, OperationResult::Exists));
+        assert_eq!(told(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, OperationResult::Absent));
         assert_eq!(told(Get, Status::OUT_OF_MEMORY).0, Outcome::QueueFull);
         for verb in [Get, Set, Add, Replace, Delete] {
             for status in [Status::BUSY, Status::TEMPORARY_FAILURE] {
@@ -236,9 +250,9 @@
     fn a_good_answer_of_another_shape_is_none() {
         let flags = Bytes::from_static(&[0, 0, 0, 9]);
         let good = Packet { extras: flags, value: "v".into(), ..plain(Status::OK) };
-        let made = Made::Value { bytes: "v".into(), flags: 9 };
+        let made = OperationResult::Value { bytes: "v".into(), flags: 9 };
         assert_eq!(outcome(Verb::Get, &good), Some((Outcome::Ok, made)));
-        let long = Bytes::from(vec![0; VALUE_LIMIT + 1]);
+        let long = Bytes::from(vec![0; MAX_BUFFERED_VALUE_BYTES + 1]);
         let bad = [
             Packet { extras: Bytes::new(), ..good.clone() },
             Packet { key: "k".into(), ..good.clone() },
--- a/crates/upstreams/src/pass.rs
+++ b/crates/upstreams/src/pass.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use bytes::{Bytes, BytesMut};
-use lilacquay_core::time_left::value_given_up_at;
-use lilacquay_core::{Feeder, Outcome, Room, Unwanted};
+use lilacquay_core::time_left::value_read_deadline;
+use lilacquay_core::{BufferReservation, Outcome, ReceiverClosed, ValueSender};
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::{Instant, timeout_at};
 
@@ -17,8 +17,8 @@
     Unwanted,
 }
 
-impl From<Unwanted> for Broken {
-    fn from(Unwanted: Unwanted) -> Self {
+impl From<ReceiverClosed> for Broken {
+    fn from(ReceiverClosed: ReceiverClosed) -> Self {
         Broken::Unwanted
     }
 }
@@ -38,11 +38,11 @@
 pub(crate) async fn pass(
     stream: &mut (impl AsyncRead + Unpin),
     come: &mut BytesMut,
-    feeder: &mut Feeder,
+    feeder: &mut ValueSender,
     deadline: Instant,
 ) -> Result<(), Broken> {
-    while feeder.left() > 0 {
-        let room = feeder.room().await?;
+    while feeder.remaining() > 0 {
+        let room = feeder.reserve().await?;
         if come.is_empty() {
             // A buffer of its own for each piece, which ends with the piece. Capacity is what is granted.
             let mut piece = BytesMut::with_capacity(room.bytes());
@@ -57,8 +57,8 @@
     Ok(())
 }
 
-fn feed(come: &mut BytesMut, feeder: &mut Feeder, room: Room) -> Result<(), Broken> {
-    let bytes = come.len().min(feeder.left()).min(room.bytes());
+fn feed(come: &mut BytesMut, feeder: &mut ValueSender, room: BufferReservation) -> Result<(), Broken> {
+    let bytes = come.len().min(feeder.remaining()).min(room.bytes());
     let piece = come.split_to(bytes);
     // Guards against: some bytes that hold on to the whole of a buffer which they came in.
     let piece = match piece.capacity() > 2 * bytes {
@@ -68,7 +68,7 @@
     if come.is_empty() {
         *come = BytesMut::new();
     }
-    Ok(feeder.feed(piece, room)?)
+    Ok(feeder.send(piece, room)?)
 }
 
 /// Waits for bytes of a value whose client's time is up at the deadline.
@@ -76,7 +76,7 @@
     deadline: Instant,
     read: impl Future<Output = io::Result<T>>,
 ) -> Result<T, Broken> {
-    match timeout_at(value_given_up_at(Instant::now(), deadline), read).await {
+    match timeout_at(value_read_deadline(Instant::now(), deadline), read).await {
         Ok(Ok(read)) => Ok(read),
         Ok(Err(_)) | Err(_) => Err(Broken::Server),
     }
