--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Quotas before the decision module: whose share a call is of, and what is told of its end.
+//! Applies quotas to calls before the balancer sees them: maps each call to its share and reports its end.
 
 use std::collections::HashMap;
 
@@ -8,42 +8,47 @@
 
 use crate::call::Call;
 
-/// Shares beyond these are not told: what is asked while requests wait must stay short.
-const MOST_SHARES: usize = 200;
+/// Bounds the number of shares that a snapshot reports, because requests wait while it is taken.
+const MAX_REPORTED_SHARES: usize = 200;
 
-/// What quotas there are, and how calls are counted in them.
+/// The quotas, and the mapping of calls to their shares and lanes.
 pub struct Admission {
     quota: Quota,
-    /// The share of each tenant, by its index in the settings.
+    /// The share index of each tenant, keyed by the tenant's index in the settings.
     tenants: HashMap<usize, usize>,
-    /// The share of all other calls, of made-up tenants too: one for all, so that names can't grow it.
-    others: usize,
-    /// The lane of each class, by its index in the settings; calls of other classes are not counted.
+    /// The share of all other calls. Unknown tenants use it too, so that arbitrary tenant names cannot grow the
+    /// number of shares.
+    default_share: usize,
+    /// The lane of each class, keyed by the class's index in the settings. Calls of other classes are not subject to
+    /// quotas.
     lanes: HashMap<usize, usize>,
 }
 
 impl Admission {
-    /// Quotas with the shares of tenants and of all others, and the lanes of classes.
+    /// Creates the quotas from the shares of tenants, the share of all other calls, and the lanes of classes.
     pub fn new(
         quota: Quota,
         tenants: HashMap<usize, usize>,
-        others: usize,
+        default_share: usize,
         lanes: HashMap<usize, usize>,
     ) -> Self {
-        Admission { quota, tenants, others, lanes }
+        Admission { quota, tenants, default_share, lanes }
     }
 
-    /// Goes by other quotas from now on; what is used of shares and measures that stay is kept.
+    /// Replaces the quotas. The usage of shares and measures that remain is kept.
     pub(crate) fn reload(&mut self, new: Admission, now: Micros) {
-        let Admission { quota, tenants, others, lanes } = new;
-        // It was checked when it was made.
+        let Admission { quota, tenants, default_share, lanes } = new;
+        // The plan was validated when it was created, so an error is not expected.
         if self.quota.reload(quota.plan().clone(), now).is_ok() {
-            (self.tenants, self.others, self.lanes) = (tenants, others, lanes);
+            (self.tenants, self.default_share, self.lanes) = (tenants, default_share, lanes);
         }
     }
 
-    /// Whether a call is admitted: its ticket if it counts, or how long its client should stay away.
-    pub(crate) fn ask(
+    /// Admits a call or refuses it. Returns the ticket if the call is subject to quotas.
+    ///
+    /// # Errors
+    /// If the call is over its share: the time after which its client should retry, in microseconds.
+    pub(crate) fn admit(
         &mut self,
         now: Micros,
         call: &Call,
@@ -52,55 +57,56 @@
         let Some((class, lane)) = call.class.and_then(|class| Some((class, *self.lanes.get(&class)?))) else {
             return Ok(None);
         };
-        let share = call.tenant.and_then(|tenant| self.tenants.get(&tenant)).copied().unwrap_or(self.others);
+        let share =
+            call.tenant.and_then(|tenant| self.tenants.get(&tenant)).copied().unwrap_or(self.default_share);
         let worth = settings.classes.get(class).map_or(1.0, |class| class.worth);
-        let value = call.value.as_ref().map_or(0, bytes::Bytes::len);
-        let bytes = (call.key.len() + call.id.len() + call.facts.len() + value) as u64;
+        let value_bytes = call.value.as_ref().map_or(0, bytes::Bytes::len);
+        let bytes = (call.key.len() + call.id.len() + call.facts.len() + value_bytes) as u64;
         let ask = Ask { share, lane, worth: (worth * 1000.0) as u64, bytes };
         self.quota.ask(now, ask).map(Some).map_err(|over| over.retry_after)
     }
 
-    /// The shares at a time, for operators.
+    /// The current state of all shares, for operators.
     pub(crate) fn shares(&mut self, now: Micros) -> Vec<ShareNow> {
-        share_words(&mut self.quota, now)
+        share_statuses(&mut self.quota, now)
     }
 
-    /// A call that was admitted has ended. One that was refused untried is not paid.
+    /// Reports that an admitted call has ended. A call that was refused without an attempt is not charged.
     pub(crate) fn done(&mut self, now: Micros, ticket: Ticket, tried: bool) {
         self.quota.done(now, ticket, if tried { Done::Paid } else { Done::Unpaid });
     }
 }
 
-/// The shares of quotas, as operators read them.
-fn share_words(quota: &mut Quota, now: Micros) -> Vec<ShareNow> {
+/// The state of each share and measure, in the form that operators read.
+fn share_statuses(quota: &mut Quota, now: Micros) -> Vec<ShareNow> {
     let plan = quota.plan().clone();
-    let mut told = Vec::new();
-    for (share, lines) in plan.shares.iter().enumerate().take(MOST_SHARES) {
-        let depth = std::iter::successors(lines.parent, |&parent| plan.shares[parent].parent).count();
-        for (m, measure) in plan.measures.iter().enumerate() {
-            let bounds = plan.bounds(share, m);
-            let of = match measure.dimension {
+    let mut statuses = Vec::new();
+    for (share, share_plan) in plan.shares.iter().enumerate().take(MAX_REPORTED_SHARES) {
+        let depth = std::iter::successors(share_plan.parent, |&parent| plan.shares[parent].parent).count();
+        for (measure_index, measure) in plan.measures.iter().enumerate() {
+            let bounds = plan.bounds(share, measure_index);
+            let unit = match measure.dimension {
                 Dimension::Requests => "requests",
                 Dimension::Worth => "worth/1000",
                 Dimension::Bytes => "bytes",
                 Dimension::InFlight => "in flight",
             };
-            let window = measure.window as f64 / 1e6;
-            let measured = match measure.dimension {
-                Dimension::InFlight => format!("{of}, lane {}", measure.lane),
-                _ => format!("{of} in {window} s, lane {}", measure.lane),
+            let window_seconds = measure.window as f64 / 1e6;
+            let description = match measure.dimension {
+                Dimension::InFlight => format!("{unit}, lane {}", measure.lane),
+                _ => format!("{unit} in {window_seconds} s, lane {}", measure.lane),
             };
-            told.push(ShareNow {
-                name: lines.name.clone(),
+            statuses.push(ShareNow {
+                name: share_plan.name.clone(),
                 depth,
-                measure: measured,
+                measure: description,
                 guarantee: bounds.guarantee,
                 ceiling: Some(bounds.ceiling).filter(|&ceiling| ceiling < u64::MAX),
-                used: quota.used(now, share, m),
-                debt: quota.debt(now, share, m),
+                used: quota.used(now, share, measure_index),
+                debt: quota.debt(now, share, measure_index),
                 refused: quota.refused(share),
             });
         }
     }
-    told
+    statuses
 }
--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server: a connection, the request, the answer.
+//! Executes one attempt at a server: connects if needed, sends the request and reads the answer.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 use crate::time_left::deadline_to_send;
 use crate::upstream::{Connection, Reply, Target, Upstream};
 
-/// Makes one attempt. The connection comes back if another request may use it.
+/// Makes one attempt. Returns its reply, and the connection if another request may reuse it.
 pub(crate) async fn run<U: Upstream>(
     upstream: U,
     target: Target,
     pooled: Option<U::Connection>,
     call: &Call,
-    mut requester: PermitRequester,
+    mut permit_requester: PermitRequester,
     connect_timeout: Duration,
 ) -> (Reply, Option<U::Connection>) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let connection = match pooled {
         Some(connection) => connection,
         None => match timeout(connect_timeout, upstream.connect(&target)).await {
@@ -31,18 +31,18 @@
             Ok(Err(_)) | Err(_) => return (Reply::from_outcome(Outcome::ConnectError), None),
         },
     };
-    let connect_time = began.elapsed();
-    // What the decision went by may have changed while the connection came up.
-    let Some(permit) = requester.permit().await else {
+    let connect_time = started_at.elapsed();
+    // The facts behind the balancer's decision may have changed while the connection was being established.
+    let Some(permit) = permit_requester.permit().await else {
         return (Reply::from_outcome(Outcome::Ignored), Some(connection));
     };
-    if !target.standing().serving() {
-        return (Reply::from_outcome(Outcome::Ignored), None); // at an address that the list has left
+    if !target.availability().is_serving() {
+        return (Reply::from_outcome(Outcome::Ignored), None); // the server is no longer listed at this address
     }
     if !connection.is_live() {
-        return (Reply::from_outcome(Outcome::ConnectError), None); // closed while it waited for leave: nothing is written
+        return (Reply::from_outcome(Outcome::ConnectError), None); // closed while waiting for the permit: nothing was written
     }
-    target.begins();
+    target.check_start();
     let deadline = deadline_to_send(Instant::now(), permit.deadline, connect_time);
     connection.send_request(call, &target, deadline).await
 }
--- a/crates/core/src/buffer_budget.rs
+++ b/crates/core/src/buffer_budget.rs
@@ -1,8 +1,8 @@
-//! How many bytes of large values may be held between servers and clients. No I/O: a flow asks before it reads on,
-//! and gives back what its client has taken.
+//! The memory budget for streamed values: how many of their bytes may be buffered between servers and clients. No I/O:
+//! a stream reserves bytes before it reads on and releases them once its client has taken them.
 //!
-//! No flow waits for another. Guards against: readers of some bytes a second that hold all there is, so that those
-//! who read quickly wait for them.
+//! No stream waits for another. Otherwise clients that read a few bytes per second could hold the whole budget, and
+//! clients that read quickly would have to wait for them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,106 +11,117 @@
 
 use crate::resource_share::ResourceShare;
 
-/// A flow that holds nothing may read so much, whatever the others hold, in bytes.
-pub const LEAST: usize = 4 << 10;
-/// A piece is no larger than this ...
-pub const MOST: usize = 16 << 10;
-/// ... and one flow holds no more than this.
-pub const OWN: usize = 48 << 10;
-/// What a piece is reckoned to hold beside its bytes.
-const PER_PIECE: usize = 64;
+/// The number of bytes that a stream without buffered bytes may always read, however much the others hold.
+pub const MIN_GRANT_BYTES: usize = 4 << 10;
+/// The maximum size of one chunk.
+pub const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// The maximum number of bytes that one stream may buffer.
+pub const MAX_STREAM_BYTES: usize = 48 << 10;
+/// The estimated memory that a chunk occupies in addition to its bytes.
+const CHUNK_OVERHEAD_BYTES: usize = 64;
 
-/// The bytes that all flows share.
+/// The buffer memory that all streams share.
 #[derive(Debug)]
-pub(crate) struct Governor {
-    most: usize,
-    portion: ResourceShare,
-    held: AtomicUsize,
+pub(crate) struct BufferBudget {
+    limit_bytes: usize,
+    resource_share: ResourceShare,
+    reserved_bytes: AtomicUsize,
 }
 
-impl Governor {
-    /// For this process's portion of so many bytes, beside the least of each flow.
-    pub fn new(most: usize, portion: ResourceShare) -> Arc<Governor> {
-        Arc::new(Governor { most, portion, held: AtomicUsize::new(0) })
+impl BufferBudget {
+    /// Creates a budget of this process's share of `limit_bytes`. The minimum grant of each stream comes on top.
+    pub fn new(limit_bytes: usize, resource_share: ResourceShare) -> Arc<BufferBudget> {
+        Arc::new(BufferBudget { limit_bytes, resource_share, reserved_bytes: AtomicUsize::new(0) })
     }
 
-    /// How many bytes a flow may read that holds so many; none before its client has taken some of those.
-    fn grant(&self, own: usize) -> usize {
-        let free = self.portion.of(self.most).saturating_sub(self.held.load(Ordering::Relaxed));
-        let grant = free.min(MOST).min(OWN.saturating_sub(own + PER_PIECE));
-        match own {
-            0 => grant.max(LEAST),
-            _ if grant >= LEAST => grant,
+    /// The number of bytes that a stream may read while it holds `stream_bytes`; 0 if its client has to take some of
+    /// those first.
+    fn grant(&self, stream_bytes: usize) -> usize {
+        let limit_bytes = self.resource_share.of(self.limit_bytes);
+        let free = limit_bytes.saturating_sub(self.reserved_bytes.load(Ordering::Relaxed));
+        let stream_free = MAX_STREAM_BYTES.saturating_sub(stream_bytes + CHUNK_OVERHEAD_BYTES);
+        let grant = free.min(MAX_CHUNK_BYTES).min(stream_free);
+        match stream_bytes {
+            0 => grant.max(MIN_GRANT_BYTES),
+            _ if grant >= MIN_GRANT_BYTES => grant,
             _ => 0,
         }
     }
 }
 
-/// What one flow holds.
+/// The buffer of one stream, as far as the budget is concerned. Clones refer to the same stream.
 #[derive(Debug, Clone)]
-pub(crate) struct Held(Arc<Own>);
+pub(crate) struct StreamBuffer(Arc<StreamUsage>);
 
 #[derive(Debug)]
-struct Own {
-    governor: Arc<Governor>,
-    bytes: AtomicUsize,
-    taken: Notify,
+struct StreamUsage {
+    budget: Arc<BufferBudget>,
+    reserved_bytes: AtomicUsize,
+    /// Notified when the client has taken a chunk.
+    released: Notify,
 }
 
-impl Held {
-    pub fn new(governor: Arc<Governor>) -> Held {
-        Held(Arc::new(Own { governor, bytes: AtomicUsize::new(0), taken: Notify::new() }))
+impl StreamBuffer {
+    /// Creates the empty buffer of a new stream.
+    pub fn new(budget: Arc<BufferBudget>) -> StreamBuffer {
+        StreamBuffer(Arc::new(StreamUsage {
+            budget,
+            reserved_bytes: AtomicUsize::new(0),
+            released: Notify::new(),
+        }))
     }
 
-    /// How many bytes may be read next, and the share that stands for them, once there is room.
-    pub async fn room(&self) -> Share {
+    /// Waits until the stream may read more, and reserves as many bytes as it may read.
+    pub async fn reserve(&self) -> Reservation {
         loop {
-            let taken = self.0.taken.notified();
-            match self.0.governor.grant(self.0.bytes.load(Ordering::Relaxed)) {
-                0 => taken.await,
-                bytes => return Share::new(bytes, self.0.clone()),
+            let released = self.0.released.notified();
+            match self.0.budget.grant(self.0.reserved_bytes.load(Ordering::Relaxed)) {
+                0 => released.await,
+                bytes => return Reservation::new(bytes, self.0.clone()),
             }
         }
     }
 }
 
-/// Bytes that are held, given back when it is dropped.
+/// Reserved bytes of a stream's buffer, released on drop.
 #[derive(Debug)]
-pub(crate) struct Share {
+pub(crate) struct Reservation {
+    /// Includes the overhead of the chunk.
     bytes: usize,
-    of: Arc<Own>,
+    stream: Arc<StreamUsage>,
 }
 
-impl Share {
-    fn new(bytes: usize, of: Arc<Own>) -> Share {
-        let mut share = Share { bytes: 0, of };
-        share.resize(bytes);
-        share
+impl Reservation {
+    fn new(bytes: usize, stream: Arc<StreamUsage>) -> Reservation {
+        let mut reservation = Reservation { bytes: 0, stream };
+        reservation.resize(bytes);
+        reservation
     }
 
+    /// The reserved bytes, without the overhead of the chunk.
     pub fn bytes(&self) -> usize {
-        self.bytes.saturating_sub(PER_PIECE)
+        self.bytes.saturating_sub(CHUNK_OVERHEAD_BYTES)
     }
 
-    /// Stands for so many bytes from now on.
+    /// Changes the reservation to `bytes`.
     pub fn resize(&mut self, bytes: usize) {
-        self.give_back();
-        self.bytes = bytes + PER_PIECE;
-        self.of.bytes.fetch_add(self.bytes, Ordering::Relaxed);
-        self.of.governor.held.fetch_add(self.bytes, Ordering::Relaxed);
+        self.release();
+        self.bytes = bytes + CHUNK_OVERHEAD_BYTES;
+        self.stream.reserved_bytes.fetch_add(self.bytes, Ordering::Relaxed);
+        self.stream.budget.reserved_bytes.fetch_add(self.bytes, Ordering::Relaxed);
     }
 
-    fn give_back(&mut self) {
-        self.of.bytes.fetch_sub(self.bytes, Ordering::Relaxed);
-        self.of.governor.held.fetch_sub(self.bytes, Ordering::Relaxed);
+    fn release(&mut self) {
+        self.stream.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.stream.budget.reserved_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
         self.bytes = 0;
     }
 }
 
-impl Drop for Share {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.give_back();
-        self.of.taken.notify_one();
+        self.release();
+        self.stream.released.notify_one();
     }
 }
 
@@ -118,35 +129,42 @@
 mod tests {
     use super::*;
 
-    /// Flows that read, and clients that take, in any order.
+    /// Streams read and clients take chunks in random order.
     #[test]
-    fn the_bound_holds_and_no_flow_waits_for_another_whatever_is_read_and_taken() {
+    fn the_bound_holds_and_no_stream_waits_for_another_whatever_is_read_and_taken() {
         for seed in 0..50 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (most, flows) = (rng.usize(0..300_000), rng.usize(1..100));
-            let governor = Governor::new(most, ResourceShare::default());
-            let mut held: Vec<(Held, Vec<Share>)> =
-                (0..flows).map(|_| (Held::new(governor.clone()), Vec::new())).collect();
+            let (limit_bytes, stream_count) = (rng.usize(0..300_000), rng.usize(1..100));
+            let budget = BufferBudget::new(limit_bytes, ResourceShare::default());
+            let mut streams: Vec<(StreamBuffer, Vec<Reservation>)> =
+                (0..stream_count).map(|_| (StreamBuffer::new(budget.clone()), Vec::new())).collect();
             for _ in 0..3_000 {
-                let (flow, shares) = &mut held[rng.usize(0..flows)];
-                let own = flow.0.bytes.load(Ordering::Relaxed);
-                let grant = governor.grant(own);
-                assert!(own > 0 || grant >= LEAST, "seed {seed}: one that holds nothing may read");
-                assert!(grant <= MOST && own + grant <= OWN.max(LEAST), "seed {seed}");
+                let (stream, reservations) = &mut streams[rng.usize(0..stream_count)];
+                let own = stream.0.reserved_bytes.load(Ordering::Relaxed);
+                let grant = budget.grant(own);
+                assert!(own > 0 || grant >= MIN_GRANT_BYTES, "seed {seed}: an empty stream may always read");
+                assert!(
+                    grant <= MAX_CHUNK_BYTES && own + grant <= MAX_STREAM_BYTES.max(MIN_GRANT_BYTES),
+                    "seed {seed}"
+                );
                 if grant > 0 && rng.bool() {
-                    let mut share = Share::new(grant, flow.0.clone());
+                    let mut reservation = Reservation::new(grant, stream.0.clone());
                     if rng.bool() {
-                        share.resize(rng.usize(1..=share.bytes())); // less came
+                        reservation.resize(rng.usize(1..=reservation.bytes())); // a short read
                     }
-                    shares.push(share);
-                } else if !shares.is_empty() {
-                    shares.remove(0);
+                    reservations.push(reservation);
+                } else if !reservations.is_empty() {
+                    reservations.remove(0);
                 }
-                let all = governor.held.load(Ordering::Relaxed);
-                assert!(all <= most.max(1) + flows * (LEAST + 2 * PER_PIECE), "seed {seed}: {all} of {most}");
+                let reserved = budget.reserved_bytes.load(Ordering::Relaxed);
+                assert!(
+                    reserved
+                        <= limit_bytes.max(1) + stream_count * (MIN_GRANT_BYTES + 2 * CHUNK_OVERHEAD_BYTES),
+                    "seed {seed}: {reserved} of {limit_bytes}"
+                );
             }
-            drop(held);
-            assert_eq!(governor.held.load(Ordering::Relaxed), 0, "all is given back");
+            drop(streams);
+            assert_eq!(budget.reserved_bytes.load(Ordering::Relaxed), 0, "every reservation is released");
         }
     }
 }
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -1,4 +1,4 @@
-//! A client's request and its final answer, in words of no protocol.
+//! A client's request and its final answer, in a form that is independent of any protocol.
 
 use std::fmt;
 
@@ -7,114 +7,125 @@
 
 use crate::value_stream::ValueStream;
 
-/// The longest value that is taken whole from a server before it is answered, in bytes.
+/// The largest value that is read completely from a server before the client is answered; larger ones are streamed.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
-/// The longest value of a write, in bytes.
+/// The largest value that a client may write.
 pub const MAX_WRITE_VALUE_BYTES: usize = 4 << 20;
-/// Key, id and facts together are no longer than this, in bytes.
-const TEXTS: usize = 2 << 10;
-/// The longest wait that is believed, in microseconds.
-const LONGEST: Micros = 3_600_000_000;
+/// The maximum total length of key, id and facts.
+const MAX_TEXT_BYTES: usize = 2 << 10;
+/// The upper bound that is applied to the time-out a client states: one hour.
+const MAX_CLIENT_TIMEOUT_US: Micros = 3_600_000_000;
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Verb {
-    /// The value.
+    /// Read the value.
     Get,
-    /// Keep a value.
+    /// Store a value.
     Set,
-    /// Keep a value if there is none.
+    /// Store a value if the key has none.
     Add,
-    /// Keep a value if there is one.
+    /// Store a value if the key already has one.
     Replace,
-    /// Keep none.
+    /// Remove the value.
     Delete,
 }
 
-/// What a client wants kept beside a value.
+/// Metadata that a client stores with a value.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// Given back with the value; the client's own.
+    /// Opaque to the node; returned with the value.
     pub flags: u32,
-    /// When it ends, as memcached counts it: seconds from now up to 30 days, else Unix time; 0 is never.
+    /// Expiry time as in the memcached protocol: seconds from now up to 30 days, Unix time beyond that; 0 means never.
     pub expiry: u32,
 }
 
 /// A client's request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What it is about. Not empty.
+    /// The key that the operation applies to. Not empty.
     pub key: String,
-    /// The request's id. It goes on unchanged, in headers too: no control characters.
+    /// The request's id. It is forwarded unchanged, also in headers, so it has no control characters.
     pub id: Bytes,
     /// The class, an index into the settings' classes.
     pub class: Option<usize>,
     /// The tenant, an index into the settings' tenants.
     pub tenant: Option<usize>,
-    /// How long the client will wait, from when the request's last byte was read. No longer than an hour.
-    wait: Micros,
-    /// By which servers know a keyed write's repeats.
+    /// How long the client waits, counted from when the request's last byte was read. At most one hour.
+    client_timeout: Micros,
+    /// The key by which servers recognise repetitions of an idempotent write.
     pub idempotency_key: Option<Bytes>,
-    /// What it asks for.
+    /// The operation.
     pub verb: Verb,
-    /// What a write stores.
+    /// The value that a write stores.
     pub value: Option<Bytes>,
-    /// How it is to be stored.
+    /// The metadata that a write stores with the value.
     pub store_options: StoreOptions,
-    /// Names and values as in `c=read,t=acme,d=480`: what goes on unchanged, but for `d` to caches. No control
-    /// characters.
+    /// Request attributes as names and values, such as `c=read,t=acme,d=480`. They are forwarded unchanged, except for
+    /// `d` when sent to caches. No control characters.
     pub facts: Bytes,
 }
 
 impl Call {
-    /// A call of no told class or tenant, whose client waits for `wait` at most: a plain write of the value, or a
-    /// read if there is none.
+    /// Creates a call without class or tenant, whose client waits for at most `client_timeout` microseconds: an
+    /// unconditional write if there is a value, otherwise a read.
     ///
     /// # Errors
-    /// If the key is empty, a text holds what can't go on in a header, or something is too long.
+    /// If the key is empty, the id or the facts are not valid in a header, or something is too long.
     pub fn new(
         key: String,
         id: Bytes,
         facts: Bytes,
         value: Option<Bytes>,
-        wait: Micros,
+        client_timeout: Micros,
     ) -> Result<Call, CallError> {
         if value.as_ref().is_some_and(|value| value.len() > MAX_WRITE_VALUE_BYTES) {
             return Err(CallError::ValueTooLong);
         }
-        let fits = key.len() + id.len() + facts.len() <= TEXTS;
-        if key.is_empty() || !plain(&id) || !plain(&facts) || !fits {
+        let fits = key.len() + id.len() + facts.len() <= MAX_TEXT_BYTES;
+        if key.is_empty() || !is_header_value(&id) || !is_header_value(&facts) || !fits {
             return Err(CallError::InvalidText);
         }
-        let wait = wait.min(LONGEST);
+        let client_timeout = client_timeout.min(MAX_CLIENT_TIMEOUT_US);
         let verb = if value.is_some() { Verb::Set } else { Verb::Get };
         let (class, tenant, idempotency_key, store_options) = Default::default();
-        Ok(Call { key, id, class, tenant, wait, idempotency_key, verb, value, store_options, facts })
+        Ok(Call {
+            key,
+            id,
+            class,
+            tenant,
+            client_timeout,
+            idempotency_key,
+            verb,
+            value,
+            store_options,
+            facts,
+        })
     }
 
-    /// How long the client will wait, from when the request's last byte was read, in microseconds; an hour at
-    /// most, whatever it says.
-    pub fn wait(&self) -> Micros {
-        self.wait
+    /// How long the client waits, counted from when the request's last byte was read, in microseconds. At most one
+    /// hour, whatever the client states.
+    pub fn client_timeout(&self) -> Micros {
+        self.client_timeout
     }
 
-    /// Whether it changes something.
+    /// Whether the operation changes stored data.
     pub fn is_write(&self) -> bool {
         self.verb != Verb::Get
     }
 }
 
-/// Whether a text is not empty and may stand in a header (RFC 9110, section 5.5).
-fn plain(text: &[u8]) -> bool {
+/// Whether a text is not empty and is a valid header field value (RFC 9110, section 5.5).
+fn is_header_value(text: &[u8]) -> bool {
     !text.is_empty() && text.iter().all(|&b| b == b'\t' || b >= b' ' && b != 127)
 }
 
-/// Why a call can't be made.
+/// The reason why a call is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// An empty key, or a key, id or facts that can't go on.
+    /// The key is empty, the id or facts cannot be forwarded in a header, or the texts are too long.
     InvalidText,
-    /// The value is over [`MAX_WRITE_VALUE_BYTES`].
+    /// The value is larger than [`MAX_WRITE_VALUE_BYTES`].
     ValueTooLong,
 }
 
@@ -129,24 +140,24 @@
 
 impl std::error::Error for CallError {}
 
-/// What a server made for a request that it has carried out.
+/// The result of an operation that a server has executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OperationResult {
-    /// The value, or the write's receipt.
+    /// The value that was read, or the acknowledgement of a write.
     Value {
-        /// Its bytes.
+        /// The bytes of the value or acknowledgement.
         bytes: Bytes,
-        /// What the client had kept beside it; 0 where the server keeps none.
+        /// The flags that the client stored with the value; 0 if the server stores none.
         flags: u32,
     },
-    /// There is no such key: nothing to read, replace or delete.
+    /// The key does not exist: nothing to read, replace or delete.
     Absent,
-    /// There is such a key: nothing was added.
+    /// The key already exists: nothing was added.
     Exists,
 }
 
 impl OperationResult {
-    /// A value with no flags.
+    /// A value without flags.
     pub fn value(bytes: impl Into<Bytes>) -> OperationResult {
         OperationResult::Value { bytes: bytes.into(), flags: 0 }
     }
@@ -155,13 +166,13 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// As a server made it for this request.
+    /// The result that a server returned for this request.
     Served(OperationResult),
-    /// A large value has begun to come, and comes on; one that ends too early is broken.
+    /// A large value whose first bytes have arrived; the rest follows. A stream that ends early is a failure.
     Streaming(ValueStream),
-    /// Refused: trying again is harmless. The client should stay away so long, if that is not 0.
+    /// Refused; retrying is safe. If not 0, the time after which the client should retry, in microseconds.
     Busy(Micros),
-    /// Failed, with no promise about its effect.
+    /// Failed; the operation may or may not have taken effect.
     Failed,
 }
 
@@ -175,8 +186,8 @@
     }
 
     #[test]
-    fn what_cannot_go_on_is_no_call() {
-        let long = "x".repeat(TEXTS);
+    fn text_that_cannot_be_forwarded_and_values_that_are_too_long_are_rejected() {
+        let long = "x".repeat(MAX_TEXT_BYTES);
         for (key, id, facts) in
             [("", "i", "d=1"), ("k", "", "d=1"), ("k", "i\n", "d=1"), ("k", "i", "\x7f"), (&long, "i", "d=1")]
         {
@@ -187,6 +198,6 @@
             CallError::ValueTooLong
         );
         let good = call("k", b"i", b"d=1", Some(MAX_WRITE_VALUE_BYTES)).unwrap();
-        assert!(good.is_write() && good.wait == LONGEST);
+        assert!(good.is_write() && good.client_timeout == MAX_CLIENT_TIMEOUT_US);
     }
 }
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,11 +1,12 @@
-//! The time that modules without a clock are told.
+//! The clock whose readings are passed to modules that have none of their own.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use paddlefold::Micros;
 use tokio::time::Instant;
 
-/// Time since 1970, which never goes back: the system's when it was made, and what has passed since then.
+/// Monotonic time since the Unix epoch: the system time at creation plus the time elapsed since then. It never goes
+/// backwards.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -13,18 +14,18 @@
 }
 
 impl Clock {
-    /// A clock that agrees with the system's now.
+    /// Creates a clock that agrees with the system clock now.
     pub fn new() -> Self {
         let offset = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { start: Instant::now(), offset }
     }
 
-    /// The time, in microseconds.
+    /// The current time, in microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
         (self.offset + self.start.elapsed()).as_micros() as Micros
     }
 
-    /// The instant of a time; one before the clock was made is when it was made.
+    /// Converts a time in microseconds since the Unix epoch. A time before the clock's creation gives its creation.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at).saturating_sub(self.offset)
     }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,4 +1,4 @@
-//! The servers that the list has named: their ids for the module, addresses and idle connections.
+//! The listed servers: their ids for the balancer, their addresses and their idle connections.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -14,99 +14,108 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::list::{ServerEntry, ServerList, ServerState};
-use crate::permit::{ClientLeft, InvariantChecker};
+use crate::permit::{ClientLeftAt, InvariantChecker};
 use crate::reuse::{RetentionPolicy, ReusePolicy};
-use crate::upstream::{Connection, IdleState, Standing, Target};
-use crate::value_stream::Opening;
+use crate::upstream::{Availability, Connection, IdleState, Target};
+use crate::value_stream::StreamStarter;
 
 struct Server<C> {
-    /// As the list has it.
+    /// The entry as last listed.
     entry: ServerEntry,
     addr: SocketAddr,
-    origin: bool,
+    is_origin: bool,
     kind: Arc<str>,
-    standing: Standing,
-    /// When something was last sent there.
-    sent: Option<Instant>,
-    /// When its connections may be used again.
+    availability: Availability,
+    /// When an attempt was last sent to the server.
+    last_sent: Option<Instant>,
+    /// Decides when the server's idle connections may be reused.
     reuse: ReusePolicy,
-    /// Connections between requests, the most recently used last.
+    /// Idle connections and since when each has been idle, the most recently used last.
     idle: Vec<(Instant, C)>,
 }
 
-/// What is known of a request whose attempt goes out.
-pub(crate) struct Facts {
-    /// When its client's time is up.
+/// The facts about a request that its attempt is checked against.
+pub(crate) struct AttemptContext {
+    /// When the client's time-out expires.
     pub deadline: Instant,
-    /// When its client has left.
-    pub left: ClientLeft,
-    /// Where broken rules are counted.
+    /// Set once the client has disconnected.
+    pub client_left: ClientLeftAt,
+    /// Counts violated invariants.
     pub violations: Violations,
 }
 
-/// What has become of a server.
+/// A change of a server's state in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum News {
-    Serves,
-    Drains,
-    Gone,
+pub(crate) enum ListChange {
+    Serving,
+    Draining,
+    Removed,
 }
 
-/// The servers by id.
+/// The listed servers by id.
 pub(crate) struct Directory<C> {
-    /// What lists have changed and was not yet taken.
-    news: Vec<(String, News)>,
+    /// Changes by server name that have not been taken yet.
+    changes: Vec<(String, ListChange)>,
     servers: HashMap<ServerId, Server<C>>,
     /// Counts attempts.
     tries: Tries,
-    /// How long idle connections are kept.
-    keep: RetentionPolicy,
-    /// How many there are at all servers together: asked for with each attempt.
-    idle: usize,
+    /// Decides how long idle connections are kept.
+    retention: RetentionPolicy,
+    /// The number of idle connections at all servers. Cached because each attempt reads it.
+    idle_count: usize,
 }
 
 impl<C: Connection> Directory<C> {
-    /// For one of so many nodes, whose servers close idle connections at this age.
+    /// Creates an empty directory for a fleet of `nodes` nodes, whose servers close connections that have been idle
+    /// for `keepalive`.
     pub fn new(keepalive: Duration, nodes: usize, tries: Tries) -> Self {
-        let (news, servers) = Default::default();
-        Directory { news, servers, tries, keep: RetentionPolicy::new(keepalive, nodes), idle: 0 }
+        let (changes, servers) = Default::default();
+        let retention = RetentionPolicy::new(keepalive, nodes);
+        Directory { changes, servers, tries, retention, idle_count: 0 }
     }
 
-    /// It is one of so many nodes from now on.
+    /// Sets the number of nodes in the fleet.
     pub fn set_nodes(&mut self, nodes: usize) {
-        self.keep = self.keep.with_node_count(nodes);
+        self.retention = self.retention.with_node_count(nodes);
     }
 
-    /// Takes over a list; tells the module's view of its entries. Servers of which kinds of machine discard the
-    /// repeats of keyed writes is the upstream's to say.
+    /// Applies a list and returns its entries in the form that the balancer expects. `deduplicates` tells whether
+    /// servers of a machine type discard repeated writes that carry an idempotency key.
     pub fn apply(
         &mut self,
         mut list: ServerList,
         setup: &mut Setup,
-        discards: impl Fn(&str) -> bool,
+        deduplicates: impl Fn(&str) -> bool,
     ) -> Vec<Member> {
-        // In order of their names: ids that collide come out alike at every node.
+        // Sorted by name, so that ids that collide are resolved in the same way at every node.
         list.servers.sort_by(|a, b| a.id.cmp(&b.id));
         if list.full {
             let names = &list.servers;
-            let listed = |name: &String| names.binary_search_by(|e| e.id.cmp(name)).is_ok();
-            let news = &mut self.news;
+            let is_listed = |name: &String| names.binary_search_by(|e| e.id.cmp(name)).is_ok();
+            let changes = &mut self.changes;
             self.servers.retain(|_, server| {
-                let stays = listed(&server.entry.id);
+                let stays = is_listed(&server.entry.id);
                 if !stays {
-                    news.push((server.entry.id.clone(), News::Gone));
+                    changes.push((server.entry.id.clone(), ListChange::Removed));
+                    server.availability.set(false); // attempts in progress send nothing more
                 }
-                stays || server.close()
+                stays
             });
         }
-        let members = list.servers.into_iter().map(|entry| self.enter(entry, setup, &discards)).collect();
+        let members =
+            list.servers.into_iter().map(|entry| self.apply_entry(entry, setup, &deduplicates)).collect();
         self.count_idle();
         members
     }
 
-    fn enter(&mut self, entry: ServerEntry, setup: &mut Setup, discards: impl Fn(&str) -> bool) -> Member {
-        let id = self.id_of(&entry.id);
-        self.note(id, &entry);
+    fn apply_entry(
+        &mut self,
+        entry: ServerEntry,
+        setup: &mut Setup,
+        deduplicates: impl Fn(&str) -> bool,
+    ) -> Member {
+        let id = self.server_id(&entry.id);
+        self.record_change(id, &entry);
         let origin = setup.is_origin(&entry.kind);
         let state = match entry.state {
             ServerState::Serving => MemberState::Up,
@@ -122,33 +131,33 @@
             weight: entry.weight.unwrap_or(1.0),
             started: Some(entry.started_ms).filter(|&t| t > 0.0).map(micros),
             origin,
-            discards: origin || discards(&entry.kind),
+            discards: origin || deduplicates(&entry.kind),
         };
         if state == MemberState::Removed {
             if let Some(server) = self.servers.remove(&id) {
-                server.standing.set(false); // attempts under way send nothing more
+                server.availability.set(false); // attempts in progress send nothing more
             }
             return member;
         }
         let server = self.servers.entry(id).or_insert_with(|| Server {
             entry: entry.clone(),
             addr: entry.addr,
-            origin,
+            is_origin: origin,
             kind: entry.kind.as_str().into(),
-            standing: Standing::new(),
-            sent: None,
+            availability: Availability::new(),
+            last_sent: None,
             reuse: ReusePolicy::default(),
             idle: Vec::new(),
         });
-        server.origin = origin;
-        // Another kind of machine may speak another protocol.
+        server.is_origin = origin;
+        // A different machine type may speak a different protocol, so its connections are not reused either.
         if server.addr != entry.addr || *server.kind != *entry.kind {
             (server.addr, server.kind) = (entry.addr, entry.kind.as_str().into());
             server.idle.clear();
-            // Attempts whose connections come up at the old place send nothing there.
-            std::mem::replace(&mut server.standing, Standing::new()).set(false);
+            // Attempts that are still connecting to the old address send nothing there.
+            std::mem::replace(&mut server.availability, Availability::new()).set(false);
         }
-        server.standing.set(state == MemberState::Up);
+        server.availability.set(state == MemberState::Up);
         if state != MemberState::Up {
             server.idle.clear();
         }
@@ -156,96 +165,100 @@
         member
     }
 
-    /// Notes what an entry changes.
-    fn note(&mut self, id: ServerId, entry: &ServerEntry) {
-        let before = self.servers.get(&id).map(|server| server.standing.serving());
-        let news = match (entry.state, before) {
-            (ServerState::Serving, None | Some(false)) => News::Serves,
-            (ServerState::Draining, None | Some(true)) => News::Drains,
-            (ServerState::Deleted, Some(_)) => News::Gone,
+    /// Records how an entry changes the server's state, if it does.
+    fn record_change(&mut self, id: ServerId, entry: &ServerEntry) {
+        let was_serving = self.servers.get(&id).map(|server| server.availability.is_serving());
+        let change = match (entry.state, was_serving) {
+            (ServerState::Serving, None | Some(false)) => ListChange::Serving,
+            (ServerState::Draining, None | Some(true)) => ListChange::Draining,
+            (ServerState::Deleted, Some(_)) => ListChange::Removed,
             _ => return,
         };
-        self.news.push((entry.id.clone(), news));
+        self.changes.push((entry.id.clone(), change));
     }
 
-    /// What lists have changed since this was asked last.
-    pub fn take_news(&mut self) -> Vec<(String, News)> {
-        std::mem::take(&mut self.news)
+    /// Takes the changes that lists have made since the last call.
+    pub fn take_changes(&mut self) -> Vec<(String, ListChange)> {
+        std::mem::take(&mut self.changes)
     }
 
-    /// The id of a name, which is the same at every node: a hash, and the next one where two names share it.
-    fn id_of(&self, name: &str) -> ServerId {
+    /// The id of a server name, the same at every node: a hash with seed 0, or with the next seed whose hash no other
+    /// name has taken.
+    fn server_id(&self, name: &str) -> ServerId {
         let ids = (0..).map(|seed| ServerId(xxh3_64_with_seed(name.as_bytes(), seed) as u32));
         let mut free = ids.filter(|id| self.servers.get(id).is_none_or(|server| server.entry.id == name));
-        free.next().expect("the ids outnumber the servers")
+        free.next().expect("there are more ids than servers")
     }
 
-    /// Where to send to a server, and the connection to use, if one is at hand.
+    /// The target of an attempt at a server, and a pooled connection if one may be reused. None if the server is not
+    /// listed.
     pub fn check_out(
         &mut self,
         id: ServerId,
         now: Instant,
-        opening: Opening,
-        facts: Facts,
+        stream_starter: StreamStarter,
+        context: AttemptContext,
     ) -> Option<(Target, Option<C>)> {
-        let keep = self.keep;
+        let retention = self.retention;
         let server = self.servers.get_mut(&id)?;
-        server.sent = Some(now);
-        let idle = server.idle.len();
-        let (mut pooled, mut believed_from) = (None, now);
-        while let Some(place) = server.rested(now) {
-            let (since, connection) = server.idle.remove(place);
-            if keep.retains(now, since, false) && server.may_use(&connection, now) {
+        server.last_sent = Some(now);
+        let idle_before = server.idle.len();
+        let (mut pooled, mut trusted_from) = (None, now);
+        while let Some(position) = server.next_reusable(now) {
+            let (since, connection) = server.idle.remove(position);
+            if retention.retains(now, since, false) && server.is_usable(&connection, now) {
                 pooled = Some(connection);
-                believed_from = ReusePolicy::trusted_from(since);
+                trusted_from = ReusePolicy::trusted_from(since);
                 break;
             }
         }
-        self.idle -= idle - server.idle.len();
-        let Server { addr, origin, kind, standing, .. } = &*server;
-        let (kind, standing) = (kind.clone(), standing.clone());
-        let Facts { deadline, left, violations } = facts;
-        let invariants = InvariantChecker { id: opening.id, deadline, left, standing, violations };
+        self.idle_count -= idle_before - server.idle.len();
+        let Server { addr, is_origin, kind, availability, .. } = &*server;
+        let (kind, availability) = (kind.clone(), availability.clone());
+        let AttemptContext { deadline, client_left, violations } = context;
+        let invariants =
+            InvariantChecker { id: stream_starter.id, deadline, client_left, availability, violations };
         let target = Target {
             addr: *addr,
-            origin: *origin,
+            origin: *is_origin,
             kind,
-            believed_from,
+            trusted_from,
             invariants,
             tries: self.tries.clone(),
-            opening,
+            stream_starter,
         };
         Some((target, pooled))
     }
 
-    /// Notes how long an answer of a server took.
+    /// Records how long a server took to answer.
     pub fn record_answer(&mut self, id: ServerId, took: Duration) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.reuse.record_answer(took);
         }
     }
 
-    /// Keeps a connection for the next request, if its server still takes some at that address.
+    /// Keeps a connection for the next request, if its server still takes requests at that address.
     pub fn check_in(&mut self, id: ServerId, addr: SocketAddr, connection: C, now: Instant) {
-        let keep = self.keep;
-        if let Some(server) = self.servers.get_mut(&id).filter(|s| s.addr == addr && s.standing.serving()) {
-            let idle = server.idle.len();
-            server.idle.retain(|(since, _)| keep.retains(now, *since, true));
+        let retention = self.retention;
+        let server = self.servers.get_mut(&id);
+        if let Some(server) = server.filter(|s| s.addr == addr && s.availability.is_serving()) {
+            let idle_before = server.idle.len();
+            server.idle.retain(|(since, _)| retention.retains(now, *since, true));
             server.idle.push((now, connection));
-            self.idle = self.idle + server.idle.len() - idle;
+            self.idle_count = self.idle_count + server.idle.len() - idle_before;
         }
     }
 
-    /// Closes idle connections that are too old, or that the server has closed.
+    /// Closes idle connections that are too old or that the server has closed.
     pub fn sweep(&mut self, now: Instant) {
-        let keep = self.keep;
+        let retention = self.retention;
         for server in self.servers.values_mut() {
             let mut idle = std::mem::take(&mut server.idle);
             let last = idle.len().saturating_sub(1);
-            let mut place = 0..;
+            let mut positions = 0..;
             idle.retain(|(since, connection)| {
-                let spare = place.next() < Some(last);
-                keep.retains(now, *since, spare) && server.may_use(connection, now)
+                let is_spare = positions.next() < Some(last);
+                retention.retains(now, *since, is_spare) && server.is_usable(connection, now)
             });
             server.idle = idle;
         }
@@ -253,25 +266,26 @@
     }
 
     fn count_idle(&mut self) {
-        self.idle = self.servers.values().map(|server| server.idle.len()).sum();
+        self.idle_count = self.servers.values().map(|server| server.idle.len()).sum();
     }
 
-    /// The list, as it was told.
+    /// The entries of all servers, as last listed.
     pub fn entries(&self) -> Vec<ServerEntry> {
         self.servers.values().map(|server| server.entry.clone()).collect()
     }
 
-    /// The caches, whether each serves, and when something was last sent there.
+    /// Of each cache: its id, whether it is serving, and when an attempt was last sent to it.
     pub fn caches(&self) -> impl Iterator<Item = (ServerId, bool, Option<Instant>)> {
-        let caches = self.servers.iter().filter(|(_, server)| !server.origin);
-        caches.map(|(id, server)| (*id, server.standing.serving(), server.sent))
+        let caches = self.servers.iter().filter(|(_, server)| !server.is_origin);
+        caches.map(|(id, server)| (*id, server.availability.is_serving(), server.last_sent))
     }
 
-    /// Of each server by name: its id, whether it serves, and how many connections rest there.
+    /// Of each server by name: its id, whether it is serving, and the number of its idle connections.
     pub fn by_name(&self) -> HashMap<&str, (ServerId, bool, usize)> {
-        let entry =
-            |(id, server): (&ServerId, &Server<C>)| (*id, server.standing.serving(), server.idle.len());
-        self.servers.iter().map(|one| (one.1.entry.id.as_str(), entry(one))).collect()
+        let status = |(id, server): (&ServerId, &Server<C>)| {
+            (*id, server.availability.is_serving(), server.idle.len())
+        };
+        self.servers.iter().map(|one| (one.1.entry.id.as_str(), status(one))).collect()
     }
 
     /// The names of all servers.
@@ -279,41 +293,38 @@
         self.servers.iter().map(|(id, server)| (*id, server.entry.id.as_str())).collect()
     }
 
-    /// How many connections are idle.
-    pub fn idle(&self) -> usize {
-        self.idle
+    /// The number of idle connections at all servers.
+    pub fn idle_count(&self) -> usize {
+        self.idle_count
     }
 
-    /// Closes the idle connection that was used longest ago.
-    pub fn close_oldest(&mut self) {
+    /// Closes the least recently used idle connection.
+    pub fn close_least_recently_used(&mut self) {
         let oldest = self.servers.values_mut().filter(|s| !s.idle.is_empty()).min_by_key(|s| s.idle[0].0);
         if let Some(server) = oldest {
             server.idle.remove(0);
-            self.idle -= 1;
+            self.idle_count -= 1;
         }
     }
 }
 
 impl<C: Connection> Server<C> {
-    /// The place of the connection to use next, if one has rested.
-    fn rested(&self, now: Instant) -> Option<usize> {
-        self.reuse.choose(now, self.origin, self.idle.iter().map(|(since, _)| *since))
+    /// The position of the idle connection to use next, if one has been idle for the reuse delay.
+    fn next_reusable(&self, now: Instant) -> Option<usize> {
+        self.reuse.choose(now, self.is_origin, self.idle.iter().map(|(since, _)| *since))
     }
 
-    /// Whether a connection that was idle can be used; notes what the server has sent unasked.
-    fn may_use(&mut self, connection: &C, now: Instant) -> bool {
+    /// Whether an idle connection can be used. Records data that the server has sent without a request.
+    fn is_usable(&mut self, connection: &C, now: Instant) -> bool {
         let state = connection.idle_state();
         if state == IdleState::UnsolicitedData {
-            debug!(server = self.entry.id, "something came unasked: its connections rest longer");
+            debug!(
+                server = self.entry.id,
+                "unsolicited data on an idle connection; using the longer reuse delay for this server"
+            );
         }
         self.reuse.may_use(now, state)
     }
-
-    /// Gone: attempts under way send nothing more. Returns false, to drop it.
-    fn close(&self) -> bool {
-        self.standing.set(false);
-        false
-    }
 }
 
 #[cfg(test)]
@@ -322,7 +333,7 @@
     use crate::call::Call;
     use crate::upstream::Reply;
 
-    /// A connection by its number.
+    /// A connection that is identified by a number.
     struct Numbered(u32);
 
     impl Connection for Numbered {
@@ -330,13 +341,13 @@
             IdleState::Live
         }
         async fn send_request(self, _: &Call, _: &Target, _: Instant) -> (Reply, Option<Self>) {
-            unreachable!("nothing is sent")
+            unreachable!("the test sends no request")
         }
     }
 
     const KEEPALIVE: Duration = Duration::from_secs(10);
 
-    /// One of so many nodes, with one server in its list.
+    /// The directory of one of `nodes` nodes, with one listed server.
     fn directory(nodes: usize) -> (Directory<Numbered>, ServerId, SocketAddr) {
         let stated = r#"{"Classes":[],"Skus":["m"]}"#;
         let stated: paddlefold::setup::Stated = serde_json::from_str(stated).expect("settings");
@@ -350,13 +361,13 @@
         (directory, members[0].id, addr)
     }
 
-    /// How many of three connections that were given back at once are left after a time.
+    /// The number of connections left, of three that were checked in at once, after a time.
     fn left_after(nodes: usize, time: Duration) -> usize {
         let (mut directory, id, addr) = directory(nodes);
         let now = Instant::now();
         (0..3).for_each(|n| directory.check_in(id, addr, Numbered(n), now));
         directory.sweep(now + time);
-        directory.idle()
+        directory.idle_count()
     }
 
     #[test]
@@ -365,23 +376,25 @@
             assert_eq!(left_after(nodes, KEEPALIVE * 8 / 10), if nodes < 2 { 3 } else { 1 }, "{nodes}");
             assert_eq!(left_after(nodes, KEEPALIVE * 9 / 10), 0, "{nodes}: before the server closes it");
         }
-        assert_eq!(left_after(3, KEEPALIVE * 2 / 10), 3, "a few nodes keep theirs");
+        assert_eq!(left_after(3, KEEPALIVE * 2 / 10), 3, "a few nodes keep their spare connections");
         assert_eq!(left_after(100, KEEPALIVE / 10), 1);
     }
 
     #[test]
-    fn the_spare_that_closes_is_the_one_used_longest_ago() {
+    fn the_spare_that_closes_is_the_least_recently_used() {
         let (mut directory, id, addr) = directory(100);
         let now = Instant::now();
         directory.check_in(id, addr, Numbered(1), now);
         directory.check_in(id, addr, Numbered(2), now + KEEPALIVE / 10);
-        assert_eq!(directory.idle(), 1, "without waiting for a sweep");
-        let governor = crate::buffer_budget::Governor::new(0, Default::default());
-        let (to, _) = tokio::sync::mpsc::unbounded_channel();
-        let opening = Opening { id: paddlefold::RequestId(1), attempt: 0, to, governor };
+        assert_eq!(directory.idle_count(), 1, "closed without waiting for a sweep");
+        let budget = crate::buffer_budget::BufferBudget::new(0, Default::default());
+        let (sender, _) = tokio::sync::mpsc::unbounded_channel();
+        let stream_starter = StreamStarter { id: paddlefold::RequestId(1), attempt: 0, sender, budget };
         let violations = lilacquay_metrics::Book::new(Vec::new()).violations();
-        let facts = Facts { deadline: now, left: ClientLeft::default(), violations };
-        let (_, pooled) = directory.check_out(id, now + KEEPALIVE / 5, opening, facts).expect("it is listed");
+        let context = AttemptContext { deadline: now, client_left: ClientLeftAt::default(), violations };
+        let (_, pooled) = directory
+            .check_out(id, now + KEEPALIVE / 5, stream_starter, context)
+            .expect("the server is listed");
         assert_eq!(pooled.map(|connection| connection.0), Some(2));
     }
 }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -1,4 +1,5 @@
-//! The one task that owns the module, the open requests and the timers.
+//! The task that owns the balancer, the open requests and the timers. Receives messages from front ends, membership
+//! sources, operators and attempts, passes them to the balancer as events, and executes the actions that it returns.
 
 mod attempts;
 mod introspection;
@@ -25,199 +26,212 @@
 use tracing::{debug, info, warn};
 
 use crate::admission::Admission;
-use crate::buffer_budget::Governor;
+use crate::buffer_budget::BufferBudget;
 use crate::call::{Answer, Call};
 use crate::clock::Clock;
-use crate::directory::{Directory, News};
+use crate::directory::{Directory, ListChange};
 use crate::list::ServerList;
 use crate::members::MembershipHandle;
-use crate::message::{Arrival, CoreHandle, HandoverState, ListUpdate, Message, PeerStatus, ReplicatedUpdate};
-use crate::overrides::{ServerStatus, Steering};
-use crate::permit::{ClientLeft, PermitRequest};
-use crate::request_log::{Watched, kind};
+use crate::message::{
+    CoreHandle, HandoverState, ListUpdate, Message, NewRequest, PeerStatus, ReplicatedUpdate,
+};
+use crate::overrides::{Overrides, ServerStatus};
+use crate::permit::{ClientLeftAt, PermitRequest};
+use crate::request_log::{RequestLog, answer_kind};
 use crate::requests::Requests;
 use crate::resource_share::ResourceShare;
 use crate::stall;
 use crate::upstream::{Reply, Upstream};
-use crate::value_stream::Begun;
-
-/// Kept back from a client's time, for the way of the answer and the grain of timers.
-const ON_THE_WAY: Micros = 5_000;
-/// The timers' queue panics at times of some years, which odd settings could ask for.
-const LONGEST_TIMER: Duration = Duration::from_secs(86_400);
-/// So long before the process ends, what is owed is answered: time to write it, and for a process that is held up.
-const LAST_ANSWERS: Duration = Duration::from_millis(100);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
-/// How often it is counted which caches are avoided, and for how many of them once in that time.
-const COUNT: Duration = Duration::from_millis(300);
-const COUNTED: u32 = 1000;
-/// A cache that is left out and was sent nothing for so long is avoided.
-const AVOIDED: Duration = Duration::from_millis(500);
-/// A timer that fires so late shows that the process was held up.
-const HELD_UP: Duration = Duration::from_millis(30);
-/// Servers whose news is logged one by one; of more, the count.
-const NAMED: usize = 12;
+use crate::value_stream::StreamStart;
+
+/// Subtracted from a client's time-out, to allow for the transmission of the answer and the granularity of timers.
+const ANSWER_MARGIN_US: Micros = 5_000;
+/// The upper bound on timer delays. The timer queue panics on delays of some years, which unusual settings could
+/// request.
+const MAX_TIMER_DELAY: Duration = Duration::from_secs(86_400);
+/// How long before the process ends all open requests are answered. Leaves time to write the answers, also for a
+/// process that is stalled.
+const FINAL_ANSWERS_LEAD_TIME: Duration = Duration::from_millis(100);
+/// The interval at which idle connections are checked.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which avoided caches are counted, extended by its own length for every
+/// [`CACHES_PER_COUNT_INTERVAL`] caches.
+const CACHE_COUNT_INTERVAL: Duration = Duration::from_millis(300);
+const CACHES_PER_COUNT_INTERVAL: u32 = 1000;
+/// A cache that the balancer excludes counts as avoided once nothing has been sent to it for this long.
+const AVOIDED_AFTER: Duration = Duration::from_millis(500);
+/// A timer that fires this late shows that the process was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(30);
+/// The maximum number of list changes that are logged one by one. Of more, only the counts are logged.
+const MAX_LOGGED_CHANGES: usize = 12;
+/// How long the slowness that other nodes have observed is used unless they report it again.
+const PEER_SLOWNESS_TTL_US: Micros = 10_000_000;
 
 /// An attempt that has run to its end.
-struct Ended<C> {
+struct FinishedAttempt<C> {
     id: RequestId,
     attempt: usize,
     reply: Reply,
     server: ServerId,
     addr: std::net::SocketAddr,
+    /// The connection, if another request may reuse it.
     connection: Option<C>,
 }
 
-/// A request that is owed an answer or has an attempt out.
-struct Open {
+/// A request that has not been answered yet or has an attempt in progress.
+struct OpenRequest {
     call: Arc<Call>,
-    /// For the quotas, to be told of its end.
-    ticket: Option<Ticket>,
+    /// Identifies the call to the quotas when it ends.
+    quota_ticket: Option<Ticket>,
     /// Taken by the final answer.
     answer: Option<oneshot::Sender<Answer>>,
-    /// When the client's time is up, less what is kept back.
+    /// When the client's time-out expires, less [`ANSWER_MARGIN_US`].
     deadline: Instant,
-    /// When the client has left.
-    left: ClientLeft,
-    /// By their numbers; nothing once an attempt has ended.
-    attempts: Vec<Option<Running>>,
-    /// Whether a large value is on its way: its end is the request's.
-    flows: bool,
+    /// Set once the client has disconnected.
+    client_left: ClientLeftAt,
+    /// The attempts by number; none once an attempt has ended.
+    attempts: Vec<Option<RunningAttempt>>,
+    /// Whether a large value is being streamed to the client. The end of the stream is then the end of the request.
+    is_streaming: bool,
 }
 
-struct Running {
+impl OpenRequest {
+    /// Whether the request has been answered and no attempt is in progress.
+    fn is_done(&self) -> bool {
+        self.answer.is_none() && self.attempts.iter().all(Option::is_none)
+    }
+}
+
+struct RunningAttempt {
     server: ServerId,
-    sent: Instant,
+    started_at: Instant,
     task: AbortHandle,
-    /// Whether it was given leave to write.
-    begun: bool,
-    /// When it is given up; a large value that has begun is not.
-    timer: Option<delay_queue::Key>,
-    /// After what time a large value began to come.
-    began: Option<Duration>,
+    /// Whether the attempt has received a permit to write.
+    has_permit: bool,
+    /// The attempt's time-out. None once a large value is being streamed, which is not subject to it.
+    timeout: Option<delay_queue::Key>,
+    /// The time from the start until the head of a large value arrived.
+    stream_started_after: Option<Duration>,
 }
 
-enum Due {
-    Module(TimerToken),
-    Attempt(RequestId, usize),
-    Sweep,
-    Count,
-    LastAnswers,
+enum TimerKind {
+    Balancer(TimerToken),
+    AttemptTimeout(RequestId, usize),
+    IdleSweep,
+    CacheCount,
+    FinalAnswers,
 }
 
-/// What other nodes have seen is believed for so long unless it is said again, in microseconds.
-const BELIEVED: Micros = 10_000_000;
-
-/// What a driver holds.
+/// The current numbers of connections and requests of a driver.
 #[derive(Debug, Default)]
 pub struct Gauges {
     connections: AtomicUsize,
-    open: AtomicUsize,
+    open_requests: AtomicUsize,
 }
 
 impl Gauges {
-    /// Connections to servers, in use or idle.
+    /// The number of connections to servers, in use or idle.
     pub fn connections(&self) -> usize {
         self.connections.load(Ordering::Relaxed)
     }
-    /// Requests that are owed an answer or have an attempt out.
+    /// The number of requests that have not been answered yet or have an attempt in progress.
     pub fn open_requests(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_requests.load(Ordering::Relaxed)
     }
 }
 
-/// What a core is made of.
+/// The components and initial state of a driver.
 pub struct Options {
     /// The settings.
     pub setup: Setup,
-    /// For the module's random choices.
+    /// The seed of the balancer's random choices.
     pub seed: u64,
-    /// The list of servers last known. It counts as whole.
+    /// The last known list of servers. It is used as a full list.
     pub initial_list: ServerList,
-    /// Most connections to servers.
+    /// The maximum number of connections to servers.
     pub max_connections: usize,
-    /// Bytes that open requests may hold before fronts stop reading on.
+    /// The memory that open requests may hold before front ends stop reading more.
     pub request_memory_bytes: usize,
-    /// Quotas, before the module.
+    /// The quotas that are applied before the balancer sees a request, if any.
     pub quotas: Option<Admission>,
-    /// What is counted of its work.
+    /// The metrics that the driver updates.
     pub metrics: Book,
-    /// The list's version, where it came from one before this process.
+    /// The version of the initial list, if a predecessor process handed it over.
     pub list_version: Option<u64>,
-    /// What one before this process has learned.
+    /// What the balancer of a predecessor process had learned.
     pub learned: Option<Learned>,
-    /// The part of all bounds that is this process's.
+    /// This process's share of all limits.
     pub resource_share: ResourceShare,
-    /// Where operators may order servers away: the orders that lasted over a restart.
+    /// If operators may override the state of servers: the orders that persisted over a restart.
     pub persisted_orders: Option<Vec<Kept>>,
-    /// Who is told each list that the node's own source tells.
+    /// Receives each list that the node's own source reports.
     pub list_updates: Option<UnboundedSender<ListUpdate>>,
 }
 
-/// What others need to speak to a driver. It runs as long as any of these is left.
+/// The handles for communication with a driver. It runs as long as any of them exists.
 pub struct Handles {
-    /// For fronts.
+    /// For protocol front ends.
     pub requests: Requests,
-    /// For sources of members.
+    /// For membership sources.
     pub members: MembershipHandle,
-    /// For whoever runs it.
+    /// For the process that runs the driver.
     pub core: CoreHandle,
 }
 
-/// Carries out what the module decides, and tells it what happens.
+/// Executes the balancer's decisions and passes events to it.
 pub struct Driver<U: Upstream> {
     balancer: Balancer,
     setup: Setup,
     clock: Clock,
     upstream: U,
     quotas: Option<Admission>,
-    steering: Option<Steering>,
-    lists: Option<UnboundedSender<ListUpdate>>,
-    watched: Watched,
-    /// Who is there, where nodes speak to one another.
-    siblings: Option<PeerStatus>,
-    /// What they hold in common.
-    common: Option<CommonNow>,
+    overrides: Option<Overrides>,
+    list_updates: Option<UnboundedSender<ListUpdate>>,
+    request_log: RequestLog,
+    /// The state of the other nodes, if the nodes communicate with one another.
+    peer_status: Option<PeerStatus>,
+    /// The size of the state that the nodes replicate.
+    replication_statistics: Option<CommonNow>,
     book: Book,
-    /// The version of the list, where its source has one.
-    version: Option<u64>,
-    /// The part of all bounds that is this process's.
-    portion: ResourceShare,
+    /// The version of the list, if its source has one.
+    list_version: Option<u64>,
+    /// This process's share of all limits.
+    resource_share: ResourceShare,
     directory: Directory<U::Connection>,
-    open: HashMap<RequestId, Open>,
-    /// Attempts under way: each holds a connection, or is making one.
-    running: usize,
-    connections: usize,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    /// The number of attempts in progress. Each holds a connection or is establishing one.
+    running_attempts: usize,
+    max_connections: usize,
     gauges: Arc<Gauges>,
-    timers: DelayQueue<Due>,
-    /// What has happened and is not yet told.
+    timers: DelayQueue<TimerKind>,
+    /// Events that have not been passed to the balancer yet.
     events: VecDeque<Event>,
     actions: Vec<Action>,
+    /// Notified when the balancer asks for a subscription to the list.
     subscribe: Arc<Notify>,
-    inbox: UnboundedReceiver<Message>,
-    governor: Arc<Governor>,
-    to_begin: UnboundedSender<Begun>,
-    begun: UnboundedReceiver<Begun>,
-    to_permits: UnboundedSender<PermitRequest>,
+    messages: UnboundedReceiver<Message>,
+    buffer_budget: Arc<BufferBudget>,
+    stream_start_sender: UnboundedSender<StreamStart>,
+    stream_starts: UnboundedReceiver<StreamStart>,
+    permit_request_sender: UnboundedSender<PermitRequest>,
     permit_requests: UnboundedReceiver<PermitRequest>,
-    /// Set once nothing more is taken.
-    over: Arc<AtomicBool>,
-    to_self: UnboundedSender<Ended<U::Connection>>,
-    attempts: UnboundedReceiver<Ended<U::Connection>>,
+    /// Set once no more requests are accepted.
+    shutting_down: Arc<AtomicBool>,
+    finished_sender: UnboundedSender<FinishedAttempt<U::Connection>>,
+    finished_attempts: UnboundedReceiver<FinishedAttempt<U::Connection>>,
 }
 
 impl<U: Upstream> Driver<U> {
-    /// A driver that is to be [run](Driver::run), with what others need to speak to it.
+    /// Creates a driver, which must then be [run](Driver::run), and the handles to communicate with it.
     pub fn new(options: Options, upstream: U) -> (Self, Handles) {
         let (clock, settings) = (Clock::new(), options.setup.settings.clone());
-        let (to, inbox) = unbounded_channel();
-        let (to_self, attempts) = unbounded_channel();
-        let (to_begin, begun) = unbounded_channel();
-        let (to_permits, permit_requests) = unbounded_channel();
+        let (sender, messages) = unbounded_channel();
+        let (finished_sender, finished_attempts) = unbounded_channel();
+        let (stream_start_sender, stream_starts) = unbounded_channel();
+        let (permit_request_sender, permit_requests) = unbounded_channel();
         let subscribe = Arc::new(Notify::new());
-        let asked = settings.must_subscribe.then(|| subscribe.clone());
-        let watched = Watched::new(clock, &options.setup.names);
+        let subscribe_signal = settings.must_subscribe.then(|| subscribe.clone());
+        let request_log = RequestLog::new(clock, &options.setup.names);
         let mut driver = Driver {
             directory: Directory::new(
                 Duration::from_micros(settings.keepalive),
@@ -225,350 +239,372 @@
                 options.metrics.tries(),
             ),
             book: options.metrics,
-            version: options.list_version,
-            portion: options.resource_share.clone(),
+            list_version: options.list_version,
+            resource_share: options.resource_share.clone(),
             balancer: Balancer::new(settings, options.seed, clock.now()),
             setup: options.setup,
             quotas: options.quotas,
-            steering: options.persisted_orders.map(|kept| Steering::new(clock.now(), kept)),
-            lists: options.list_updates,
-            watched,
-            siblings: None,
-            common: None,
+            overrides: options.persisted_orders.map(|kept| Overrides::new(clock.now(), kept)),
+            list_updates: options.list_updates,
+            request_log,
+            peer_status: None,
+            replication_statistics: None,
             clock,
             upstream,
-            open: HashMap::new(),
-            running: 0,
-            connections: options.max_connections,
+            open_requests: HashMap::new(),
+            running_attempts: 0,
+            max_connections: options.max_connections,
             gauges: Arc::default(),
             timers: DelayQueue::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
             subscribe,
-            inbox,
-            governor: Governor::new(options.request_memory_bytes, options.resource_share.clone()),
-            to_begin,
-            begun,
-            to_permits,
+            messages,
+            buffer_budget: BufferBudget::new(options.request_memory_bytes, options.resource_share.clone()),
+            stream_start_sender,
+            stream_starts,
+            permit_request_sender,
             permit_requests,
-            over: Arc::default(),
-            to_self,
-            attempts,
+            shutting_down: Arc::default(),
+            finished_sender,
+            finished_attempts,
         };
-        driver.timers.insert(Due::Sweep, SWEEP);
-        driver.timers.insert(Due::Count, COUNT);
-        driver.list_told(ServerList { full: true, ..options.initial_list }, options.list_version);
-        driver.directory.take_news(); // what is known from the start is none
-        driver.decide();
+        driver.timers.insert(TimerKind::IdleSweep, IDLE_SWEEP_INTERVAL);
+        driver.timers.insert(TimerKind::CacheCount, CACHE_COUNT_INTERVAL);
+        driver.receive_list(ServerList { full: true, ..options.initial_list }, options.list_version);
+        driver.directory.take_changes(); // the initial list is not logged as a change
+        driver.run_balancer();
         if let Some(learned) = &options.learned {
             driver.balancer.resume(learned);
         }
-        driver.count();
+        driver.count_caches();
         let (requests, core) = (
             Requests::new(
-                to.clone(),
+                sender.clone(),
                 options.request_memory_bytes,
                 options.resource_share,
                 driver.book.clone(),
-                driver.over.clone(),
+                driver.shutting_down.clone(),
             ),
-            CoreHandle(to.clone()),
+            CoreHandle(sender.clone()),
         );
-        (driver, Handles { requests, members: MembershipHandle { to, source: "configuration", asked }, core })
+        let members = MembershipHandle { sender, source: "configuration", subscribe: subscribe_signal };
+        (driver, Handles { requests, members, core })
     }
 
-    /// What it holds, kept up to date.
+    /// The driver's gauges, which it keeps up to date.
     pub fn gauges(&self) -> Arc<Gauges> {
         self.gauges.clone()
     }
 
-    /// Runs until nobody can tell it anything.
+    /// Runs until all [`Handles`] have been dropped.
     pub async fn run(mut self) {
-        let mut held_up_until = Instant::now();
+        let mut stalled_until = Instant::now();
         loop {
             tokio::select! {
-                message = self.inbox.recv() => match message {
-                    Some(message) => self.told(message),
+                message = self.messages.recv() => match message {
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(begun) = self.begun.recv() => self.begin(begun),
+                Some(start) = self.stream_starts.recv() => self.stream_started(start),
                 Some(request) = self.permit_requests.recv() => self.permit_requested(request),
-                Some(ended) = self.attempts.recv() => self.ended(ended),
-                Some(due) = poll_fn(|cx| self.timers.poll_expired(cx)) => {
-                    note_hold_up(due.deadline(), &mut held_up_until);
-                    self.due(due.into_inner());
+                Some(finished) = self.finished_attempts.recv() => self.attempt_finished(finished),
+                Some(timer) = poll_fn(|cx| self.timers.poll_expired(cx)) => {
+                    log_stall(timer.deadline(), &mut stalled_until);
+                    self.timer_expired(timer.into_inner());
                 }
             }
-            self.decide();
-            log_news(&self.directory.take_news());
-            self.gauges.open.store(self.open.len(), Ordering::Relaxed);
+            self.run_balancer();
+            log_list_changes(&self.directory.take_changes());
+            self.gauges.open_requests.store(self.open_requests.len(), Ordering::Relaxed);
             stall::record_activity(self.timers.peek().map(|next| self.timers.deadline(&next)));
         }
     }
 
-    fn told(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
+        // An answer that cannot be sent is dropped: whoever asked no longer waits for it.
         match message {
-            Message::Arrived(arrival) => self.arrived(arrival),
-            Message::Gone(id) => self.gone(id),
-            Message::List(list, source, version) => {
-                self.watched.list_told(source);
-                self.version = version;
-                self.list_told(list, version);
+            Message::RequestOpened(request) => self.open_request(request),
+            Message::ClientGone(id) => self.client_gone(id),
+            Message::ListUpdated(list, source, version) => {
+                self.request_log.list_received(source);
+                self.list_version = version;
+                self.receive_list(list, version);
             }
-            Message::HandOver(answer) => drop(answer.send(self.heritage())), // who asked may have left
-            Message::Observe(more) => self.watched.watch(more),
-            Message::PeerStatus(fellows) => self.fellows(fellows),
-            Message::Replicated(what) => self.in_common(what),
-            Message::Sights(answer) => drop(answer.send(self.sights())), // who asked may have left
-            Message::EndAt(at) => {
-                let left = at.saturating_duration_since(Instant::now() + LAST_ANSWERS);
-                self.timers.insert(Due::LastAnswers, left);
+            Message::HandoverState(answer) => drop(answer.send(self.handover_state())),
+            Message::Observe(added) => self.request_log.observe(added),
+            Message::SetPeerStatus(status) => self.set_peer_status(status),
+            Message::ApplyReplicated(update) => self.apply_replicated(update),
+            Message::ObservedSlowness(answer) => drop(answer.send(self.observed_slowness())),
+            Message::ShutDownAt(at) => {
+                let delay = at.saturating_duration_since(Instant::now() + FINAL_ANSWERS_LEAD_TIME);
+                self.timers.insert(TimerKind::FinalAnswers, delay);
             }
-            Message::Look(answer) => drop(answer.send(self.look())), // who asked may have left
-            Message::Quotas(new) => {
+            Message::Snapshot(answer) => drop(answer.send(self.snapshot())),
+            Message::SetQuotas(new) => {
                 if let Some(quotas) = &mut self.quotas {
                     quotas.reload(*new, self.clock.now());
                 }
             }
-            Message::Steer(ask, answer) => {
-                if let Some(steering) = &mut self.steering {
-                    let (done, changes) = steering.ask(self.clock.now(), &ask);
-                    self.steered(changes);
-                    let _ = answer.send(done); // who ordered may have left
+            Message::ApplyOrder(ask, answer) => {
+                if let Some(overrides) = &mut self.overrides {
+                    let (done, changes) = overrides.apply_order(self.clock.now(), &ask);
+                    self.apply_order_changes(changes);
+                    let _ = answer.send(done);
                 }
             }
             Message::OrdersInForce(answer) => {
-                if let Some(steering) = &self.steering {
-                    let _ = answer.send(steering.holding(self.clock.now())); // who asked may have left
+                if let Some(overrides) = &self.overrides {
+                    let _ = answer.send(overrides.orders_in_force(self.clock.now()));
                 }
             }
             Message::Servers(answer) => {
-                if let Some(steering) = &self.steering {
-                    let _ = answer.send(self.servers(steering)); // who asked may have left
+                if let Some(overrides) = &self.overrides {
+                    let _ = answer.send(self.server_statuses(overrides));
                 }
             }
             Message::ListFailed => {
-                self.watched.list_failed();
+                self.request_log.list_failed();
                 self.events.push_back(Event::Members { scope: ListScope::Failed, members: Vec::new() });
             }
         }
     }
 
-    /// Goes by who is there: what may be used, and for how many others there must be room.
-    fn fellows(&mut self, fellows: PeerStatus) {
-        let left = fellows.valid_until.saturating_duration_since(Instant::now());
+    /// Applies the state of the other nodes: the share that this node may use, and the number of nodes that share the
+    /// servers' connections.
+    fn set_peer_status(&mut self, status: PeerStatus) {
+        let left = status.valid_until.saturating_duration_since(Instant::now());
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
-        self.events.push_back(Event::Part { part: f64::from(fellows.share_thousandths) / 1e3, until });
-        self.directory.set_nodes(fellows.node_count());
-        self.book.siblings(fellows.peer_counts);
-        self.siblings = Some(fellows);
+        self.events.push_back(Event::Part { part: f64::from(status.share_thousandths) / 1e3, until });
+        self.directory.set_nodes(status.node_count());
+        self.book.siblings(status.peer_counts);
+        self.peer_status = Some(status);
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Module(token) => self.events.push_back(Event::Timer(token)),
-            Due::Attempt(id, attempt) => self.give_up(id, attempt, Outcome::TimedOut),
-            Due::LastAnswers => self.answer_all(),
-            Due::Sweep => {
-                if let Some(steering) = &mut self.steering {
-                    let over = steering.tick(self.clock.now());
-                    self.steered(over);
+    fn timer_expired(&mut self, timer: TimerKind) {
+        match timer {
+            TimerKind::Balancer(token) => self.events.push_back(Event::Timer(token)),
+            TimerKind::AttemptTimeout(id, attempt) => self.abort_attempt(id, attempt, Outcome::TimedOut),
+            TimerKind::FinalAnswers => self.answer_all_and_stop(),
+            TimerKind::IdleSweep => {
+                if let Some(overrides) = &mut self.overrides {
+                    let changes = overrides.expire_orders(self.clock.now());
+                    self.apply_order_changes(changes);
                 }
                 self.directory.sweep(Instant::now());
-                self.timers.insert(Due::Sweep, SWEEP);
+                self.timers.insert(TimerKind::IdleSweep, IDLE_SWEEP_INTERVAL);
             }
-            Due::Count => {
-                let known = self.count();
-                let pause = COUNT * (1 + u32::try_from(known).unwrap_or(u32::MAX) / COUNTED);
-                self.timers.insert(Due::Count, pause);
+            TimerKind::CacheCount => {
+                let known = u32::try_from(self.count_caches()).unwrap_or(u32::MAX);
+                let pause = CACHE_COUNT_INTERVAL * (1 + known / CACHES_PER_COUNT_INTERVAL);
+                self.timers.insert(TimerKind::CacheCount, pause);
             }
         }
     }
 
-    /// Counts the caches of the list, and those of them that are avoided: drained, or left out by the module and sent
-    /// nothing for a while. Tells how many there are.
+    /// Counts the listed caches and those among them that are avoided: drained, or excluded by the balancer and sent
+    /// nothing for a while. Returns the number of listed caches.
     ///
-    /// Guards against: caches counted as avoided for one attempt that is overdue, while others go there.
-    fn count(&self) -> usize {
-        let (mut known, mut skipped, now) = (0, 0, Instant::now());
-        for (id, serves, sent) in self.directory.caches() {
+    /// The condition on time prevents a cache from being counted as avoided because one attempt is overdue while
+    /// others are still sent to it.
+    fn count_caches(&self) -> usize {
+        let (mut known, mut avoided, now) = (0, 0, Instant::now());
+        for (id, is_serving, last_sent) in self.directory.caches() {
             known += 1;
-            let left_out =
+            let is_excluded =
                 || self.balancer.server(id).is_some_and(|view| view.cut_off || view.silent.is_some());
-            let tried = sent.is_some_and(|sent| now < sent + AVOIDED);
-            skipped += usize::from(!serves || !tried && left_out());
+            let recently_used = last_sent.is_some_and(|last_sent| now < last_sent + AVOIDED_AFTER);
+            avoided += usize::from(!is_serving || !recently_used && is_excluded());
         }
-        self.book.caches(known, skipped);
+        self.book.caches(known, avoided);
         known
     }
 
-    /// Tells the module what has happened, and does what it asks for, until nothing is left.
-    fn decide(&mut self) {
+    /// Passes events to the balancer and executes its actions, until no event is left.
+    fn run_balancer(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.on_event(self.clock.now(), event, &mut actions);
-            actions.drain(..).for_each(|action| self.carry_out(action));
+            actions.drain(..).for_each(|action| self.execute(action));
             self.actions = actions;
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.send(id, server, Duration::from_micros(timeout)),
-            Action::Cancel { id, attempt } => self.give_up(id, attempt, Outcome::Canceled),
+            Action::Send { id, server, timeout } => {
+                self.start_attempt(id, server, Duration::from_micros(timeout));
+            }
+            Action::Cancel { id, attempt } => self.abort_attempt(id, attempt, Outcome::Canceled),
             Action::Refuse { id, retry_after } => self.answer(id, Answer::Busy(retry_after)),
             Action::Fail(id) => self.answer(id, Answer::Failed),
             Action::SetTimer { after, token } => {
-                self.timers.insert(Due::Module(token), Duration::from_micros(after).min(LONGEST_TIMER));
+                let delay = Duration::from_micros(after).min(MAX_TIMER_DELAY);
+                self.timers.insert(TimerKind::Balancer(token), delay);
             }
             Action::Subscribe => self.subscribe.notify_one(),
         }
     }
 
-    /// A list of the node's own source.
-    fn list_told(&mut self, list: ServerList, version: Option<u64>) {
-        if let Some(lists) = &self.lists {
-            let _ = lists.send(ListUpdate { list: list.clone(), version }); // who tells others may have ended
+    /// Applies a list of the node's own source and passes it on to [`Options::list_updates`].
+    fn receive_list(&mut self, list: ServerList, version: Option<u64>) {
+        if let Some(list_updates) = &self.list_updates {
+            // The receiver may have ended.
+            let _ = list_updates.send(ListUpdate { list: list.clone(), version });
         }
-        self.list(list);
+        let list = match &mut self.overrides {
+            Some(overrides) => {
+                overrides.apply_list(self.clock.now(), list, |kind| self.setup.is_origin(kind))
+            }
+            None => list,
+        };
+        self.update_members(list);
     }
 
-    /// Goes by what the nodes hold in common.
-    fn in_common(&mut self, what: ReplicatedUpdate) {
-        let (now, steering) = (self.clock.now(), self.steering.as_mut());
-        match (what, steering) {
-            (ReplicatedUpdate::Orders { complete, orders }, Some(steering)) => {
-                let changes = steering.common(now, complete, orders);
-                self.steered(changes);
+    /// Applies an update of the state that the nodes replicate.
+    fn apply_replicated(&mut self, update: ReplicatedUpdate) {
+        let (now, overrides) = (self.clock.now(), self.overrides.as_mut());
+        match (update, overrides) {
+            (ReplicatedUpdate::Orders { complete, orders }, Some(overrides)) => {
+                let changes = overrides.apply_replicated_orders(now, complete, orders);
+                self.apply_order_changes(changes);
             }
-            (ReplicatedUpdate::RemovedByPeers(servers), Some(steering)) => {
-                let changes = steering.hearsay(now, servers);
-                self.steered(changes);
+            (ReplicatedUpdate::RemovedByPeers(servers), Some(overrides)) => {
+                let changes = overrides.set_removed_by_peers(now, servers);
+                self.apply_order_changes(changes);
             }
-            (ReplicatedUpdate::PeerSlowness(believed), _) => self.believe(now, &believed),
-            (ReplicatedUpdate::Statistics(seen), _) => {
-                self.book.common([seen.records, seen.conflicts, usize::from(seen.behind)]);
-                self.common = Some(seen);
+            (ReplicatedUpdate::PeerSlowness(slowness), _) => self.set_peer_slowness(now, &slowness),
+            (ReplicatedUpdate::Statistics(statistics), _) => {
+                let behind = usize::from(statistics.behind);
+                self.book.common([statistics.records, statistics.conflicts, behind]);
+                self.replication_statistics = Some(statistics);
             }
             (_, None) => {}
         }
     }
 
-    /// Tells the module what other nodes have seen of servers, and of the others of the list that they have seen nothing.
-    fn believe(&mut self, now: Micros, believed: &BTreeMap<String, f64>) {
-        let known = self.directory.by_name();
-        let told = known.into_iter().map(|(name, (server, ..))| {
-            let slowness = believed.get(name).copied();
+    /// Passes the slowness that other nodes have observed to the balancer, and for all other listed servers that
+    /// they have observed none.
+    fn set_peer_slowness(&mut self, now: Micros, slowness_by_name: &BTreeMap<String, f64>) {
+        let listed = self.directory.by_name();
+        let events = listed.into_iter().map(|(name, (server, ..))| {
+            let slowness = slowness_by_name.get(name).copied();
             Event::Told {
                 server,
                 slowness: slowness.unwrap_or(0.0),
-                until: slowness.map_or(0, |_| now + BELIEVED),
+                until: slowness.map_or(0, |_| now + PEER_SLOWNESS_TTL_US),
             }
         });
-        self.events.extend(told.collect::<Vec<_>>());
+        self.events.extend(events.collect::<Vec<_>>());
     }
 
-    /// What this node has seen of servers by its own requests.
-    fn sights(&self) -> BTreeMap<String, f64> {
+    /// The slowness of servers as observed by this node's own requests, by server name.
+    fn observed_slowness(&self) -> BTreeMap<String, f64> {
         let names = self.directory.names();
-        let seen = |(id, name): (&ServerId, &&str)| {
+        let slowness = |(id, name): (&ServerId, &&str)| {
             let view = self.balancer.server(*id)?;
             let silent = view.silent.is_some_and(|tries| tries > 0);
             Some(((*name).to_owned(), if silent { f64::INFINITY } else { view.seen }))
         };
-        names.iter().filter_map(seen).collect()
-    }
-
-    fn list(&mut self, list: ServerList) {
-        let list = match &mut self.steering {
-            Some(steering) => steering.list(self.clock.now(), list, |kind| self.setup.is_origin(kind)),
-            None => list,
-        };
-        self.enter(list);
+        names.iter().filter_map(slowness).collect()
     }
 
-    /// Walks over all that is open: asked by an operator, not by each request.
-    fn heritage(&self) -> HandoverState {
+    /// The state for a successor process. Iterates over all servers, so it is called for a handover and not for each
+    /// request.
+    fn handover_state(&self) -> HandoverState {
         let list = ServerList { full: true, servers: self.directory.entries() };
-        HandoverState { version: self.version, list, learned: self.balancer.learned() }
+        HandoverState { version: self.list_version, list, learned: self.balancer.learned() }
     }
 
-    fn servers(&self, steering: &Steering) -> Vec<ServerStatus> {
-        let mut out: HashMap<ServerId, usize> = HashMap::new();
-        for running in self.open.values().flat_map(|open| open.attempts.iter().flatten()) {
-            *out.entry(running.server).or_default() += 1;
+    fn server_statuses(&self, overrides: &Overrides) -> Vec<ServerStatus> {
+        let mut in_flight: HashMap<ServerId, usize> = HashMap::new();
+        for running in self.open_requests.values().flat_map(|open| open.attempts.iter().flatten()) {
+            *in_flight.entry(running.server).or_default() += 1;
         }
-        let known = self.directory.by_name();
-        steering.servers(|name| {
-            let (id, serves, idle) = known.get(name).copied().unwrap_or((ServerId(0), false, 0));
-            (serves, out.get(&id).copied().unwrap_or(0), idle)
+        let listed = self.directory.by_name();
+        overrides.servers(|name| {
+            let (id, is_serving, idle) = listed.get(name).copied().unwrap_or((ServerId(0), false, 0));
+            (is_serving, in_flight.get(&id).copied().unwrap_or(0), idle)
         })
     }
 
-    /// What orders change. Where they change nothing the module is told nothing: it would take that for an answer
-    /// of the list's source.
-    fn steered(&mut self, changes: ServerList) {
+    /// Applies the changes that orders make. If they change nothing, the balancer gets no event, because it would take
+    /// one for an answer of the list's source.
+    fn apply_order_changes(&mut self, changes: ServerList) {
         if !changes.servers.is_empty() {
-            self.enter(changes);
+            self.update_members(changes);
         }
     }
 
-    fn enter(&mut self, list: ServerList) {
+    fn update_members(&mut self, list: ServerList) {
         let scope = if list.full { ListScope::Full } else { ListScope::Delta };
-        let discards = |kind: &str| self.upstream.deduplicates_writes(kind);
-        let members = self.directory.apply(list, &mut self.setup, discards);
+        let deduplicates = |kind: &str| self.upstream.deduplicates_writes(kind);
+        let members = self.directory.apply(list, &mut self.setup, deduplicates);
         self.events.push_back(Event::Members { scope, members });
-        self.count();
+        self.count_caches();
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { id, call, at, answer } = arrival;
+    fn open_request(&mut self, request: NewRequest) {
+        let NewRequest { id, call, received_at, answer } = request;
         self.book.taken();
-        debug!(request = id.0, id = %String::from_utf8_lossy(&call.id), wait_us = call.wait(), "taken");
-        if self.over.load(Ordering::Relaxed) {
+        debug!(
+            request = id.0,
+            id = %String::from_utf8_lossy(&call.id),
+            wait_us = call.client_timeout(),
+            "request received"
+        );
+        if self.shutting_down.load(Ordering::Relaxed) {
             self.book.ended(call.class, Some(End::Dropped));
-            return drop(answer.send(Answer::Busy(0))); // the client may have left
+            return drop(answer.send(Answer::Busy(0))); // the client may have disconnected
         }
-        let ticket = match &mut self.quotas {
+        let quota_ticket = match &mut self.quotas {
             None => None,
-            Some(quotas) => match quotas.ask(self.clock.now(), &call, &self.setup.settings) {
+            Some(quotas) => match quotas.admit(self.clock.now(), &call, &self.setup.settings) {
                 Ok(ticket) => ticket,
-                // Over its share: at once, as what the module refuses.
-                Err(wait) => {
-                    self.watched.over_share(call.tenant);
+                // Over its share: refused at once, like requests that the balancer refuses.
+                Err(retry_after) => {
+                    self.request_log.refused_over_share(call.tenant);
                     self.book.ended(call.class, Some(End::Dropped));
-                    let wait = wait.min(self.setup.settings.max_retry_after);
-                    return drop(answer.send(Answer::Busy(wait))); // the client may have left
+                    let retry_after = retry_after.min(self.setup.settings.max_retry_after);
+                    return drop(answer.send(Answer::Busy(retry_after))); // the client may have disconnected
                 }
             },
         };
-        let spent = at.elapsed().as_micros() as Micros + ON_THE_WAY;
+        let spent = received_at.elapsed().as_micros() as Micros + ANSWER_MARGIN_US;
         let request = Request {
             id,
             class: call.class,
-            // Whose share it is has been judged: the module would have it pay once more.
+            // The quotas have already charged the tenant's share; the balancer would charge it again.
             tenant: call.tenant.filter(|_| self.quotas.is_none()),
             key: Some(call.key.clone()),
-            budget: call.wait().saturating_sub(spent),
+            budget: call.client_timeout().saturating_sub(spent),
             write: call.is_write(),
             keyed: !call.is_write() || call.idempotency_key.is_some(),
         };
         let effect =
             call.class.and_then(|class| self.setup.settings.classes.get(class)).map(|class| class.effect);
-        self.watched.arrived(&request, call.wait(), effect);
+        self.request_log.request_opened(&request, call.client_timeout(), effect);
         let deadline = Instant::now() + Duration::from_micros(request.budget);
-        let (left, attempts) = Default::default();
-        let open = Open { call, ticket, answer: Some(answer), deadline, left, attempts, flows: false };
-        self.open.insert(id, open);
+        let (client_left, attempts) = Default::default();
+        let open = OpenRequest {
+            call,
+            quota_ticket,
+            answer: Some(answer),
+            deadline,
+            client_left,
+            attempts,
+            is_streaming: false,
+        };
+        self.open_requests.insert(id, open);
         self.events.push_back(Event::Request(request));
     }
 
-    fn gone(&mut self, id: RequestId) {
-        if let Some(open) = self.open.get_mut(&id) {
-            let _ = open.left.set(Instant::now()); // it leaves once
-            debug!(request = id.0, attempts = open.attempts.len(), "its client has left");
+    fn client_gone(&mut self, id: RequestId) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
+            let _ = open.client_left.set(Instant::now()); // a client disconnects only once
+            debug!(request = id.0, attempts = open.attempts.len(), "client disconnected");
             if open.answer.take().is_some() {
-                self.watched.answered(id, Kind::Gone, || &open.call.key);
+                self.request_log.request_answered(id, Kind::Gone, || &open.call.key);
                 self.book.ended(open.call.class, None);
             }
             self.events.push_back(Event::ClientGone(id));
@@ -576,37 +612,39 @@
         }
     }
 
-    /// The process is about to end: all that is owed is answered, with no promise, and nothing more is taken.
-    fn answer_all(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        let owed = self.open.iter().filter(|(_, open)| open.answer.is_some());
-        let owed: Vec<RequestId> = owed.map(|(id, _)| *id).collect();
-        for id in owed {
+    /// Called shortly before the process ends: answers all open requests as failed, without a statement about their
+    /// effect, and stops accepting new ones.
+    fn answer_all_and_stop(&mut self) {
+        self.shutting_down.store(true, Ordering::Relaxed);
+        let unanswered = self.open_requests.iter().filter(|(_, open)| open.answer.is_some());
+        let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
+        for id in unanswered {
             self.answer(id, Answer::Failed);
             self.events.push_back(Event::ClientGone(id));
         }
     }
 
-    /// The final answer; a second one goes nowhere.
+    /// Sends the final answer of a request, unless it has been answered before.
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(open) = self.open.get_mut(&id)
+        if let Some(open) = self.open_requests.get_mut(&id)
             && let Some(sender) = open.answer.take()
         {
-            debug!(request = id.0, attempts = open.attempts.len(), answer = ?kind(&answer), "answered");
-            self.watched.answered(id, kind(&answer), || &open.call.key);
-            self.book.ended(open.call.class, Some(end(&answer)));
-            let _ = sender.send(answer); // the client may have left
+            let kind = answer_kind(&answer);
+            debug!(request = id.0, attempts = open.attempts.len(), answer = ?kind, "request answered");
+            self.request_log.request_answered(id, kind, || &open.call.key);
+            self.book.ended(open.call.class, Some(answer_end(&answer)));
+            let _ = sender.send(answer); // the client may have disconnected
         }
         self.close_if_done(id);
     }
 
+    /// Removes a request that has been answered and has no attempt in progress.
     fn close_if_done(&mut self, id: RequestId) {
-        let done = |open: &Open| open.answer.is_none() && open.attempts.iter().all(Option::is_none);
-        if !self.open.get(&id).is_some_and(done) {
+        if !self.open_requests.get(&id).is_some_and(OpenRequest::is_done) {
             return;
         }
-        self.watched.closed(id);
-        if let Some(Open { ticket: Some(ticket), attempts, .. }) = self.open.remove(&id)
+        self.request_log.request_closed(id);
+        if let Some(OpenRequest { quota_ticket: Some(ticket), attempts, .. }) = self.open_requests.remove(&id)
             && let Some(quotas) = &mut self.quotas
         {
             quotas.done(self.clock.now(), ticket, !attempts.is_empty());
@@ -614,7 +652,8 @@
     }
 }
 
-fn end(answer: &Answer) -> End {
+/// The end of a request, as the metrics count it.
+fn answer_end(answer: &Answer) -> End {
     match answer {
         Answer::Served(_) | Answer::Streaming(_) => End::Passed,
         Answer::Busy(_) => End::Dropped,
@@ -622,28 +661,30 @@
     }
 }
 
-/// Logs that a timer fired late, once for each time that the process was held up.
-fn note_hold_up(due: Instant, held_up_until: &mut Instant) {
+/// Logs that a timer fired late, once for each stall of the process.
+fn log_stall(due: Instant, stalled_until: &mut Instant) {
     let now = Instant::now();
     let late = now.saturating_duration_since(due);
-    if late >= HELD_UP && due > *held_up_until {
-        warn!(late_ms = late.as_millis() as u64, "the process was held up");
-        *held_up_until = now;
+    if late >= STALL_THRESHOLD && due > *stalled_until {
+        warn!(late_ms = late.as_millis() as u64, "the process was stalled: a timer fired late");
+        *stalled_until = now;
     }
 }
 
-/// What a list has changed.
-fn log_news(news: &[(String, News)]) {
-    if news.len() > NAMED {
-        let count = |of: News| news.iter().filter(|(_, news)| *news == of).count();
-        let (serve, drain, gone) = (count(News::Serves), count(News::Drains), count(News::Gone));
-        return info!(serve, drain, gone, "the list has changed");
+/// Logs the changes that a list has made.
+fn log_list_changes(changes: &[(String, ListChange)]) {
+    if changes.len() > MAX_LOGGED_CHANGES {
+        let count = |wanted: ListChange| changes.iter().filter(|(_, change)| *change == wanted).count();
+        let serve = count(ListChange::Serving);
+        let drain = count(ListChange::Draining);
+        let gone = count(ListChange::Removed);
+        return info!(serve, drain, gone, "the list of servers has changed");
     }
-    for (server, news) in news {
-        match news {
-            News::Serves => info!(server, "serves"),
-            News::Drains => info!(server, "drains: nothing new is sent there"),
-            News::Gone => info!(server, "has left the list"),
+    for (server, change) in changes {
+        match change {
+            ListChange::Serving => info!(server, "server is in service"),
+            ListChange::Draining => info!(server, "server is draining: no new requests are sent to it"),
+            ListChange::Removed => info!(server, "server has been removed from the list"),
         }
     }
 }
--- a/crates/core/src/driver/attempts.rs
+++ b/crates/core/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: they are started with a permit, given up, and end.
+//! Starts attempts, grants them permits, aborts them, and processes their results.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,50 +10,61 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-use super::{Driver, Due, Ended, LONGEST_TIMER, Running};
+use super::{Driver, FinishedAttempt, MAX_TIMER_DELAY, RunningAttempt, TimerKind};
 use crate::attempt;
 use crate::call::Answer;
-use crate::directory::Facts;
+use crate::directory::AttemptContext;
 use crate::permit::{Permit, PermitRequest, PermitRequester};
 use crate::upstream::{Target, Upstream};
-use crate::value_stream::{Begun, Opening};
+use crate::value_stream::{StreamStart, StreamStarter};
 
 impl<U: Upstream> Driver<U> {
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, wait: Duration) {
+    /// Starts an attempt at a server. It ends at once as ignored if the server is not listed or the connection limit
+    /// has been reached.
+    pub(super) fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let now = Instant::now();
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         let attempt = open.attempts.len();
-        let (to, governor) = (self.to_begin.clone(), self.governor.clone());
-        let opening = Opening { id, attempt, to, governor };
-        let (deadline, left) = (open.deadline, open.left.clone());
-        let facts = Facts { deadline, left, violations: self.book.violations() };
-        let place = self.directory.check_out(server, now, opening, facts).filter(|(_, pooled)| {
-            let held = self.running + self.directory.idle();
-            self.gauges.connections.store(held, Ordering::Relaxed);
-            let most = self.portion.of(self.connections);
-            if pooled.is_none() && held >= most {
-                self.directory.close_oldest();
+        let (sender, budget) = (self.stream_start_sender.clone(), self.buffer_budget.clone());
+        let stream_starter = StreamStarter { id, attempt, sender, budget };
+        let (deadline, client_left) = (open.deadline, open.client_left.clone());
+        let context = AttemptContext { deadline, client_left, violations: self.book.violations() };
+        let checked_out = self.directory.check_out(server, now, stream_starter, context);
+        let checked_out = checked_out.filter(|(_, pooled)| {
+            let connections = self.running_attempts + self.directory.idle_count();
+            self.gauges.connections.store(connections, Ordering::Relaxed);
+            let max_connections = self.resource_share.of(self.max_connections);
+            if pooled.is_none() && connections >= max_connections {
+                self.directory.close_least_recently_used();
             }
-            pooled.is_some() || self.running < most
+            pooled.is_some() || self.running_attempts < max_connections
         });
-        let Some((target, pooled)) = place else {
+        let Some((target, pooled)) = checked_out else {
             open.attempts.push(None);
-            self.watched.ended(id, server, Outcome::Ignored, Duration::ZERO);
-            return self.tell_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
+            self.request_log.attempt_ended(id, server, Outcome::Ignored, Duration::ZERO);
+            return self.report_attempt_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
         };
-        let timer = Some(self.timers.insert(Due::Attempt(id, attempt), wait.min(LONGEST_TIMER)));
-        // With a connection at hand it begins now; without, once that is up.
-        let permit = pooled.as_ref().and_then(|_| self.permit(id, attempt));
-        let task = self.start((id, attempt), server, target, pooled, permit);
-        let open = self.open.get_mut(&id).expect("looked up above");
-        let begun = permit.is_some();
-        open.attempts.push(Some(Running { server, sent: now, task, begun, timer, began: None }));
-        debug!(request = id.0, attempt, server = server.0, pooled = begun, "an attempt is made");
-        self.watched.sent(id, server);
-        self.running += 1;
+        let timer_kind = TimerKind::AttemptTimeout(id, attempt);
+        let timer = Some(self.timers.insert(timer_kind, timeout.min(MAX_TIMER_DELAY)));
+        // With a pooled connection the attempt starts now; otherwise, once a connection is established.
+        let permit = pooled.as_ref().and_then(|_| self.grant_permit(id, attempt));
+        let task = self.spawn_attempt((id, attempt), server, target, pooled, permit);
+        let open = self.open_requests.get_mut(&id).expect("looked up above");
+        let has_permit = permit.is_some();
+        open.attempts.push(Some(RunningAttempt {
+            server,
+            started_at: now,
+            task,
+            has_permit,
+            timeout: timer,
+            stream_started_after: None,
+        }));
+        debug!(request = id.0, attempt, server = server.0, pooled = has_permit, "attempt started");
+        self.request_log.attempt_started(id, server);
+        self.running_attempts += 1;
     }
 
-    fn start(
+    fn spawn_attempt(
         &self,
         (id, attempt): (RequestId, usize),
         server: ServerId,
@@ -61,140 +72,147 @@
         pooled: Option<U::Connection>,
         permit: Option<Permit>,
     ) -> AbortHandle {
-        let (call, to, upstream) = (self.open[&id].call.clone(), self.to_self.clone(), self.upstream.clone());
+        let call = self.open_requests[&id].call.clone();
+        let (finished_sender, upstream) = (self.finished_sender.clone(), self.upstream.clone());
         let connect_timeout = Duration::from_micros(self.setup.connect_timeout);
-        let requester = PermitRequester { id, attempt, to: self.to_permits.clone(), permit };
+        let sender = self.permit_request_sender.clone();
+        let permit_requester = PermitRequester { id, attempt, sender, permit };
         let work = async move {
             let addr = target.addr;
             let (reply, connection) =
-                attempt::run(upstream, target, pooled, &call, requester, connect_timeout).await;
-            let _ = to.send(Ended { id, attempt, reply, server, addr, connection }); // nobody waits for it once the node ends
+                attempt::run(upstream, target, pooled, &call, permit_requester, connect_timeout).await;
+            let finished = FinishedAttempt { id, attempt, reply, server, addr, connection };
+            let _ = finished_sender.send(finished); // the driver may have ended
         };
         tokio::spawn(work).abort_handle()
     }
 
-    /// An attempt whose connection is up asks whether it may begin.
+    /// Answers an attempt that asks, with its connection established, whether it may start.
     pub(super) fn permit_requested(&mut self, PermitRequest { id, attempt, answer }: PermitRequest) {
-        let permit = self.permit(id, attempt);
-        let running = self.open.get_mut(&id).and_then(|open| open.attempts.get_mut(attempt)?.as_mut());
-        if let Some(running) = running {
-            running.begun |= permit.is_some();
+        let permit = self.grant_permit(id, attempt);
+        let open = self.open_requests.get_mut(&id);
+        if let Some(running) = open.and_then(|open| open.attempts.get_mut(attempt)?.as_mut()) {
+            running.has_permit |= permit.is_some();
         }
-        let _ = answer.send(permit); // it may have been given up
+        let _ = answer.send(permit); // the attempt may have been aborted
     }
 
-    /// Leave for an attempt to begin now, if the decision module gives it.
-    fn permit(&mut self, id: RequestId, attempt: usize) -> Option<Permit> {
-        let deadline = self.open.get(&id)?.deadline;
+    /// A permit to start an attempt now, if the balancer confirms its decision.
+    fn grant_permit(&mut self, id: RequestId, attempt: usize) -> Option<Permit> {
+        let deadline = self.open_requests.get(&id)?.deadline;
         match self.balancer.begin(self.clock.now(), id, attempt) {
-            Ok(_) => Some(Permit { deadline, given: Instant::now() }),
-            Err(why) => {
-                debug!(request = id.0, attempt, "an attempt is withheld: {why}");
+            Ok(_) => Some(Permit { deadline, granted_at: Instant::now() }),
+            Err(reason) => {
+                debug!(request = id.0, attempt, "attempt not permitted to start: {reason}");
                 self.book.withheld();
                 None
             }
         }
     }
 
-    /// Strikes an attempt off; nothing if it has ended before.
-    fn close(&mut self, id: RequestId, attempt: usize) -> Option<Running> {
-        let running = self.open.get_mut(&id)?.attempts.get_mut(attempt)?.take()?;
-        self.running -= 1;
+    /// Removes an attempt from those in progress. None if it has ended before.
+    fn take_attempt(&mut self, id: RequestId, attempt: usize) -> Option<RunningAttempt> {
+        let running = self.open_requests.get_mut(&id)?.attempts.get_mut(attempt)?.take()?;
+        self.running_attempts -= 1;
         Some(running)
     }
 
-    /// Stops waiting for an attempt: its connection closes.
-    pub(super) fn give_up(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        let Some(running) = self.close(id, attempt) else { return };
+    /// Aborts an attempt, which closes its connection.
+    pub(super) fn abort_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        let Some(running) = self.take_attempt(id, attempt) else { return };
         running.task.abort();
-        // Without leave to begin nothing was written: it never ran.
-        let never_up = outcome == Outcome::TimedOut && !running.begun;
-        let outcome = if never_up { Outcome::ConnectError } else { outcome };
-        if let Some(timer) = running.timer.filter(|_| outcome == Outcome::Canceled) {
+        // Without a permit nothing was written, so the server never received the request.
+        let never_connected = outcome == Outcome::TimedOut && !running.has_permit;
+        let outcome = if never_connected { Outcome::ConnectError } else { outcome };
+        if let Some(timer) = running.timeout.filter(|_| outcome == Outcome::Canceled) {
             self.timers.try_remove(&timer);
         }
-        let elapsed = running.sent.elapsed();
-        self.watched.ended(id, running.server, outcome, elapsed);
-        self.tell_end(id, attempt, outcome, elapsed, None);
+        let elapsed = running.started_at.elapsed();
+        self.request_log.attempt_ended(id, running.server, outcome, elapsed);
+        self.report_attempt_end(id, attempt, outcome, elapsed, None);
     }
 
-    pub(super) fn ended(&mut self, ended: Ended<U::Connection>) {
-        // A value that came whole at once has begun before it ended.
-        while let Ok(begun) = self.begun.try_recv() {
-            self.begin(begun);
+    pub(super) fn attempt_finished(&mut self, finished: FinishedAttempt<U::Connection>) {
+        // A streamed value that arrived all at once must have started before its attempt finishes.
+        while let Ok(start) = self.stream_starts.try_recv() {
+            self.stream_started(start);
         }
-        let Ended { id, attempt, reply, server, addr, connection } = ended;
-        let running = self.close(id, attempt);
+        let FinishedAttempt { id, attempt, reply, server, addr, connection } = finished;
+        let running = self.take_attempt(id, attempt);
         if let Some(connection) = connection {
             self.directory.check_in(server, addr, connection, Instant::now());
         }
-        let Some(running) = running else { return }; // given up before: a late outcome changes nothing
-        if let Some(timer) = running.timer {
+        let Some(running) = running else { return }; // aborted before: a late outcome changes nothing
+        if let Some(timer) = running.timeout {
             self.timers.try_remove(&timer);
         }
-        // How long a client takes to read says nothing of the server.
-        let began = running.began.filter(|_| reply.outcome == Outcome::Ok);
-        let elapsed = began.unwrap_or_else(|| running.sent.elapsed());
+        // For a streamed value only the time until its head counts: how long the client takes to read the rest says
+        // nothing about the server.
+        let stream_started_after = running.stream_started_after.filter(|_| reply.outcome == Outcome::Ok);
+        let elapsed = stream_started_after.unwrap_or_else(|| running.started_at.elapsed());
         if reply.outcome == Outcome::Ok {
             self.directory.record_answer(server, elapsed);
         }
-        if running.began.is_some() {
-            self.flowed(id, reply.outcome);
+        if running.stream_started_after.is_some() {
+            self.stream_ended(id, reply.outcome);
         }
-        self.watched.ended(id, running.server, reply.outcome, elapsed);
+        self.request_log.attempt_ended(id, running.server, reply.outcome, elapsed);
         if reply.outcome == Outcome::Ok
-            && let Some(open) = self.open.get_mut(&id)
+            && let Some(open) = self.open_requests.get_mut(&id)
             && let Some(sender) = open.answer.take()
         {
-            self.watched.answered(id, Kind::Served, || &open.call.key);
+            self.request_log.request_answered(id, Kind::Served, || &open.call.key);
             self.book.ended(open.call.class, Some(End::Passed));
-            let _ = sender.send(Answer::Served(reply.result)); // the client may have left
+            let _ = sender.send(Answer::Served(reply.result)); // the client may have disconnected
         }
-        self.tell_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
+        self.report_attempt_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
     }
 
-    /// The head of a large value has come. The first one is the client's.
-    pub(super) fn begin(&mut self, begun: Begun) {
-        let Begun { id, attempt, flow } = begun;
-        let Some(open) = self.open.get_mut(&id) else { return };
+    /// Processes the head of a large value. The first one of a request is streamed to the client.
+    pub(super) fn stream_started(&mut self, start: StreamStart) {
+        let StreamStart { id, attempt, stream } = start;
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         let Some(running) = open.attempts.get_mut(attempt).and_then(Option::as_mut) else { return };
-        // Answered already: the attempt hears that nobody wants its value when the flow is dropped.
+        // If the request has been answered, dropping the stream tells the attempt that its value is not needed.
         let Some(sender) = open.answer.take() else { return };
-        running.began = Some(running.sent.elapsed());
-        if let Some(timer) = running.timer.take() {
+        running.stream_started_after = Some(running.started_at.elapsed());
+        if let Some(timer) = running.timeout.take() {
             self.timers.try_remove(&timer);
         }
-        open.flows = true;
-        let _ = sender.send(Answer::Streaming(flow)); // the client may have left
+        open.is_streaming = true;
+        let _ = sender.send(Answer::Streaming(stream)); // the client may have disconnected
         self.events.push_back(Event::FirstByte { id, attempt });
     }
 
-    /// A large value has ended, and with it its request.
-    fn flowed(&mut self, id: RequestId, outcome: Outcome) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.flows) else { return };
-        open.flows = false;
+    /// Records the end of a large value, which is the end of its request.
+    fn stream_ended(&mut self, id: RequestId, outcome: Outcome) {
+        let Some(open) = self.open_requests.get_mut(&id).filter(|open| open.is_streaming) else { return };
+        open.is_streaming = false;
         let (kind, end) = match outcome {
             Outcome::Ok => (Kind::Served, Some(End::Passed)),
-            Outcome::Canceled => (Kind::Gone, None), // its client has left
+            Outcome::Canceled => (Kind::Gone, None), // the client has disconnected
             _ => (Kind::Failed, Some(End::Failed)),
         };
-        self.watched.answered(id, kind, || &open.call.key);
+        self.request_log.request_answered(id, kind, || &open.call.key);
         self.book.ended(open.call.class, end);
     }
 
-    fn tell_end(
+    /// Reports the end of an attempt to the balancer.
+    fn report_attempt_end(
         &mut self,
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
         elapsed: Duration,
-        hit: Option<bool>,
+        cache_hit: Option<bool>,
     ) {
-        debug!(request = id.0, attempt, ?outcome, ms = elapsed.as_millis() as u64, "an attempt has ended");
-        // Guards against: a large value cut off, since the end of an attempt that came second ends its request.
-        let settled = self.open.get(&id).is_none_or(|open| open.answer.is_none() && !open.flows);
+        debug!(request = id.0, attempt, ?outcome, ms = elapsed.as_millis() as u64, "attempt ended");
+        // A request whose value is being streamed is not settled. Otherwise the end of the other attempt would end the
+        // request and cut the value off.
+        let settled =
+            self.open_requests.get(&id).is_none_or(|open| open.answer.is_none() && !open.is_streaming);
         let elapsed = elapsed.as_micros() as Micros;
-        let end = AttemptEnd { elapsed, settled, hit, ..AttemptEnd::new(id, attempt, outcome) };
+        let end = AttemptEnd { elapsed, settled, hit: cache_hit, ..AttemptEnd::new(id, attempt, outcome) };
         self.events.push_back(Event::Outcome(end));
         self.close_if_done(id);
     }
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -1,4 +1,4 @@
-//! What the driver tells of itself, for whoever watches.
+//! Builds snapshots of the driver's state for operators.
 
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -13,7 +13,8 @@
 use crate::overrides::ServerStatus;
 use crate::upstream::Upstream;
 
-fn waits(waiting: Waiting) -> Waits {
+/// What a request waits for, as observers report it.
+fn to_waits(waiting: Waiting) -> Waits {
     match waiting {
         Waiting::Nothing => Waits::Nothing,
         Waiting::Flight => Waits::Fetch,
@@ -22,95 +23,99 @@
     }
 }
 
-/// What is out at a server.
+/// The attempts in flight at a server.
 #[derive(Clone, Copy, Default)]
-struct Out {
+struct InFlight {
     count: usize,
-    oldest: Option<Instant>,
-    /// When the last of it is given up at the latest.
-    free: Option<Instant>,
+    oldest_start: Option<Instant>,
+    /// When the last of them times out.
+    last_timeout: Option<Instant>,
 }
 
 impl<U: Upstream> Driver<U> {
-    /// The node at this moment. Walks over all that is open and listed: asked a few times a second at most, not by
-    /// each request.
-    pub(super) fn look(&mut self) -> Snapshot {
+    /// The current state of the node. Iterates over all open requests and listed servers, so it is called a few times
+    /// per second at most and not for each request.
+    pub(super) fn snapshot(&mut self) -> Snapshot {
         let now = self.clock.now();
-        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut snapshot = Snapshot {
-            at_ms: since_1970.as_millis() as u64,
-            started_ms: self.watched.started_ms,
+            at_ms: since_epoch.as_millis() as u64,
+            started_ms: self.request_log.started_ms,
             version: env!("CARGO_PKG_VERSION").into(),
-            open: self.open.len(),
-            connections: self.running + self.directory.idle(),
+            open: self.open_requests.len(),
+            connections: self.running_attempts + self.directory.idle_count(),
             list: ListNow {
-                source: self.watched.source.into(),
-                told_s: now.saturating_sub(self.watched.told) as f64 / 1e6,
-                failures: self.watched.failures,
+                source: self.request_log.list_source.into(),
+                told_s: now.saturating_sub(self.request_log.list_received_at) as f64 / 1e6,
+                failures: self.request_log.list_failures,
             },
             ..Snapshot::default()
         };
-        let counted = self.book.totals();
-        let (served, busy, failed) = (counted.passed, counted.dropped, counted.failed);
+        let totals = self.book.totals();
+        let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
         snapshot.since_start = Answers { served, busy, failed, gone: 0 };
-        snapshot.tries = counted.tries;
-        snapshot.siblings = self.siblings.map(|fellows| SiblingsNow {
-            here: fellows.peer_counts[0],
-            gone: fellows.peer_counts[1],
-            unknown: fellows.peer_counts[2],
-            part: if fellows.valid_until > Instant::now() {
-                f64::from(fellows.share_thousandths) / 1e3
+        snapshot.tries = totals.tries;
+        snapshot.siblings = self.peer_status.map(|status| SiblingsNow {
+            here: status.peer_counts[0],
+            gone: status.peer_counts[1],
+            unknown: status.peer_counts[2],
+            part: if status.valid_until > Instant::now() {
+                f64::from(status.share_thousandths) / 1e3
             } else {
                 0.0
             },
         });
-        snapshot.common = self.common;
+        snapshot.common = self.replication_statistics;
         if let Some(quotas) = &mut self.quotas {
             snapshot.shares = quotas.shares(now);
         }
         let names = self.directory.names();
-        let mut observer = self.watched.observer.take();
+        let mut observer = self.request_log.observer.take();
         if let Some(observer) = &mut observer {
-            observer.figures(now, &mut snapshot, &self.watched.tenants);
+            observer.figures(now, &mut snapshot, &self.request_log.tenant_names);
             observer.keep_servers(|id| names.contains_key(&ServerId(id)));
-            let open = |id: u32| {
+            let open_request = |id: u32| {
                 let id = RequestId(id);
-                let waits = self.balancer.waiting(id).map_or(Waits::Nothing, waits);
-                Some((self.open.get(&id)?.call.key.clone(), waits))
+                let waits = self.balancer.waiting(id).map_or(Waits::Nothing, to_waits);
+                Some((self.open_requests.get(&id)?.call.key.clone(), waits))
             };
-            let server = |id: u32| {
+            let server_name = |id: u32| {
                 names.get(&ServerId(id)).map_or_else(|| "a server that left".into(), |n| (*n).to_owned())
             };
-            let class = |class: Option<usize>| {
-                class.and_then(|c| self.watched.classes.get(c)).cloned().unwrap_or_default()
+            let class_name = |class: Option<usize>| {
+                class.and_then(|c| self.request_log.class_names.get(c)).cloned().unwrap_or_default()
             };
-            let tenant = |tenant: usize| self.watched.tenants.get(tenant).cloned().unwrap_or_default();
-            snapshot.slow = observer.slow(now, &open, &server, &class, &tenant);
+            let tenant_name =
+                |tenant: usize| self.request_log.tenant_names.get(tenant).cloned().unwrap_or_default();
+            snapshot.slow = observer.slow(now, &open_request, &server_name, &class_name, &tenant_name);
         }
-        snapshot.boxes = self.boxes(now, observer.as_mut());
-        self.watched.observer = observer;
+        snapshot.boxes = self.box_statuses(now, observer.as_mut());
+        self.request_log.observer = observer;
         snapshot
     }
 
-    fn boxes(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxNow> {
-        let Some(steering) = &self.steering else { return Vec::new() };
-        let mut out: HashMap<ServerId, Out> = HashMap::new();
-        for running in self.open.values().flat_map(|open| open.attempts.iter().flatten()) {
-            let at = out.entry(running.server).or_default();
-            at.count += 1;
-            at.oldest = Some(at.oldest.map_or(running.sent, |oldest| oldest.min(running.sent)));
-            at.free = at.free.max(running.timer.as_ref().map(|timer| self.timers.deadline(timer)));
+    fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxNow> {
+        let Some(overrides) = &self.overrides else { return Vec::new() };
+        let mut in_flight: HashMap<ServerId, InFlight> = HashMap::new();
+        for running in self.open_requests.values().flat_map(|open| open.attempts.iter().flatten()) {
+            let at_server = in_flight.entry(running.server).or_default();
+            at_server.count += 1;
+            let oldest_start = at_server.oldest_start;
+            at_server.oldest_start =
+                Some(oldest_start.map_or(running.started_at, |oldest| oldest.min(running.started_at)));
+            let timeout = running.timeout.as_ref().map(|timer| self.timers.deadline(timer));
+            at_server.last_timeout = at_server.last_timeout.max(timeout);
         }
-        let known = self.directory.by_name();
-        let instant = Instant::now();
+        let listed = self.directory.by_name();
+        let now_instant = Instant::now();
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        let servers = steering.servers(|name| {
-            let (id, serves, idle) = known.get(name).copied().unwrap_or((ServerId(0), false, 0));
-            (serves, out.get(&id).map_or(0, |out| out.count), idle)
+        let servers = overrides.servers(|name| {
+            let (id, is_serving, idle) = listed.get(name).copied().unwrap_or((ServerId(0), false, 0));
+            (is_serving, in_flight.get(&id).map_or(0, |at_server| at_server.count), idle)
         });
-        let tell = |server: ServerStatus| {
-            let id = known.get(server.name.as_str()).map(|(id, ..)| *id);
-            let at = id.and_then(|id| out.get(&id)).copied().unwrap_or_default();
+        let to_box = |server: ServerStatus| {
+            let id = listed.get(server.name.as_str()).map(|(id, ..)| *id);
+            let at_server = id.and_then(|id| in_flight.get(&id)).copied().unwrap_or_default();
             let view = id.and_then(|id| self.balancer.server(id));
             let order = server.order.map(|held| OrderNow {
                 number: held.number,
@@ -126,7 +131,7 @@
                 (false, Some(silent)) => Some(format!("{silent} attempts in a row had no answer")),
                 (false, None) => None,
             });
-            let mut told = BoxNow {
+            let mut status = BoxNow {
                 origin: self.setup.is_origin(&server.kind),
                 name: server.name,
                 zone: server.zone,
@@ -135,8 +140,12 @@
                 serves: server.effective_state == ServerState::Serving,
                 order,
                 out: server.attempts_in_flight,
-                oldest_ms: at.oldest.map_or(0.0, |oldest| ms(instant.saturating_duration_since(oldest))),
-                free_in_ms: at.free.map_or(0.0, |free| ms(free.saturating_duration_since(instant))),
+                oldest_ms: at_server
+                    .oldest_start
+                    .map_or(0.0, |oldest| ms(now_instant.saturating_duration_since(oldest))),
+                free_in_ms: at_server
+                    .last_timeout
+                    .map_or(0.0, |timeout| ms(timeout.saturating_duration_since(now_instant))),
                 idle: server.idle_connections,
                 warmth: view.map_or(1.0, |view| view.warmth),
                 slowness: view.map_or(1.0, |view| view.slowness),
@@ -144,10 +153,10 @@
                 ..BoxNow::default()
             };
             if let (Some(observer), Some(id)) = (observer.as_deref_mut(), id) {
-                observer.server(now, id.0, &mut told);
+                observer.server(now, id.0, &mut status);
             }
-            told
+            status
         };
-        servers.into_iter().map(tell).collect()
+        servers.into_iter().map(to_box).collect()
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,15 @@
-//! The core of a node: open requests, attempts, timers and servers round the decision module.
+//! The core of a node: manages open requests, attempts, timers and servers around the load balancer.
 //!
-//! It knows no protocol. Three kinds of parts plug into it:
+//! It is independent of any protocol. Three kinds of components plug into it:
 //!
-//! - a *front* hands in a [`Call`] with [`Requests::open`] and gets exactly one [`Answer`] from the
-//!   [`PendingAnswer`] that it holds; dropping that says that the client has gone;
-//! - an [`Upstream`] carries out one attempt at one server and tells how it ended, as an [`Outcome`] of the
-//!   protocol's table;
-//! - a *source of members* hands in [`ServerList`]s by its [`MembershipHandle`].
+//! - a protocol front end submits a [`Call`] with [`Requests::open`] and receives exactly one [`Answer`] from the
+//!   [`PendingAnswer`] that it holds; dropping the [`PendingAnswer`] reports that the client has disconnected;
+//! - an [`Upstream`] executes one attempt at one server and reports how it ended, as an [`Outcome`] of the
+//!   protocol's outcome table;
+//! - a membership source submits [`ServerList`]s through its [`MembershipHandle`].
 //!
-//! What is sent where, tried again or refused is decided by [`paddlefold::Balancer`] alone: [`Driver`] tells
-//! it what happens and carries out what it asks for.
+//! [`paddlefold::Balancer`] alone decides where requests are sent and which are retried or refused. [`Driver`]
+//! passes events to it and executes the actions that it returns.
 
 mod admission;
 mod attempt;
--- a/crates/core/src/list.rs
+++ b/crates/core/src/list.rs
@@ -1,34 +1,34 @@
-//! The list of servers, as a source of members tells it.
+//! The list of servers, as a membership source reports it.
 
 use std::net::SocketAddr;
 
-/// What a source tells: the whole list, or what has changed in it.
+/// The full list of servers, or the changes since the last one.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct ServerList {
-    /// Servers that a whole list leaves out are gone.
+    /// Whether this is the full list. Servers that a full list omits have been removed.
     pub full: bool,
-    /// The entries.
+    /// The listed or changed servers.
     pub servers: Vec<ServerEntry>,
 }
 
 /// A server in the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
-    /// Its name, the same at every node.
+    /// The server's name, the same at every node.
     pub id: String,
-    /// Where it listens, as this node sees it.
+    /// The address at which this node reaches the server.
     pub addr: SocketAddr,
-    /// The zone it stands in, by name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its kind of machine, by name; one kind is the origin's.
+    /// The name of the machine type; one type denotes the origin.
     pub kind: String,
-    /// The cell, for classes whose repeats a cell discards.
+    /// The server's cell, for classes whose repeated writes are deduplicated within a cell.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the server takes requests.
     pub state: ServerState,
-    /// Its size in comparison with the others.
+    /// The server's capacity relative to the others.
     pub weight: Option<f64>,
-    /// When it last started, Unix time in milliseconds; 0 is long ago.
+    /// When the server last started, Unix time in milliseconds; 0 means long ago.
     pub started_ms: f64,
 }
 
@@ -37,8 +37,8 @@
 pub enum ServerState {
     /// In service.
     Serving,
-    /// Finishing what it has; wants nothing new.
+    /// Finishing its open requests; must not be sent new ones.
     Draining,
-    /// Gone.
+    /// Removed from the list.
     Deleted,
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,4 +1,4 @@
-//! By which a source of members tells the core.
+//! The handle through which a membership source updates the core's list of servers.
 
 use std::sync::Arc;
 
@@ -8,40 +8,42 @@
 use crate::list::ServerList;
 use crate::message::Message;
 
-/// By which a source of members tells the core.
+/// Sends lists of servers, and failures to fetch them, to the core.
 #[derive(Clone)]
 pub struct MembershipHandle {
-    pub(crate) to: UnboundedSender<Message>,
-    /// Which source it is, for operators.
+    pub(crate) sender: UnboundedSender<Message>,
+    /// The name of the source, shown to operators.
     pub(crate) source: &'static str,
-    pub(crate) asked: Option<Arc<Notify>>,
+    /// Present if the list must be subscribed to.
+    pub(crate) subscribe: Option<Arc<Notify>>,
 }
 
 impl MembershipHandle {
-    /// The same, in the name of a source.
+    /// Returns the handle with another source name.
     pub fn with_source(mut self, source: &'static str) -> MembershipHandle {
         self.source = source;
         self
     }
 
-    /// Tells a list. False once the core has ended.
+    /// Sends a list or a change to it. Returns false once the core has ended.
     pub fn update_list(&self, list: ServerList) -> bool {
-        self.to.send(Message::List(list, self.source, None)).is_ok()
+        self.sender.send(Message::ListUpdated(list, self.source, None)).is_ok()
     }
 
-    /// Tells a list with the version from which its source goes on. False once the core has ended.
+    /// Sends a list with the version from which its source continues. Returns false once the core has ended.
     pub fn update_list_at_version(&self, list: ServerList, version: u64) -> bool {
-        self.to.send(Message::List(list, self.source, Some(version))).is_ok()
+        self.sender.send(Message::ListUpdated(list, self.source, Some(version))).is_ok()
     }
 
-    /// Tells that a call for the list failed, or that the subscription broke; the list held stays. False once
-    /// the core has ended.
+    /// Reports that fetching the list failed or that the subscription broke; the current list stays in use. Returns
+    /// false once the core has ended.
     pub fn report_failure(&self) -> bool {
-        self.to.send(Message::ListFailed).is_ok()
+        self.sender.send(Message::ListFailed).is_ok()
     }
 
-    /// Where the list must be subscribed to: told when the module asks for that, at first and after a failure.
+    /// If the list must be subscribed to: notified when the balancer requests the subscription, at the start and after
+    /// a failure.
     pub fn subscribe_signal(&self) -> Option<&Notify> {
-        self.asked.as_deref()
+        self.subscribe.as_deref()
     }
 }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,4 +1,4 @@
-//! What the driver is told, and by whom.
+//! The messages to the driver, and the handle through which a running core is controlled.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,170 +15,175 @@
 use crate::list::ServerList;
 use crate::overrides::{OrdersInForce, ServerStatus};
 
-/// What the driver is told from outside.
+/// A message to the driver.
 ///
-/// The channel has no bound of its own: sessions, of which there are only so many, each have few messages
-/// under way.
+/// The channel itself is unbounded. The number of client sessions is bounded, and each has only a few messages in
+/// the channel at a time.
 pub(crate) enum Message {
-    Arrived(Arrival),
-    Gone(RequestId),
-    List(ServerList, &'static str, Option<u64>),
-    HandOver(oneshot::Sender<HandoverState>),
+    RequestOpened(NewRequest),
+    /// The client of a request has disconnected.
+    ClientGone(RequestId),
+    /// A list, the name of its source, and its version if the source has one.
+    ListUpdated(ServerList, &'static str, Option<u64>),
     ListFailed,
-    Quotas(Box<Admission>),
-    Steer(Box<Ask>, oneshot::Sender<Result<Done, Refusal>>),
+    HandoverState(oneshot::Sender<HandoverState>),
+    SetQuotas(Box<Admission>),
+    ApplyOrder(Box<Ask>, oneshot::Sender<Result<Done, Refusal>>),
     OrdersInForce(oneshot::Sender<OrdersInForce>),
     Servers(oneshot::Sender<Vec<ServerStatus>>),
+    /// An observer has been added (true) or removed (false).
     Observe(bool),
-    Look(oneshot::Sender<Snapshot>),
-    EndAt(Instant),
-    PeerStatus(PeerStatus),
-    Replicated(ReplicatedUpdate),
-    Sights(oneshot::Sender<BTreeMap<String, f64>>),
+    Snapshot(oneshot::Sender<Snapshot>),
+    ShutDownAt(Instant),
+    SetPeerStatus(PeerStatus),
+    ApplyReplicated(ReplicatedUpdate),
+    ObservedSlowness(oneshot::Sender<BTreeMap<String, f64>>),
 }
 
-/// What the nodes hold in common, as far as a core goes by it.
+/// An update of the state that the nodes replicate among themselves, as far as it affects a core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReplicatedUpdate {
-    /// Operators' orders; `whole` if these are all.
+    /// Operators' orders.
     Orders {
-        /// Whether one that is missing was lifted.
+        /// Whether these are all orders, so that any missing one has been lifted.
         complete: bool,
-        /// By server.
+        /// The orders by server.
         orders: Vec<Common>,
     },
-    /// Servers that other nodes' lists have taken away.
+    /// The names of servers that the lists of other nodes have removed.
     RemovedByPeers(BTreeSet<String>),
-    /// How much slower than others servers are, as other nodes have seen them.
+    /// How much slower than others servers are, as observed by other nodes, by server name.
     PeerSlowness(BTreeMap<String, f64>),
-    /// How much of it there is, for whoever looks.
+    /// The size of the replicated state, for operators.
     Statistics(CommonNow),
 }
 
-/// A list that the node's own source has told, for whoever tells other nodes.
+/// A list that the node's own source has reported, for whoever passes it on to other nodes.
 #[derive(Debug, Clone)]
 pub struct ListUpdate {
-    /// The list, or what has changed in it.
+    /// The full list, or the changes in it.
     pub list: ServerList,
-    /// Its version, where its source has one.
+    /// The list's version, if its source has one.
     pub version: Option<u64>,
 }
 
-/// What a node may use of what all nodes share, and who they are.
+/// The state of the other nodes, and the share of common resources that this node may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// How much of its equal part, in thousandths.
+    /// The fraction of its equal share that this node may use, in thousandths.
     pub share_thousandths: u32,
-    /// It holds until then.
+    /// Until when the share is valid.
     pub valid_until: Instant,
-    /// Others that are here, gone, and not known.
+    /// The number of other nodes that are present, gone, and in an unknown state.
     pub peer_counts: [usize; 3],
 }
 
 impl PeerStatus {
-    /// Nodes that may be using something, this one included.
+    /// The number of nodes that may be using common resources, this one included.
     pub fn node_count(&self) -> usize {
         1 + self.peer_counts[0] + self.peer_counts[2]
     }
 }
 
-/// A client's request.
-pub(crate) struct Arrival {
+/// A client's request that a front end has opened.
+pub(crate) struct NewRequest {
     pub id: RequestId,
     pub call: Arc<Call>,
-    /// When its last byte was read.
-    pub at: Instant,
+    /// When the request's last byte was read.
+    pub received_at: Instant,
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// What one process hands to the next.
+/// The state that one process hands over to its successor.
 #[derive(Debug, Clone)]
 pub struct HandoverState {
-    /// The version of the list, where its source has one.
+    /// The list's version, if its source has one.
     pub version: Option<u64>,
-    /// The whole list.
+    /// The full list.
     pub list: ServerList,
-    /// What the module has learned.
+    /// What the balancer has learned.
     pub learned: Learned,
 }
 
-/// By which a running core is told what changes.
+/// Controls and inspects a running core.
 #[derive(Clone)]
 pub struct CoreHandle(pub(crate) UnboundedSender<Message>);
 
 impl CoreHandle {
-    /// The process ends then: all that is owed is answered a little before, and nothing more is taken.
+    /// Announces when the process ends. Shortly before, the core answers all open requests and stops accepting new
+    /// ones.
     pub fn shut_down_at(&self, at: Instant) {
-        let _ = self.0.send(Message::EndAt(at)); // a core that has ended owes nothing
+        let _ = self.0.send(Message::ShutDownAt(at)); // a core that has ended has no open requests
     }
 
-    /// Asks something of the core. Its end shows at the receiver.
+    /// Sends a message that the core answers. If the core has ended, the receiver is closed.
     fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> oneshot::Receiver<T> {
-        let (answer, told) = oneshot::channel();
+        let (answer, answered) = oneshot::channel();
         let _ = self.0.send(message(answer)); // a core that has ended drops the sender
-        told
+        answered
     }
 
-    /// Goes by other quotas from now on. A core that was made without keeps none.
+    /// Replaces the quotas. No effect on a core that was created without quotas.
     pub fn set_quotas(&self, quotas: Admission) {
-        let _ = self.0.send(Message::Quotas(Box::new(quotas))); // nobody goes by them once the core has ended
+        let _ = self.0.send(Message::SetQuotas(Box::new(quotas))); // no effect once the core has ended
     }
 
-    /// Gives an operator's order on a server; the answer tells whether it is obeyed. A core that was made without
-    /// steering, or has ended, answers nothing.
+    /// Applies an operator's order to a server; the answer tells whether it was accepted. The receiver is closed if the
+    /// core was created without overrides or has ended.
     pub fn apply_order(&self, ask: Ask) -> oneshot::Receiver<Result<Done, Refusal>> {
-        self.ask(|answer| Message::Steer(Box::new(ask), answer))
+        self.ask(|answer| Message::ApplyOrder(Box::new(ask), answer))
     }
 
-    /// The servers of the list and what is out at each. A core that was made without steering, or has ended,
-    /// answers nothing.
+    /// The listed servers and the attempts in flight at each. The receiver is closed if the core was created without
+    /// overrides or has ended.
     pub fn servers(&self) -> oneshot::Receiver<Vec<ServerStatus>> {
         self.ask(Message::Servers)
     }
 
-    /// The node at this moment. A core that has ended answers nothing.
+    /// The current state of the node. The receiver is closed if the core has ended.
     pub fn snapshot(&self) -> oneshot::Receiver<Snapshot> {
-        self.ask(Message::Look)
+        self.ask(Message::Snapshot)
     }
 
-    /// Tells who is there, and what this node may use.
-    pub fn set_peer_status(&self, fellows: PeerStatus) {
-        let _ = self.0.send(Message::PeerStatus(fellows)); // nobody goes by them once the core has ended
+    /// Sets the state of the other nodes and the share that this node may use.
+    pub fn set_peer_status(&self, status: PeerStatus) {
+        let _ = self.0.send(Message::SetPeerStatus(status)); // no effect once the core has ended
     }
 
-    /// Goes by what the nodes hold in common. A core that was made without steering goes by none of it.
-    pub fn apply_replicated(&self, what: ReplicatedUpdate) {
-        let _ = self.0.send(Message::Replicated(what)); // nobody goes by it once the core has ended
+    /// Applies an update of the replicated state. On a core that was created without overrides, updates of orders and
+    /// of removed servers have no effect.
+    pub fn apply_replicated(&self, update: ReplicatedUpdate) {
+        let _ = self.0.send(Message::ApplyReplicated(update)); // no effect once the core has ended
     }
 
-    /// How much slower than others this node has seen servers to be by its own requests, by name; those that answer
-    /// nothing count as the slowest. A core that has ended answers nothing.
+    /// How much slower than others this node's own requests have found servers to be, by server name. Servers that do
+    /// not answer count as infinitely slow. The receiver is closed if the core has ended.
     pub fn observed_slowness(&self) -> oneshot::Receiver<BTreeMap<String, f64>> {
-        self.ask(Message::Sights)
+        self.ask(Message::ObservedSlowness)
     }
 
-    /// Has figures gathered until this is dropped.
+    /// Collects figures for snapshots until the guard is dropped.
     pub fn observe(&self) -> ObserverGuard {
-        let _ = self.0.send(Message::Observe(true)); // nobody is watched once the core has ended
+        let _ = self.0.send(Message::Observe(true)); // no effect once the core has ended
         ObserverGuard(self.0.clone())
     }
 
-    /// What another process needs to go on in this one's place. A core that has ended answers nothing.
+    /// The state that a successor process needs. The receiver is closed if the core has ended.
     pub fn handover_state(&self) -> oneshot::Receiver<HandoverState> {
-        self.ask(Message::HandOver)
+        self.ask(Message::HandoverState)
     }
 
-    /// The orders that hold. A core that was made without steering, or has ended, answers nothing.
+    /// The orders in force. The receiver is closed if the core was created without overrides or has ended.
     pub fn orders_in_force(&self) -> oneshot::Receiver<OrdersInForce> {
         self.ask(Message::OrdersInForce)
     }
 }
 
-/// Somebody who watches; see [`CoreHandle::observe`].
+/// Keeps the collection of figures active; see [`CoreHandle::observe`].
 pub struct ObserverGuard(UnboundedSender<Message>);
 
 impl Drop for ObserverGuard {
     fn drop(&mut self) {
-        let _ = self.0.send(Message::Observe(false)); // nobody is watched once the core has ended
+        let _ = self.0.send(Message::Observe(false)); // no effect once the core has ended
     }
 }
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -1,4 +1,4 @@
-//! An operator's orders, between the list of servers and the decision module.
+//! Applies operators' orders to the list of servers before the balancer sees it.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,56 +7,61 @@
 
 use crate::list::{ServerEntry, ServerList, ServerState};
 
-/// The orders that hold.
+/// The orders in force.
 #[derive(Debug, Clone)]
 pub struct OrdersInForce {
-    /// By server.
+    /// The orders by server name.
     pub orders: Vec<(String, Held)>,
-    /// Those of them that are to last over a restart.
+    /// The orders among them that persist over a restart.
     pub kept: Vec<Kept>,
-    /// The time, by which they end.
+    /// The current time, on the clock of the orders' expiry times.
     pub now: Micros,
 }
 
-/// A server as a running core has it.
+/// The status of a server in a running core.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerStatus {
-    /// Its name in the list.
+    /// The server's name in the list.
     pub name: String,
-    /// Its zone, by name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its kind of machine, by name.
+    /// The name of the server's machine type.
     pub kind: String,
-    /// What the list says.
+    /// The state according to the list.
     pub listed_state: ServerState,
-    /// What holds, under the orders.
+    /// The state that results from the list and the orders.
     pub effective_state: ServerState,
-    /// Our requests that are out there.
+    /// This node's attempts that are in flight at the server.
     pub attempts_in_flight: usize,
-    /// Our connections that rest there.
+    /// This node's idle connections to the server.
     pub idle_connections: usize,
-    /// The order that holds it.
+    /// The order in force on the server.
     pub order: Option<Held>,
 }
 
-/// The list as its source tells it, and the orders that are laid over it.
-pub(crate) struct Steering {
+/// The list as its source reports it, with operators' orders applied.
+pub(crate) struct Overrides {
     steer: Steer,
     entries: HashMap<String, ServerEntry>,
 }
 
-impl Steering {
-    /// No list yet, and the orders that lasted over a restart.
+impl Overrides {
+    /// Creates an empty list with the orders that persisted over a restart.
     pub fn new(now: Micros, kept: Vec<Kept>) -> Self {
         let mut steer = Steer::new();
         steer.restore(now, kept);
-        Steering { steer, entries: HashMap::new() }
+        Overrides { steer, entries: HashMap::new() }
     }
 
-    /// What a list comes to under the orders.
-    pub fn list(&mut self, now: Micros, list: ServerList, is_origin: impl Fn(&str) -> bool) -> ServerList {
+    /// Applies a list from its source and returns it as modified by the orders.
+    pub fn apply_list(
+        &mut self,
+        now: Micros,
+        list: ServerList,
+        is_origin: impl Fn(&str) -> bool,
+    ) -> ServerList {
         let ServerList { full, servers } = list;
-        let listed = |entry: &ServerEntry| Listed {
+        let to_listed = |entry: &ServerEntry| Listed {
             name: entry.id.clone(),
             state: match entry.state {
                 ServerState::Serving => Some(lilacquay_overrides::State::Serving),
@@ -65,81 +70,88 @@
             },
             origin: is_origin(&entry.kind),
         };
-        let changes = self.steer.list(now, full, servers.iter().map(listed).collect());
+        let changes = self.steer.list(now, full, servers.iter().map(to_listed).collect());
         if full {
             self.entries.clear();
         }
-        let mut gone = Vec::new();
+        let mut updated = Vec::new();
         for entry in servers {
             if entry.state == ServerState::Deleted {
                 self.entries.remove(&entry.id);
-                gone.push(entry);
+                updated.push(entry);
             } else {
                 self.entries.insert(entry.id.clone(), entry);
             }
         }
-        gone.extend(self.worded(changes));
-        ServerList { full, servers: gone }
+        updated.extend(self.changed_entries(changes));
+        ServerList { full, servers: updated }
     }
 
-    /// Obeys an order, or says why not; tells what changes.
-    pub fn ask(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, ServerList) {
+    /// Applies an order or refuses it; also returns the servers that change.
+    pub fn apply_order(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, ServerList) {
         let (done, changes) = self.steer.ask(now, ask);
-        (done, ServerList { full: false, servers: self.worded(changes) })
+        (done, ServerList { full: false, servers: self.changed_entries(changes) })
     }
 
-    /// Goes by what the nodes hold in common; tells what changes.
-    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<Common>) -> ServerList {
-        let changes = self.steer.common(now, whole, orders);
-        ServerList { full: false, servers: self.worded(changes) }
+    /// Applies orders that the nodes have replicated; `complete` if these are all. Returns the servers that change.
+    pub fn apply_replicated_orders(
+        &mut self,
+        now: Micros,
+        complete: bool,
+        orders: Vec<Common>,
+    ) -> ServerList {
+        let changes = self.steer.common(now, complete, orders);
+        ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
-    /// Leaves servers out on the word of other nodes; tells what changes.
-    pub fn hearsay(&mut self, now: Micros, servers: BTreeSet<String>) -> ServerList {
+    /// Excludes the servers that the lists of other nodes have removed; returns the servers that change.
+    pub fn set_removed_by_peers(&mut self, now: Micros, servers: BTreeSet<String>) -> ServerList {
         let changes = self.steer.hearsay(now, servers);
-        ServerList { full: false, servers: self.worded(changes) }
+        ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
-    /// The orders that hold.
-    pub fn holding(&self, now: Micros) -> OrdersInForce {
+    /// The orders in force.
+    pub fn orders_in_force(&self, now: Micros) -> OrdersInForce {
         let orders = self.steer.orders().map(|(server, held)| (server.to_owned(), held)).collect();
         OrdersInForce { orders, kept: self.steer.kept(), now }
     }
 
-    /// Ends orders whose time is over; tells what changes.
-    pub fn tick(&mut self, now: Micros) -> ServerList {
+    /// Lifts orders that have expired; returns the servers that change.
+    pub fn expire_orders(&mut self, now: Micros) -> ServerList {
         let changes = self.steer.tick(now);
-        ServerList { full: false, servers: self.worded(changes) }
+        ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
-    /// The servers of the list, by name; of each, `now` tells whether it serves, what is out there and what rests.
-    pub fn servers(&self, now: impl Fn(&str) -> (bool, usize, usize)) -> Vec<ServerStatus> {
-        let server = |entry: &ServerEntry| {
-            let (serves, out, idle) = now(&entry.id);
+    /// The listed servers, sorted by name. `current` returns, for a server name, whether the server is serving, its
+    /// attempts in flight and its idle connections.
+    pub fn servers(&self, current: impl Fn(&str) -> (bool, usize, usize)) -> Vec<ServerStatus> {
+        let to_status = |entry: &ServerEntry| {
+            let (is_serving, attempts_in_flight, idle_connections) = current(&entry.id);
             ServerStatus {
                 name: entry.id.clone(),
                 zone: entry.zone.clone(),
                 kind: entry.kind.clone(),
                 listed_state: entry.state,
-                effective_state: if serves { ServerState::Serving } else { ServerState::Draining },
-                attempts_in_flight: out,
-                idle_connections: idle,
+                effective_state: if is_serving { ServerState::Serving } else { ServerState::Draining },
+                attempts_in_flight,
+                idle_connections,
                 order: self.steer.held(&entry.id),
             }
         };
-        let mut servers: Vec<ServerStatus> = self.entries.values().map(server).collect();
+        let mut servers: Vec<ServerStatus> = self.entries.values().map(to_status).collect();
         servers.sort_unstable_by(|a, b| a.name.cmp(&b.name));
         servers
     }
 
-    fn worded(&self, changes: Vec<Change>) -> Vec<ServerEntry> {
-        let entry = |change: Change| {
+    /// The entries of the servers that change, with their new states.
+    fn changed_entries(&self, changes: Vec<Change>) -> Vec<ServerEntry> {
+        let to_entry = |change: Change| {
             let state = match change.state {
                 lilacquay_overrides::State::Serving => ServerState::Serving,
                 lilacquay_overrides::State::Draining => ServerState::Draining,
             };
             self.entries.get(&change.server).map(|entry| ServerEntry { state, ..entry.clone() })
         };
-        changes.into_iter().filter_map(entry).collect()
+        changes.into_iter().filter_map(to_entry).collect()
     }
 }
--- a/crates/core/src/permit.rs
+++ b/crates/core/src/permit.rs
@@ -1,4 +1,5 @@
-//! Leave to begin an attempt, given by the decision module as the first byte is about to be written.
+//! Permits to start an attempt: the balancer confirms its decision just before the first byte is written. Also checks,
+//! independently of the balancer, that attempts keep the invariants.
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -9,91 +10,90 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::upstream::Standing;
+use crate::upstream::Availability;
 
-/// A permit that is older than this was given by facts that may have changed.
-const FRESH: Duration = Duration::from_millis(20);
-/// What the time that a server is told may exceed what its client has left.
+/// How long a permit is valid. The facts behind an older one may have changed.
+const PERMIT_VALIDITY: Duration = Duration::from_millis(20);
+/// How far the time-out that is sent to a server may exceed the time that its client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// An attempt that begins so long after its client has left is lost work.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
+/// An attempt that starts later than this after its client has disconnected is wasted work.
+const CLIENT_LEFT_SLACK: Duration = Duration::from_millis(100);
 
-/// Leave to begin an attempt now.
+/// Permission to start an attempt now.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Permit {
-    /// When the client's time is up.
+    /// When the client's time-out expires.
     pub deadline: Instant,
-    /// When it was given.
-    pub given: Instant,
+    pub granted_at: Instant,
 }
 
 impl Permit {
-    fn is_fresh(&self) -> bool {
-        self.given.elapsed() <= FRESH
+    fn is_valid(&self) -> bool {
+        self.granted_at.elapsed() <= PERMIT_VALIDITY
     }
 }
 
-/// An attempt that is about to begin asks whether it may.
+/// An attempt's request for a permit. The answer is none if the attempt may not start.
 pub(crate) struct PermitRequest {
     pub id: RequestId,
     pub attempt: usize,
     pub answer: oneshot::Sender<Option<Permit>>,
 }
 
-/// By which one attempt gets its permit.
+/// Obtains the permit of one attempt.
 pub(crate) struct PermitRequester {
     pub id: RequestId,
     pub attempt: usize,
-    pub to: UnboundedSender<PermitRequest>,
-    /// One that was given with the decision.
+    pub sender: UnboundedSender<PermitRequest>,
+    /// The permit that was granted together with the decision, or the last one obtained.
     pub permit: Option<Permit>,
 }
 
 impl PermitRequester {
-    /// Leave to begin now; nothing if there is none.
+    /// A valid permit, or none if the attempt may not start.
     pub async fn permit(&mut self) -> Option<Permit> {
-        while !self.permit.as_ref().is_some_and(Permit::is_fresh) {
+        while !self.permit.as_ref().is_some_and(Permit::is_valid) {
             let (answer, answered) = oneshot::channel();
             let PermitRequester { id, attempt, .. } = *self;
-            self.to.send(PermitRequest { id, attempt, answer }).ok()?;
+            self.sender.send(PermitRequest { id, attempt, answer }).ok()?;
             self.permit = Some(answered.await.ok()??);
         }
         self.permit
     }
 }
 
-/// Set once a request's client has left: when.
-pub(crate) type ClientLeft = Arc<OnceLock<Instant>>;
+/// When a request's client disconnected; set once it has.
+pub(crate) type ClientLeftAt = Arc<OnceLock<Instant>>;
 
-/// What an attempt is held against as it is written: facts that are looked at apart from the decision.
+/// Checks one attempt as it is written, against facts that are determined independently of the balancer's decision.
 #[derive(Clone)]
 pub(crate) struct InvariantChecker {
     pub id: RequestId,
     pub deadline: Instant,
-    pub left: ClientLeft,
-    pub standing: Standing,
+    pub client_left: ClientLeftAt,
+    pub availability: Availability,
     pub violations: Violations,
 }
 
 impl InvariantChecker {
-    /// An attempt's first byte is about to be written.
-    pub fn begins(&self) {
+    /// Checks an attempt whose first byte is about to be written.
+    pub fn check_start(&self) {
         let now = Instant::now();
-        if self.left.get().is_some_and(|left| now > *left + LEFT_SLACK) {
+        if self.client_left.get().is_some_and(|left_at| now > *left_at + CLIENT_LEFT_SLACK) {
             self.violations.count(Rule::BegunForNobody, self.id.0);
         }
         if now >= self.deadline {
             self.violations.count(Rule::BegunAfterDeadline, self.id.0);
         }
-        if !self.standing.serving() {
+        if !self.availability.is_serving() {
             self.violations.count(Rule::BegunAtDrained, self.id.0);
         }
     }
 
-    /// An attempt's last byte was written, and it told its server so much time.
-    pub fn written(&self, told: Duration) {
+    /// Checks the time-out that was sent to the server with an attempt whose last byte has been written.
+    pub fn check_sent_timeout(&self, sent_timeout: Duration) {
         let left = self.deadline.saturating_duration_since(Instant::now());
-        if told > left + DEADLINE_SLACK {
+        if sent_timeout > left + DEADLINE_SLACK {
             self.violations.count(Rule::DeadlineToldTooLong, self.id.0);
         }
     }
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What the driver notes for those who watch.
+//! What the driver records for observers: request and attempt events, and the state of the list of servers.
 
 use std::time::Duration;
 
@@ -9,55 +9,58 @@
 use crate::call::Answer;
 use crate::clock::Clock;
 
-/// What the driver notes for those who watch. Without any, a request costs a look at whether there is an observer.
-pub(crate) struct Watched {
-    /// Asked only if there is an observer.
+/// Records events for observers. While there are none, an event only costs a check whether an [`Observer`] exists.
+pub(crate) struct RequestLog {
+    /// Read only if there is an observer.
     clock: Clock,
     pub(crate) observer: Option<Observer>,
-    watchers: usize,
+    observer_count: usize,
     pub(crate) started_ms: u64,
-    pub(crate) classes: Vec<String>,
-    pub(crate) tenants: Vec<String>,
-    pub(crate) source: &'static str,
-    pub(crate) told: Micros,
-    pub(crate) failures: u64,
+    pub(crate) class_names: Vec<String>,
+    pub(crate) tenant_names: Vec<String>,
+    /// The source of the last list of servers.
+    pub(crate) list_source: &'static str,
+    pub(crate) list_received_at: Micros,
+    /// Failed attempts to fetch the list since it was last received.
+    pub(crate) list_failures: u64,
 }
 
-impl Watched {
+impl RequestLog {
     pub fn new(clock: Clock, names: &Names) -> Self {
         let now = clock.now();
-        Watched {
+        RequestLog {
             clock,
             observer: None,
-            watchers: 0,
+            observer_count: 0,
             started_ms: now / 1000,
-            classes: names.all_classes(),
-            tenants: names.all_tenants(),
-            source: "configuration",
-            told: now,
-            failures: 0,
+            class_names: names.all_classes(),
+            tenant_names: names.all_tenants(),
+            list_source: "configuration",
+            list_received_at: now,
+            list_failures: 0,
         }
     }
 
-    /// One more watches, or one fewer. What was gathered is forgotten with the last.
-    pub fn watch(&mut self, more: bool) {
-        self.watchers = if more { self.watchers + 1 } else { self.watchers.saturating_sub(1) };
-        match (&self.observer, self.watchers) {
-            (None, 1..) => self.observer = Some(Observer::new(self.clock.now(), self.tenants.len())),
+    /// Adds an observer if `added`, otherwise removes one. The recorded figures are discarded with the last.
+    pub fn observe(&mut self, added: bool) {
+        self.observer_count =
+            if added { self.observer_count + 1 } else { self.observer_count.saturating_sub(1) };
+        match (&self.observer, self.observer_count) {
+            (None, 1..) => self.observer = Some(Observer::new(self.clock.now(), self.tenant_names.len())),
             (Some(_), 0) => self.observer = None,
             _ => {}
         }
     }
 
-    pub fn list_told(&mut self, source: &'static str) {
-        (self.source, self.told, self.failures) = (source, self.clock.now(), 0);
+    pub fn list_received(&mut self, source: &'static str) {
+        (self.list_source, self.list_received_at, self.list_failures) = (source, self.clock.now(), 0);
     }
 
     pub fn list_failed(&mut self) {
-        self.failures += 1;
+        self.list_failures += 1;
     }
 
-    pub fn arrived(&mut self, request: &Request, wait: Micros, effect: Option<Effect>) {
+    pub fn request_opened(&mut self, request: &Request, client_timeout: Micros, effect: Option<Effect>) {
         let Some(observer) = &mut self.observer else { return };
         let repeats = match effect {
             _ if !request.write => Repeats::Free,
@@ -66,41 +69,43 @@
             _ => Repeats::Never,
         };
         let (id, class, tenant) = (request.id.0, request.class, request.tenant);
-        observer.arrived(self.clock.now(), Seen { id, class, tenant, wait, repeats });
+        observer.arrived(self.clock.now(), Seen { id, class, tenant, wait: client_timeout, repeats });
     }
 
-    pub fn over_share(&mut self, tenant: Option<usize>) {
+    pub fn refused_over_share(&mut self, tenant: Option<usize>) {
         if let Some(observer) = &mut self.observer {
             observer.over_share(self.clock.now(), tenant);
         }
     }
 
-    pub fn sent(&mut self, id: RequestId, server: ServerId) {
+    pub fn attempt_started(&mut self, id: RequestId, server: ServerId) {
         if let Some(observer) = &mut self.observer {
             observer.sent(self.clock.now(), id.0, server.0);
         }
     }
 
-    pub fn ended(&mut self, id: RequestId, server: ServerId, outcome: Outcome, took: Duration) {
+    pub fn attempt_ended(&mut self, id: RequestId, server: ServerId, outcome: Outcome, took: Duration) {
         if let Some(observer) = &mut self.observer {
-            observer.ended(self.clock.now(), id.0, server.0, end(outcome), took.as_micros() as Micros);
+            let (end, took_us) = (attempt_end(outcome), took.as_micros() as Micros);
+            observer.ended(self.clock.now(), id.0, server.0, end, took_us);
         }
     }
 
-    pub fn answered<'a>(&mut self, id: RequestId, kind: Kind, key: impl FnOnce() -> &'a str) {
+    pub fn request_answered<'a>(&mut self, id: RequestId, kind: Kind, key: impl FnOnce() -> &'a str) {
         if let Some(observer) = &mut self.observer {
             observer.answered(self.clock.now(), id.0, kind, key);
         }
     }
 
-    pub fn closed(&mut self, id: RequestId) {
+    pub fn request_closed(&mut self, id: RequestId) {
         if let Some(observer) = &mut self.observer {
             observer.closed(id.0);
         }
     }
 }
 
-pub(crate) fn kind(answer: &Answer) -> Kind {
+/// The kind of an answer, as observers count it.
+pub(crate) fn answer_kind(answer: &Answer) -> Kind {
     match answer {
         Answer::Served(_) | Answer::Streaming(_) => Kind::Served,
         Answer::Busy(_) => Kind::Busy,
@@ -108,7 +113,8 @@
     }
 }
 
-fn end(outcome: Outcome) -> End {
+/// The end of an attempt, as observers count it.
+fn attempt_end(outcome: Outcome) -> End {
     match outcome {
         Outcome::Ok => End::Served,
         Outcome::Miss => End::Miss,
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,4 +1,4 @@
-//! The fronts' side of the core: opening requests, and the bounds on what they hold.
+//! The interface to the protocol front ends: opens requests and bounds the memory that they hold.
 
 use std::collections::HashSet;
 use std::pin::Pin;
@@ -15,95 +15,116 @@
 use tracing::warn;
 
 use crate::call::{Answer, Call};
-use crate::message::{Arrival, Message};
+use crate::message::{Message, NewRequest};
 use crate::resource_share::ResourceShare;
 
-/// What an open request is reckoned to hold in memory beside its command, in bytes.
-const PER_REQUEST: usize = 4 << 10;
+/// The estimated memory that an open request occupies in addition to its command.
+const REQUEST_OVERHEAD_BYTES: usize = 4 << 10;
 
-/// Opens requests; shared by all fronts.
+/// Opens requests; shared by all front ends.
 #[derive(Clone)]
 pub struct Requests {
-    to: UnboundedSender<Message>,
+    driver: UnboundedSender<Message>,
     next_id: Arc<AtomicU32>,
     open_ids: Arc<Mutex<HashSet<Bytes>>>,
-    /// Bytes held by open requests.
-    held: Arc<AtomicUsize>,
-    memory: usize,
-    portion: ResourceShare,
+    /// The memory that open requests hold.
+    reserved_bytes: Arc<AtomicUsize>,
+    memory_limit_bytes: usize,
+    resource_share: ResourceShare,
     book: Book,
-    /// Set once nothing more is taken.
-    over: Arc<AtomicBool>,
+    /// Set once no more requests are accepted.
+    shutting_down: Arc<AtomicBool>,
 }
 
-/// A request with this id is open.
+/// A request with the same id is already open.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DuplicateRequestId;
 
 impl Requests {
     pub(crate) fn new(
-        to: UnboundedSender<Message>,
-        memory: usize,
-        portion: ResourceShare,
+        driver: UnboundedSender<Message>,
+        memory_limit_bytes: usize,
+        resource_share: ResourceShare,
         book: Book,
-        over: Arc<AtomicBool>,
+        shutting_down: Arc<AtomicBool>,
     ) -> Self {
-        let (next_id, open_ids, held) = Default::default();
-        Requests { to, next_id, open_ids, held, memory, portion, book, over }
+        let (next_id, open_ids, reserved_bytes) = Default::default();
+        Requests {
+            driver,
+            next_id,
+            open_ids,
+            reserved_bytes,
+            memory_limit_bytes,
+            resource_share,
+            book,
+            shutting_down,
+        }
     }
 
-    /// Opens a request whose last byte was read `at` that time and which came as so many bytes.
+    /// Opens a request whose last byte was read at `received_at` and whose command is `bytes` long.
     ///
     /// # Errors
-    /// If a request with its id is open, at whichever front. Guards against: the answer to another client's
-    /// request, or one for both.
-    pub fn open(&self, call: Call, at: Instant, bytes: usize) -> Result<PendingAnswer, DuplicateRequestId> {
-        let open_id = OpenId::take(&call.id, &self.open_ids).ok_or(DuplicateRequestId)?;
-        let held = Held::new(PER_REQUEST + bytes, &self.held);
+    /// If a request with the same id is open, at any front end. Otherwise a server could answer with the result of the
+    /// other client's request, or with one result for both.
+    pub fn open(
+        &self,
+        call: Call,
+        received_at: Instant,
+        bytes: usize,
+    ) -> Result<PendingAnswer, DuplicateRequestId> {
+        let open_id = OpenIdGuard::acquire(&call.id, &self.open_ids).ok_or(DuplicateRequestId)?;
+        let reservation = MemoryReservation::new(REQUEST_OVERHEAD_BYTES + bytes, &self.reserved_bytes);
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (sender, answer) = oneshot::channel();
-        // A driver that is gone drops the sender, and the request ends as failed.
-        let _ = self.to.send(Message::Arrived(Arrival { id, call: Arc::new(call), at, answer: sender }));
-        Ok(PendingAnswer { id, answer, answered: false, to: self.to.clone(), open_id, _held: held })
+        let request = NewRequest { id, call: Arc::new(call), received_at, answer: sender };
+        // A driver that has ended drops the sender, and the request ends as failed.
+        let _ = self.driver.send(Message::RequestOpened(request));
+        let driver = self.driver.clone();
+        Ok(PendingAnswer { id, answer, answered: false, driver, open_id, _reservation: reservation })
     }
 
-    /// A request was answered as failed before it was opened: it counts as such.
+    /// Counts a request that was answered as failed before it was opened.
     pub fn record_failed_before_open(&self, class: Option<usize>) {
         self.book.taken();
         self.book.ended(class, Some(End::Failed));
     }
 
-    /// A request that was read gets no answer, though its client has not left.
+    /// Counts and logs a request whose connection is closed without an answer although its client has not
+    /// disconnected.
     pub fn record_closed_unanswered(&self, pending: &PendingAnswer) {
-        warn!(request = pending.id.0, id = %String::from_utf8_lossy(&pending.open_id.id), "closed unanswered");
+        warn!(
+            request = pending.id.0,
+            id = %String::from_utf8_lossy(&pending.open_id.id),
+            "connection closed without answering the request"
+        );
         self.book.violations().count(Rule::ClosedUnanswered, pending.id.0);
     }
 
-    /// Whether the process is about to end: what a front reads from now on could not be answered.
+    /// Whether the process is about to end. Requests that a front end reads from now on could not be answered.
     pub fn is_shutting_down(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+        self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Whether open requests leave memory for more. A front should read on only then, but for one request of
+    /// Whether open requests leave memory for more. A front end should read on only then, except for one request of
     /// each connection.
     pub fn has_memory(&self) -> bool {
-        self.held.load(Ordering::Relaxed) < self.portion.of(self.memory)
+        self.reserved_bytes.load(Ordering::Relaxed) < self.resource_share.of(self.memory_limit_bytes)
     }
 }
 
-/// A request that waits for its answer: a future of exactly one. Dropped before, it tells that the client has
-/// gone, so that a front which ends leaves nothing open.
+/// The future answer to an open request; it resolves exactly once. Dropping it earlier reports that the client has
+/// disconnected, so that a front end which ends leaves no request open.
 pub struct PendingAnswer {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
-    to: UnboundedSender<Message>,
-    open_id: OpenId,
-    _held: Held,
+    driver: UnboundedSender<Message>,
+    open_id: OpenIdGuard,
+    _reservation: MemoryReservation,
 }
 
 impl PendingAnswer {
-    /// The answer, if it is there.
+    /// The answer, if it has arrived.
     pub fn try_answer(&mut self) -> Option<Answer> {
         let answer = match self.answer.try_recv() {
             Ok(answer) => answer,
@@ -129,45 +150,46 @@
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.to.send(Message::Gone(self.id));
+            let _ = self.driver.send(Message::ClientGone(self.id));
         }
     }
 }
 
-/// The id of an open request, free again when it is dropped.
-struct OpenId {
+/// Marks a request id as in use until it is dropped.
+struct OpenIdGuard {
     id: Bytes,
-    all: Arc<Mutex<HashSet<Bytes>>>,
+    open_ids: Arc<Mutex<HashSet<Bytes>>>,
 }
 
-impl OpenId {
-    fn take(id: &Bytes, all: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenId> {
-        let new = all.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
-        new.then(|| OpenId { id: id.clone(), all: all.clone() })
+impl OpenIdGuard {
+    /// None if the id is already in use.
+    fn acquire(id: &Bytes, open_ids: &Arc<Mutex<HashSet<Bytes>>>) -> Option<OpenIdGuard> {
+        let is_new = open_ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone());
+        is_new.then(|| OpenIdGuard { id: id.clone(), open_ids: open_ids.clone() })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenIdGuard {
     fn drop(&mut self) {
-        self.all.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
+        self.open_ids.lock().unwrap_or_else(PoisonError::into_inner).remove(&self.id);
     }
 }
 
-/// An open request's part of the memory that all share.
-struct Held {
+/// The memory that one open request holds, released on drop.
+struct MemoryReservation {
     bytes: usize,
-    all: Arc<AtomicUsize>,
+    total_bytes: Arc<AtomicUsize>,
 }
 
-impl Held {
-    fn new(bytes: usize, all: &Arc<AtomicUsize>) -> Held {
-        all.fetch_add(bytes, Ordering::Relaxed);
-        Held { bytes, all: all.clone() }
+impl MemoryReservation {
+    fn new(bytes: usize, total_bytes: &Arc<AtomicUsize>) -> MemoryReservation {
+        total_bytes.fetch_add(bytes, Ordering::Relaxed);
+        MemoryReservation { bytes, total_bytes: total_bytes.clone() }
     }
 }
 
-impl Drop for Held {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.all.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.total_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/core/src/resource_share.rs
+++ b/crates/core/src/resource_share.rs
@@ -1,46 +1,45 @@
-//! The part of a node's bounds that is one process's, while two of them are the node.
+//! The share of a node's resource limits that one process may use while two processes run as one node.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 
-/// All of it, in thousandths.
-const WHOLE: u32 = 1000;
+const FULL_SHARE_THOUSANDTHS: u32 = 1000;
 
-/// A part of all bounds, which may change while they hold. Clones are of one part.
+/// A share of all limits, which may change at any time. Clones refer to the same share.
 #[derive(Debug, Clone)]
-pub struct ResourceShare(Arc<Part>);
+pub struct ResourceShare(Arc<ShareState>);
 
 #[derive(Debug)]
-struct Part {
+struct ShareState {
     thousandths: AtomicU32,
-    in_company: AtomicBool,
+    is_shared: AtomicBool,
 }
 
 impl Default for ResourceShare {
-    /// The whole.
+    /// The full share.
     fn default() -> Self {
-        ResourceShare(Arc::new(Part {
-            thousandths: AtomicU32::new(WHOLE),
-            in_company: AtomicBool::new(false),
+        ResourceShare(Arc::new(ShareState {
+            thousandths: AtomicU32::new(FULL_SHARE_THOUSANDTHS),
+            is_shared: AtomicBool::new(false),
         }))
     }
 }
 
 impl ResourceShare {
-    /// Is so many thousandths from now on; `in_company`: another process has the rest and takes connections too.
-    pub fn set(&self, thousandths: u32, in_company: bool) {
-        self.0.thousandths.store(thousandths.min(WHOLE), Ordering::Relaxed);
-        self.0.in_company.store(in_company, Ordering::Relaxed);
+    /// Sets the share in thousandths. `is_shared`: another process uses the rest and accepts connections too.
+    pub fn set(&self, thousandths: u32, is_shared: bool) {
+        self.0.thousandths.store(thousandths.min(FULL_SHARE_THOUSANDTHS), Ordering::Relaxed);
+        self.0.is_shared.store(is_shared, Ordering::Relaxed);
     }
 
-    /// Whether another process has the rest and takes connections too.
+    /// Whether another process uses the rest of the limits and accepts connections too.
     pub fn is_shared(&self) -> bool {
-        self.0.in_company.load(Ordering::Relaxed)
+        self.0.is_shared.load(Ordering::Relaxed)
     }
 
-    /// The part of a bound; never nothing.
-    pub fn of(&self, whole: usize) -> usize {
+    /// This process's share of a limit; at least 1.
+    pub fn of(&self, limit: usize) -> usize {
         let thousandths = self.0.thousandths.load(Ordering::Relaxed) as usize;
-        (whole.saturating_mul(thousandths) / WHOLE as usize).max(1)
+        (limit.saturating_mul(thousandths) / FULL_SHARE_THOUSANDTHS as usize).max(1)
     }
 }
--- a/crates/core/src/stall.rs
+++ b/crates/core/src/stall.rs
@@ -1,83 +1,85 @@
-//! When this thread was held up, and since when something that it reads may have been there.
+//! Tracks stalls of the current thread, times when it was ready to run but did not, to estimate when data that it reads arrived.
 //!
-//! The kernel tells no time of arrival. A thread that was held up finds what came meanwhile all at once; it is reckoned from the
-//! beginning of that time, so that clients are not promised more than they have left.
+//! The kernel does not report arrival times. After a stall, a thread finds everything that arrived meanwhile at once.
+//! Its arrival is taken to be the start of the stall, so that servers are not given more time than the clients have
+//! left.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Between two marks, or behind a timer that was due, this is a hold-up.
-const HOLD_UP: Duration = Duration::from_millis(20);
-/// What came during a hold-up has been read so long after its end.
-const CAUGHT_UP: Duration = Duration::from_millis(10);
-/// No arrival is reckoned to be earlier than this before it is read: the longest hold-up that is allowed for.
-const LONGEST: Duration = Duration::from_millis(150);
+/// The thread has stalled if this much time passes between two recorded activities, or after a timer was due.
+const STALL_THRESHOLD: Duration = Duration::from_millis(20);
+/// The time after a stall by which everything that arrived during it has been read.
+const CATCH_UP_TIME: Duration = Duration::from_millis(10);
+/// The longest stall that is allowed for: no arrival is estimated to be earlier than this before it is read.
+const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// What is known of one thread's hold-ups. No clock: times are handed in.
+/// The stalls of one thread. Has no clock: times are passed in.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallTracker {
-    /// When the thread was last seen to run.
-    marked: Option<Instant>,
-    /// When its next timer is due.
-    due: Option<Instant>,
-    /// The last hold-up: from when to when.
-    last: Option<(Instant, Instant)>,
+    /// When the thread was last known to run.
+    last_active: Option<Instant>,
+    /// When the thread's next timer is due.
+    next_timer: Option<Instant>,
+    /// Start and end of the last stall.
+    last_stall: Option<(Instant, Instant)>,
 }
 
 impl StallTracker {
-    /// The thread runs now, and its next timer is due then.
-    pub fn record_activity(&mut self, now: Instant, due: Option<Instant>) {
-        self.note(self.marked, now);
-        (self.marked, self.due) = (Some(now), due.or(self.due));
+    /// Records that the thread runs now, and when its next timer is due, if known.
+    pub fn record_activity(&mut self, now: Instant, next_timer: Option<Instant>) {
+        self.detect_stall(self.last_active, now);
+        (self.last_active, self.next_timer) = (Some(now), next_timer.or(self.next_timer));
     }
 
-    /// The thread goes on after it had nothing to do.
+    /// Records that the thread runs again after it had nothing to do.
     pub fn record_wakeup(&mut self, now: Instant) {
-        self.note(self.due, now);
-        self.marked = Some(now);
+        self.detect_stall(self.next_timer, now);
+        self.last_active = Some(now);
     }
 
-    /// Notes a hold-up if it is long since the thread should have run.
-    fn note(&mut self, since: Option<Instant>, now: Instant) {
-        if let Some(since) = since.filter(|since| now.saturating_duration_since(*since) >= HOLD_UP) {
-            self.last = Some((since, now));
+    /// Records a stall if the thread should have run at `since` and that is long ago.
+    fn detect_stall(&mut self, since: Option<Instant>, now: Instant) {
+        if let Some(since) = since.filter(|since| now.saturating_duration_since(*since) >= STALL_THRESHOLD) {
+            self.last_stall = Some((since, now));
         }
     }
 
-    /// Since when something may have been there that is read now.
+    /// The earliest time at which data that is read now may have arrived.
     pub fn estimated_arrival(&self, now: Instant) -> Instant {
-        match self.last {
-            Some((begin, end)) if now <= end + CAUGHT_UP => begin.max(now - LONGEST),
+        match self.last_stall {
+            Some((start, end)) if now <= end + CATCH_UP_TIME => start.max(now - MAX_STALL),
             _ => now,
         }
     }
 }
 
 thread_local! {
-    static THREAD: Cell<StallTracker> = Cell::default();
+    static TRACKER: Cell<StallTracker> = Cell::default();
 }
 
 fn update(change: impl FnOnce(&mut StallTracker)) {
-    THREAD.with(|thread| {
-        let mut hold_ups = thread.get();
-        change(&mut hold_ups);
-        thread.set(hold_ups);
+    TRACKER.with(|cell| {
+        let mut tracker = cell.get();
+        change(&mut tracker);
+        cell.set(tracker);
     });
 }
 
-/// Notes that this thread runs now, and when its next timer is due, if that is known.
-pub fn record_activity(due: Option<Instant>) {
-    update(|hold_ups| hold_ups.record_activity(Instant::now(), due));
+/// Records that this thread runs now, and when its next timer is due, if known.
+pub fn record_activity(next_timer: Option<Instant>) {
+    update(|tracker| tracker.record_activity(Instant::now(), next_timer));
 }
 
-/// Notes that this thread goes on after it had nothing to do: for [`tokio::runtime::Builder::on_thread_unpark`].
+/// Records that this thread runs again after it had nothing to do: for
+/// [`tokio::runtime::Builder::on_thread_unpark`].
 pub fn record_wakeup() {
-    update(|hold_ups| hold_ups.record_wakeup(Instant::now()));
+    update(|tracker| tracker.record_wakeup(Instant::now()));
 }
 
-/// Since when something may have been there that this thread reads now.
+/// The earliest time at which data that this thread reads now may have arrived.
 pub fn estimated_arrival(now: Instant) -> Instant {
-    THREAD.with(|thread| thread.get().estimated_arrival(now))
+    TRACKER.with(|cell| cell.get().estimated_arrival(now))
 }
--- a/crates/core/src/time_left.rs
+++ b/crates/core/src/time_left.rs
@@ -1,35 +1,38 @@
-//! What is told to a server of its client's time, and for how long a value is waited for. No I/O, no clock: times are handed
-//! in.
+//! Computes the deadline that is sent to a server, and how long to wait for the rest of a streamed value. No I/O, no clock:
+//! times are passed in.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A connection that took this long to come up met a lost packet: the kernel repeats the first of a handshake after 1 s.
-const LATE_HANDSHAKE: Duration = Duration::from_millis(900);
-/// A peer that drops packets may drop the first bytes too, which are repeated 0.2 s later: what is told on such a connection
-/// is less by what that takes beyond the slack of 0.15 s, and by no more than half of what is left.
-const REPEATED_BYTES: Duration = Duration::from_millis(80);
-/// A server that gives no byte of a value for so long has stalled, whatever time its client has left.
-const STALL: Duration = Duration::from_secs(5);
-/// A value that has stopped is given up so long after its client's time, which is owed its end within half a second.
-const LAST_ANSWER: Duration = Duration::from_millis(400);
-/// A value that goes on past its client's time is given up once it stops for so long.
-const LATE_STALL: Duration = Duration::from_secs(1);
+/// A connection that took this long to establish lost a packet: the kernel repeats the first packet of a handshake
+/// after 1 s.
+const RETRANSMITTED_HANDSHAKE: Duration = Duration::from_millis(900);
+/// A peer whose packets are lost may lose the first bytes of the request too, which are retransmitted 0.2 s later. On
+/// such a connection the deadline that is sent is earlier by the part of that delay that exceeds the slack of 0.15 s,
+/// but by no more than half of the time that is left.
+const RETRANSMISSION_ALLOWANCE: Duration = Duration::from_millis(80);
+/// A server that sends no byte of a value for this long has stalled, however much time its client has left.
+const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long after the client's deadline a stalled value is abandoned. The client must get an end within half a second of
+/// its deadline.
+const STALLED_VALUE_GRACE: Duration = Duration::from_millis(400);
+/// The stall time-out of a value that is still being sent after its client's deadline.
+const LATE_VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The deadline to tell now on a connection that took so long to come up.
+/// The deadline to send to a server over a connection that took `connect_time` to establish.
 pub fn deadline_to_send(now: Instant, deadline: Instant, connect_time: Duration) -> Instant {
-    if connect_time < LATE_HANDSHAKE {
+    if connect_time < RETRANSMITTED_HANDSHAKE {
         return deadline;
     }
     let left = deadline.saturating_duration_since(now);
-    deadline - REPEATED_BYTES.min(left / 2)
+    deadline - RETRANSMISSION_ALLOWANCE.min(left / 2)
 }
 
-/// When a server that has just given some of a value is given up, unless it gives more.
+/// The time at which a value is abandoned unless its server, which has just sent some of it, sends more.
 pub fn value_read_deadline(now: Instant, deadline: Instant) -> Instant {
     match now < deadline {
-        true => (now + STALL).min(deadline + LAST_ANSWER),
-        false => now + LATE_STALL,
+        true => (now + VALUE_STALL_TIMEOUT).min(deadline + STALLED_VALUE_GRACE),
+        false => now + LATE_VALUE_STALL_TIMEOUT,
     }
 }
