--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -1,4 +1,4 @@
-//! What carries out an attempt: the interface of the upstreams.
+//! The interface that executes attempts: connecting to servers, sending requests and reading replies.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,36 +13,37 @@
 
 use crate::call::{Call, OperationResult};
 use crate::permit::InvariantChecker;
-use crate::value_stream::{Opening, ValueSender};
+use crate::value_stream::{StreamStarter, ValueSender};
 
-/// Makes connections to servers.
+/// Connects to servers.
 ///
-/// Neither this nor a [`Connection`] may try anything again or probe: that is decided elsewhere.
+/// Neither this nor a [`Connection`] may retry or probe; the balancer decides that.
 pub trait Upstream: Clone + Send + Sync + 'static {
-    /// A connection to a server, between requests.
+    /// An idle connection to a server.
     type Connection: Connection;
 
-    /// Whether servers of this kind of machine discard the repeats of a keyed write.
+    /// Whether servers of this machine type discard repetitions of a write that carries an idempotency key.
     fn deduplicates_writes(&self, _kind: &str) -> bool {
         true
     }
 
-    /// Connects to a server. Dropped before, it leaves nothing open.
+    /// Connects to a server. If the future is dropped early, nothing stays open.
     fn connect(&self, target: &Target) -> impl Future<Output = io::Result<Self::Connection>> + Send;
 }
 
-/// A connection to a server, between requests. Dropped, also while a request is out, it closes at once.
+/// An idle connection to a server. It closes as soon as it is dropped, also while a request is in flight.
 pub trait Connection: Sized + Send + 'static {
-    /// What the server has done to it since its last answer.
+    /// The state of the connection since the server's last answer.
     fn idle_state(&self) -> IdleState;
 
-    /// Whether the server has left it open and sent nothing unasked.
+    /// Whether the server has kept the connection open and sent no unsolicited data.
     fn is_live(&self) -> bool {
         self.idle_state() == IdleState::Live
     }
 
-    /// Sends one request, whose client waits until then, and waits for its answer. What is told of that time is
-    /// reckoned as it is written. The connection comes back if another request may use it.
+    /// Sends one request and waits for its answer. `deadline` is when the client's time-out expires; the time-out that
+    /// is sent to the server is computed from it when the request is written. Returns the connection if another
+    /// request may reuse it.
     fn send_request(
         self,
         call: &Call,
@@ -51,76 +52,77 @@
     ) -> impl Future<Output = (Reply, Option<Self>)> + Send;
 }
 
-/// What a server has done to an idle connection.
+/// The state of an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
-    /// Nothing: it can be used.
+    /// Open and without unread data: it can be used.
     Live,
-    /// It has closed or broken it.
+    /// Closed or broken by the server.
     Closed,
-    /// It has sent something that nobody asked for, such as an answer once more.
+    /// The server has sent data without a request, such as a duplicate answer.
     UnsolicitedData,
 }
 
-/// Where an attempt goes.
+/// The destination of an attempt.
 #[derive(Clone)]
 pub struct Target {
     /// The server's address.
     pub addr: SocketAddr,
-    /// Whether it is the origin, not a cache.
+    /// Whether the server is the origin, not a cache.
     pub origin: bool,
-    /// Its kind of machine, by name.
+    /// The name of the server's machine type.
     pub kind: Arc<str>,
-    /// An answer that comes before then is none: it may be the last one of its connection, once more.
-    pub(crate) believed_from: Instant,
-    /// What the attempt is held against as it is written.
+    /// An answer before this time is not trusted: it may be a duplicate of the connection's previous answer.
+    pub(crate) trusted_from: Instant,
+    /// Checks the attempt as it is written.
     pub(crate) invariants: InvariantChecker,
     /// Counts attempts.
     pub(crate) tries: Tries,
-    /// Of one attempt, by which it tells that its answer has begun.
-    pub(crate) opening: Opening,
+    /// Reports that a streamed answer has started.
+    pub(crate) stream_starter: StreamStarter,
 }
 
 impl Target {
-    /// Tells that the head of a value over [`MAX_BUFFERED_VALUE_BYTES`](crate::MAX_BUFFERED_VALUE_BYTES) has come: from here on the attempt is
-    /// the client's if it is the first, and nobody wants it if not. Once in an attempt.
+    /// Reports that the head of a value over [`MAX_BUFFERED_VALUE_BYTES`](crate::MAX_BUFFERED_VALUE_BYTES) has
+    /// arrived. If this attempt is the first, its value is streamed to the client; if not, the value is discarded. At
+    /// most once per attempt.
     pub fn begin_stream(&self, length: usize, flags: u32) -> ValueSender {
-        self.opening.begin(length, flags)
+        self.stream_starter.start(length, flags)
     }
 
-    /// Whether what comes now may be the answer to the request before on the same connection, sent once more.
+    /// Whether data that arrives now may be a duplicate of the answer to the previous request on the connection.
     pub fn may_be_duplicate_answer(&self) -> bool {
-        Instant::now() < self.believed_from
+        Instant::now() < self.trusted_from
     }
 
-    /// Tells that an attempt's first byte is about to be written.
-    pub(crate) fn begins(&self) {
-        self.invariants.begins();
+    /// Must be called when the attempt's first byte is about to be written.
+    pub(crate) fn check_start(&self) {
+        self.invariants.check_start();
     }
 
-    /// Tells that an attempt has been written whole, and how long its server was told that the client waits, if it
-    /// was told.
-    pub fn request_written(&self, told: Option<Duration>) {
+    /// Must be called when the attempt has been written completely, with the client time-out that was sent to the
+    /// server, if any was.
+    pub fn request_written(&self, sent_timeout: Option<Duration>) {
         self.tries.count();
-        if let Some(told) = told {
-            self.invariants.written(told);
+        if let Some(sent_timeout) = sent_timeout {
+            self.invariants.check_sent_timeout(sent_timeout);
         }
     }
 
-    pub(crate) fn standing(&self) -> &Standing {
-        &self.invariants.standing
+    pub(crate) fn availability(&self) -> &Availability {
+        &self.invariants.availability
     }
 }
 
-/// Whether a server may be sent anything new; shared with the attempts under way.
+/// Whether a server may be sent new requests; shared with the attempts in progress.
 #[derive(Clone)]
-pub(crate) struct Standing(Arc<AtomicBool>);
+pub(crate) struct Availability(Arc<AtomicBool>);
 
-impl Standing {
+impl Availability {
     pub fn new() -> Self {
-        Standing(Arc::new(AtomicBool::new(true)))
+        Availability(Arc::new(AtomicBool::new(true)))
     }
-    pub fn serving(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
     pub fn set(&self, serving: bool) {
@@ -128,24 +130,24 @@
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct Reply {
-    /// By the protocol's table.
+    /// The outcome according to the protocol's outcome table.
     pub outcome: Outcome,
-    /// What to serve, after [`Outcome::Ok`].
+    /// The result to serve if the outcome is [`Outcome::Ok`].
     pub result: OperationResult,
-    /// Whether the value was at hand, where the server told.
+    /// Whether it was a cache hit, if the server reports that.
     pub cache_hit: Option<bool>,
 }
 
 impl Reply {
-    /// An outcome that comes with nothing.
+    /// A reply without a result.
     pub fn from_outcome(outcome: Outcome) -> Self {
         Reply { outcome, result: OperationResult::value(Bytes::new()), cache_hit: None }
     }
 
-    /// What a server has made, with nothing told beside.
+    /// A successful reply, without information on whether it was a cache hit.
     pub fn success(result: OperationResult) -> Self {
         Reply { result, ..Reply::from_outcome(Outcome::Ok) }
     }
--- a/crates/core/src/value_stream.rs
+++ b/crates/core/src/value_stream.rs
@@ -1,4 +1,4 @@
-//! A large value on its way from a server to a client, in bounded pieces.
+//! Streams large values from a server to a client in bounded chunks.
 
 use std::sync::Arc;
 
@@ -6,123 +6,123 @@
 use paddlefold::RequestId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use crate::buffer_budget::{Governor, Held, Share};
+use crate::buffer_budget::{BufferBudget, Reservation, StreamBuffer};
 
-/// The longest value that flows, in bytes. Longer ones are taken for spoilt answers.
+/// The largest value that is streamed. Larger ones are treated as corrupt answers.
 pub const MAX_STREAMED_VALUE_BYTES: usize = 8 << 20;
 
-/// A value of which the head has come: the client's side.
+/// The receiving side of a value whose head has arrived.
 #[derive(Debug)]
 pub struct ValueStream {
     length: usize,
     flags: u32,
-    pieces: UnboundedReceiver<ValueChunk>,
+    chunks: UnboundedReceiver<ValueChunk>,
 }
 
-/// Some bytes of a value. Dropped once the client has taken them, it lets the server go on.
+/// Some bytes of a value. It must be dropped once the client has taken them; that lets the server send more.
 #[derive(Debug)]
 pub struct ValueChunk {
     /// The bytes.
     pub bytes: Bytes,
-    _share: Share,
+    _reservation: Reservation,
 }
 
 impl ValueStream {
-    /// All of the value's bytes.
+    /// The length of the whole value, in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// What the client had kept beside it; 0 where the server keeps none.
+    /// The flags that the client stored with the value; 0 if the server stores none.
     pub fn flags(&self) -> u32 {
         self.flags
     }
 
-    /// The next bytes; none after the last. One that ends before its length is broken.
+    /// The next chunk; none after the last. A stream that ends before its length is a failure.
     pub async fn next(&mut self) -> Option<ValueChunk> {
-        self.pieces.recv().await
+        self.chunks.recv().await
     }
 }
 
-/// The server's side of a flow.
+/// The sending side of a streamed value.
 #[derive(Debug)]
 pub struct ValueSender {
-    left: usize,
-    to: UnboundedSender<ValueChunk>,
-    held: Held,
+    remaining: usize,
+    chunks: UnboundedSender<ValueChunk>,
+    buffer: StreamBuffer,
 }
 
-/// The client wants no more, or never did: another attempt was first.
+/// The client takes no more of the value, or never did because another attempt answered first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceiverClosed;
 
-/// Room for some bytes of a flow.
+/// Reserved buffer memory for the next bytes of a streamed value.
 #[derive(Debug)]
-pub struct BufferReservation(Share);
+pub struct BufferReservation(Reservation);
 
 impl BufferReservation {
-    /// How many bytes may be read into it.
+    /// How many bytes may be read into the reserved memory.
     pub fn bytes(&self) -> usize {
         self.0.bytes()
     }
 }
 
 impl ValueSender {
-    /// How many of the value's bytes are still to come.
+    /// How many bytes of the value have not been sent yet.
     pub fn remaining(&self) -> usize {
-        self.left
+        self.remaining
     }
 
-    /// Room for the next bytes, once the client has taken enough of those before.
+    /// Waits until the client has taken enough of the previous bytes, and reserves memory for the next ones.
     ///
     /// # Errors
-    /// If nobody wants them.
+    /// If the receiver is closed.
     pub async fn reserve(&self) -> Result<BufferReservation, ReceiverClosed> {
         tokio::select! {
             biased;
-            () = self.to.closed() => Err(ReceiverClosed),
-            share = self.held.room() => Ok(BufferReservation(share)),
+            () = self.chunks.closed() => Err(ReceiverClosed),
+            reservation = self.buffer.reserve() => Ok(BufferReservation(reservation)),
         }
     }
 
-    /// Passes bytes on, no more than are left.
+    /// Sends bytes to the client, at most as many as remain.
     ///
     /// # Errors
-    /// If nobody wants them.
+    /// If the receiver is closed.
     pub fn send(
         &mut self,
         bytes: Bytes,
-        BufferReservation(mut share): BufferReservation,
+        BufferReservation(mut reservation): BufferReservation,
     ) -> Result<(), ReceiverClosed> {
-        let bytes = bytes.slice(..bytes.len().min(self.left));
-        self.left -= bytes.len();
-        share.resize(bytes.len());
-        self.to.send(ValueChunk { bytes, _share: share }).map_err(|_| ReceiverClosed)
+        let bytes = bytes.slice(..bytes.len().min(self.remaining));
+        self.remaining -= bytes.len();
+        reservation.resize(bytes.len());
+        self.chunks.send(ValueChunk { bytes, _reservation: reservation }).map_err(|_| ReceiverClosed)
     }
 }
 
-/// That an attempt's answer has begun, as the driver is told.
-pub(crate) struct Begun {
+/// Reports to the driver that an attempt's streamed answer has started.
+pub(crate) struct StreamStart {
     pub id: RequestId,
     pub attempt: usize,
-    pub flow: ValueStream,
+    pub stream: ValueStream,
 }
 
-/// By which an attempt tells that its answer has begun.
+/// Starts the streamed answer of one attempt.
 #[derive(Clone)]
-pub(crate) struct Opening {
+pub(crate) struct StreamStarter {
     pub id: RequestId,
     pub attempt: usize,
-    pub to: UnboundedSender<Begun>,
-    pub governor: Arc<Governor>,
+    pub sender: UnboundedSender<StreamStart>,
+    pub budget: Arc<BufferBudget>,
 }
 
-impl Opening {
-    pub fn begin(&self, length: usize, flags: u32) -> ValueSender {
-        let (to, pieces) = unbounded_channel(); // bounded by the rooms that are granted
-        let flow = ValueStream { length, flags, pieces };
-        // A driver that is gone drops the flow, and the feeder hears that nobody wants it.
-        let _ = self.to.send(Begun { id: self.id, attempt: self.attempt, flow });
-        ValueSender { left: length, to, held: Held::new(self.governor.clone()) }
+impl StreamStarter {
+    pub fn start(&self, length: usize, flags: u32) -> ValueSender {
+        let (sender, chunks) = unbounded_channel(); // bounded by the reservations that are granted
+        let stream = ValueStream { length, flags, chunks };
+        // A driver that has ended drops the stream, and the value sender fails with `ReceiverClosed`.
+        let _ = self.sender.send(StreamStart { id: self.id, attempt: self.attempt, stream });
+        ValueSender { remaining: length, chunks: sender, buffer: StreamBuffer::new(self.budget.clone()) }
     }
 }
