--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -37,10 +37,12 @@
         return (Reply::from_outcome(Outcome::Ignored), Some(connection));
     };
     if !target.availability().is_serving() {
-        return (Reply::from_outcome(Outcome::Ignored), None); // the server is no longer listed at this address
+        // The server is no longer listed as serving at this address.
+        return (Reply::from_outcome(Outcome::Ignored), None);
     }
     if !connection.is_live() {
-        return (Reply::from_outcome(Outcome::ConnectError), None); // closed while waiting for the permit: nothing was written
+        // The server closed it while the attempt waited for its permit: nothing was written.
+        return (Reply::from_outcome(Outcome::ConnectError), None);
     }
     target.check_start();
     let deadline = deadline_to_send(Instant::now(), permit.deadline, connect_time);
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -156,7 +156,7 @@
     pub quotas: Option<Admission>,
     /// The metrics that the driver updates.
     pub metrics: Book,
-    /// The version of the initial list, if a predecessor process handed it over.
+    /// The version of the initial list, if it has one from before this process, such as from a predecessor process.
     pub list_version: Option<u64>,
     /// What the balancer of a predecessor process had learned.
     pub learned: Option<Learned>,
@@ -509,16 +509,18 @@
         names.iter().filter_map(slowness).collect()
     }
 
-    /// The state for a successor process. Iterates over all servers, so it is called for a handover and not for each
-    /// request.
+    /// The state for a successor process. Iterates over all that is open and listed, so it is called on demand and not
+    /// for each request.
     fn handover_state(&self) -> HandoverState {
         let list = ServerList { full: true, servers: self.directory.entries() };
         HandoverState { version: self.list_version, list, learned: self.balancer.learned() }
     }
 
+    /// The listed servers with their attempts in flight. Iterates over all open requests, so it is called for operators
+    /// and not for each request.
     fn server_statuses(&self, overrides: &Overrides) -> Vec<ServerStatus> {
         let mut in_flight: HashMap<ServerId, usize> = HashMap::new();
-        for running in self.open_requests.values().flat_map(|open| open.attempts.iter().flatten()) {
+        for running in self.open_requests.values().flat_map(|request| request.attempts.iter().flatten()) {
             *in_flight.entry(running.server).or_default() += 1;
         }
         let listed = self.directory.by_name();
@@ -544,8 +546,8 @@
         self.count_caches();
     }
 
-    fn open_request(&mut self, request: NewRequest) {
-        let NewRequest { id, call, received_at, answer } = request;
+    fn open_request(&mut self, new_request: NewRequest) {
+        let NewRequest { id, call, received_at, answer } = new_request;
         self.book.taken();
         debug!(
             request = id.0,
@@ -571,7 +573,7 @@
             },
         };
         let spent = received_at.elapsed().as_micros() as Micros + ANSWER_MARGIN_US;
-        let request = Request {
+        let balancer_request = Request {
             id,
             class: call.class,
             // The quotas have already charged the tenant's share; the balancer would charge it again.
@@ -583,10 +585,10 @@
         };
         let effect =
             call.class.and_then(|class| self.setup.settings.classes.get(class)).map(|class| class.effect);
-        self.request_log.request_opened(&request, call.client_timeout(), effect);
-        let deadline = Instant::now() + Duration::from_micros(request.budget);
+        self.request_log.request_opened(&balancer_request, call.client_timeout(), effect);
+        let deadline = Instant::now() + Duration::from_micros(balancer_request.budget);
         let (client_left, attempts) = Default::default();
-        let open = OpenRequest {
+        let request = OpenRequest {
             call,
             quota_ticket,
             answer: Some(answer),
@@ -595,17 +597,17 @@
             attempts,
             is_streaming: false,
         };
-        self.open_requests.insert(id, open);
-        self.events.push_back(Event::Request(request));
+        self.open_requests.insert(id, request);
+        self.events.push_back(Event::Request(balancer_request));
     }
 
     fn client_gone(&mut self, id: RequestId) {
-        if let Some(open) = self.open_requests.get_mut(&id) {
-            let _ = open.client_left.set(Instant::now()); // a client disconnects only once
-            debug!(request = id.0, attempts = open.attempts.len(), "client disconnected");
-            if open.answer.take().is_some() {
-                self.request_log.request_answered(id, Kind::Gone, || &open.call.key);
-                self.book.ended(open.call.class, None);
+        if let Some(request) = self.open_requests.get_mut(&id) {
+            let _ = request.client_left.set(Instant::now()); // a client disconnects only once
+            debug!(request = id.0, attempts = request.attempts.len(), "client disconnected");
+            if request.answer.take().is_some() {
+                self.request_log.request_answered(id, Kind::Gone, || &request.call.key);
+                self.book.ended(request.call.class, None);
             }
             self.events.push_back(Event::ClientGone(id));
             self.close_if_done(id);
@@ -616,7 +618,7 @@
     /// effect, and stops accepting new ones.
     fn answer_all_and_stop(&mut self) {
         self.shutting_down.store(true, Ordering::Relaxed);
-        let unanswered = self.open_requests.iter().filter(|(_, open)| open.answer.is_some());
+        let unanswered = self.open_requests.iter().filter(|(_, request)| request.answer.is_some());
         let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
         for id in unanswered {
             self.answer(id, Answer::Failed);
@@ -626,13 +628,13 @@
 
     /// Sends the final answer of a request, unless it has been answered before.
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(open) = self.open_requests.get_mut(&id)
-            && let Some(sender) = open.answer.take()
+        if let Some(request) = self.open_requests.get_mut(&id)
+            && let Some(sender) = request.answer.take()
         {
             let kind = answer_kind(&answer);
-            debug!(request = id.0, attempts = open.attempts.len(), answer = ?kind, "request answered");
-            self.request_log.request_answered(id, kind, || &open.call.key);
-            self.book.ended(open.call.class, Some(answer_end(&answer)));
+            debug!(request = id.0, attempts = request.attempts.len(), answer = ?kind, "request answered");
+            self.request_log.request_answered(id, kind, || &request.call.key);
+            self.book.ended(request.call.class, Some(answer_end(&answer)));
             let _ = sender.send(answer); // the client may have disconnected
         }
         self.close_if_done(id);
--- a/crates/core/src/driver/attempts.rs
+++ b/crates/core/src/driver/attempts.rs
@@ -23,11 +23,11 @@
     /// has been reached.
     pub(super) fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let now = Instant::now();
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
-        let attempt = open.attempts.len();
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let attempt = request.attempts.len();
         let (sender, budget) = (self.stream_start_sender.clone(), self.buffer_budget.clone());
         let stream_starter = StreamStarter { id, attempt, sender, budget };
-        let (deadline, client_left) = (open.deadline, open.client_left.clone());
+        let (deadline, client_left) = (request.deadline, request.client_left.clone());
         let context = AttemptContext { deadline, client_left, violations: self.book.violations() };
         let checked_out = self.directory.check_out(server, now, stream_starter, context);
         let checked_out = checked_out.filter(|(_, pooled)| {
@@ -40,7 +40,7 @@
             pooled.is_some() || self.running_attempts < max_connections
         });
         let Some((target, pooled)) = checked_out else {
-            open.attempts.push(None);
+            request.attempts.push(None);
             self.request_log.attempt_ended(id, server, Outcome::Ignored, Duration::ZERO);
             return self.report_attempt_end(id, attempt, Outcome::Ignored, Duration::ZERO, None);
         };
@@ -49,9 +49,9 @@
         // With a pooled connection the attempt starts now; otherwise, once a connection is established.
         let permit = pooled.as_ref().and_then(|_| self.grant_permit(id, attempt));
         let task = self.spawn_attempt((id, attempt), server, target, pooled, permit);
-        let open = self.open_requests.get_mut(&id).expect("looked up above");
+        let request = self.open_requests.get_mut(&id).expect("looked up above");
         let has_permit = permit.is_some();
-        open.attempts.push(Some(RunningAttempt {
+        request.attempts.push(Some(RunningAttempt {
             server,
             started_at: now,
             task,
@@ -90,8 +90,8 @@
     /// Answers an attempt that asks, with its connection established, whether it may start.
     pub(super) fn permit_requested(&mut self, PermitRequest { id, attempt, answer }: PermitRequest) {
         let permit = self.grant_permit(id, attempt);
-        let open = self.open_requests.get_mut(&id);
-        if let Some(running) = open.and_then(|open| open.attempts.get_mut(attempt)?.as_mut()) {
+        let request = self.open_requests.get_mut(&id);
+        if let Some(running) = request.and_then(|request| request.attempts.get_mut(attempt)?.as_mut()) {
             running.has_permit |= permit.is_some();
         }
         let _ = answer.send(permit); // the attempt may have been aborted
@@ -158,11 +158,11 @@
         }
         self.request_log.attempt_ended(id, running.server, reply.outcome, elapsed);
         if reply.outcome == Outcome::Ok
-            && let Some(open) = self.open_requests.get_mut(&id)
-            && let Some(sender) = open.answer.take()
+            && let Some(request) = self.open_requests.get_mut(&id)
+            && let Some(sender) = request.answer.take()
         {
-            self.request_log.request_answered(id, Kind::Served, || &open.call.key);
-            self.book.ended(open.call.class, Some(End::Passed));
+            self.request_log.request_answered(id, Kind::Served, || &request.call.key);
+            self.book.ended(request.call.class, Some(End::Passed));
             let _ = sender.send(Answer::Served(reply.result)); // the client may have disconnected
         }
         self.report_attempt_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
@@ -171,30 +171,32 @@
     /// Processes the head of a large value. The first one of a request is streamed to the client.
     pub(super) fn stream_started(&mut self, start: StreamStart) {
         let StreamStart { id, attempt, stream } = start;
-        let Some(open) = self.open_requests.get_mut(&id) else { return };
-        let Some(running) = open.attempts.get_mut(attempt).and_then(Option::as_mut) else { return };
+        let Some(request) = self.open_requests.get_mut(&id) else { return };
+        let Some(running) = request.attempts.get_mut(attempt).and_then(Option::as_mut) else { return };
         // If the request has been answered, dropping the stream tells the attempt that its value is not needed.
-        let Some(sender) = open.answer.take() else { return };
+        let Some(sender) = request.answer.take() else { return };
         running.stream_started_after = Some(running.started_at.elapsed());
         if let Some(timer) = running.timeout.take() {
             self.timers.try_remove(&timer);
         }
-        open.is_streaming = true;
+        request.is_streaming = true;
         let _ = sender.send(Answer::Streaming(stream)); // the client may have disconnected
         self.events.push_back(Event::FirstByte { id, attempt });
     }
 
     /// Records the end of a large value, which is the end of its request.
     fn stream_ended(&mut self, id: RequestId, outcome: Outcome) {
-        let Some(open) = self.open_requests.get_mut(&id).filter(|open| open.is_streaming) else { return };
-        open.is_streaming = false;
+        let Some(request) = self.open_requests.get_mut(&id).filter(|request| request.is_streaming) else {
+            return;
+        };
+        request.is_streaming = false;
         let (kind, end) = match outcome {
             Outcome::Ok => (Kind::Served, Some(End::Passed)),
             Outcome::Canceled => (Kind::Gone, None), // the client has disconnected
             _ => (Kind::Failed, Some(End::Failed)),
         };
-        self.request_log.request_answered(id, kind, || &open.call.key);
-        self.book.ended(open.call.class, end);
+        self.request_log.request_answered(id, kind, || &request.call.key);
+        self.book.ended(request.call.class, end);
     }
 
     /// Reports the end of an attempt to the balancer.
@@ -209,8 +211,10 @@
         debug!(request = id.0, attempt, ?outcome, ms = elapsed.as_millis() as u64, "attempt ended");
         // A request whose value is being streamed is not settled. Otherwise the end of the other attempt would end the
         // request and cut the value off.
-        let settled =
-            self.open_requests.get(&id).is_none_or(|open| open.answer.is_none() && !open.is_streaming);
+        let settled = self
+            .open_requests
+            .get(&id)
+            .is_none_or(|request| request.answer.is_none() && !request.is_streaming);
         let elapsed = elapsed.as_micros() as Micros;
         let end = AttemptEnd { elapsed, settled, hit: cache_hit, ..AttemptEnd::new(id, attempt, outcome) };
         self.events.push_back(Event::Outcome(end));
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -97,7 +97,7 @@
     fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxNow> {
         let Some(overrides) = &self.overrides else { return Vec::new() };
         let mut in_flight: HashMap<ServerId, InFlight> = HashMap::new();
-        for running in self.open_requests.values().flat_map(|open| open.attempts.iter().flatten()) {
+        for running in self.open_requests.values().flat_map(|request| request.attempts.iter().flatten()) {
             let at_server = in_flight.entry(running.server).or_default();
             at_server.count += 1;
             let oldest_start = at_server.oldest_start;
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -1,4 +1,5 @@
-//! Decides when an idle connection to a server may be reused and how long it is kept. No I/O, no clock: times are passed in.
+//! Decides when an idle connection to a server may be reused and how long it is kept. No I/O, no clock: times are
+//! passed in.
 //!
 //! The protocols do not say which request an answer belongs to. A server that answers twice sends the second answer
 //! some milliseconds late; on a connection that is reused at once, it would be taken for the answer to the next
--- a/crates/core/src/stall.rs
+++ b/crates/core/src/stall.rs
@@ -1,4 +1,5 @@
-//! Tracks stalls of the current thread, times when it was ready to run but did not, to estimate when data that it reads arrived.
+//! Tracks stalls of the current thread, times when it was ready to run but did not, to estimate when data that it
+//! reads arrived.
 //!
 //! The kernel does not report arrival times. After a stall, a thread finds everything that arrived meanwhile at once.
 //! Its arrival is taken to be the start of the stall, so that servers are not given more time than the clients have
--- a/crates/core/src/time_left.rs
+++ b/crates/core/src/time_left.rs
@@ -1,5 +1,5 @@
-//! Computes the deadline that is sent to a server, and how long to wait for the rest of a streamed value. No I/O, no clock:
-//! times are passed in.
+//! Computes the deadline that is sent to a server, and how long to wait for the rest of a streamed value. No I/O, no
+//! clock: times are passed in.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 const RETRANSMISSION_ALLOWANCE: Duration = Duration::from_millis(80);
 /// A server that sends no byte of a value for this long has stalled, however much time its client has left.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long after the client's deadline a stalled value is abandoned. The client must get an end within half a second of
-/// its deadline.
+/// How long after the client's deadline a stalled value is abandoned. The client must get an end within half a second
+/// of its deadline.
 const STALLED_VALUE_GRACE: Duration = Duration::from_millis(400);
 /// The stall time-out of a value that is still being sent after its client's deadline.
 const LATE_VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -1,4 +1,4 @@
-//! An operator's orders on a running core: what servers are asked, before and after.
+//! Operators' orders on a running core: which servers receive requests before and after.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,13 +15,14 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Reached only by a test that fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time-out of waits in these tests. Only a failing test reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a read takes. Time stands still but for that: a machine that is busy would make one of the servers look slow.
-const TOOK: Duration = Duration::from_millis(1);
+/// How long a read takes. The clock is paused otherwise: on a busy machine, real time would make one of the servers
+/// look slow.
+const READ_DURATION: Duration = Duration::from_millis(1);
 
-/// An upstream that asks the test.
+/// An upstream whose replies come from the test: it sends the test the server's port and a sender for the reply.
 #[derive(Clone)]
 struct Scripted(mpsc::UnboundedSender<(u16, oneshot::Sender<Reply>)>);
 
@@ -43,11 +44,13 @@
     }
 }
 
-struct Stage {
+/// A running core, and the requests that reach its servers.
+struct TestCore {
     requests: Requests,
     members: MembershipHandle,
-    core: CoreHandle,
-    asked: mpsc::UnboundedReceiver<(u16, oneshot::Sender<Reply>)>,
+    handle: CoreHandle,
+    attempts: mpsc::UnboundedReceiver<(u16, oneshot::Sender<Reply>)>,
+    /// The number of requests opened so far.
     opened: usize,
 }
 
@@ -56,9 +59,10 @@
     ServerEntry { id: id.into(), addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 }
 }
 
-impl Stage {
-    /// A core with two caches, `s1` at port 1 and `s2` at port 2.
-    fn new(steered: Option<Vec<Kept>>) -> Stage {
+impl TestCore {
+    /// A core with two caches, `s1` at port 1 and `s2` at port 2. Operators' orders are accepted if there are
+    /// `persisted_orders`.
+    fn new(persisted_orders: Option<Vec<Kept>>) -> TestCore {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
@@ -78,87 +82,88 @@
             list_version: None,
             learned: None,
             resource_share: portion,
-            persisted_orders: steered,
+            persisted_orders,
             list_updates: None,
         };
-        let (to, asked) = mpsc::unbounded_channel();
-        let (driver, Handles { requests, members, core }) = Driver::new(options, Scripted(to));
+        let (sender, attempts) = mpsc::unbounded_channel();
+        let (driver, Handles { requests, members, core }) = Driver::new(options, Scripted(sender));
         tokio::spawn(driver.run());
-        Stage { requests, members, core, asked, opened: 0 }
+        TestCore { requests, members, handle: core, attempts, opened: 0 }
     }
 
-    /// Opens a read; tells which server is asked for it.
+    /// Opens a read; returns its pending answer, the port of the server that it is sent to, and the sender for the
+    /// reply.
     async fn read(&mut self) -> (PendingAnswer, u16, oneshot::Sender<Reply>) {
         self.opened += 1;
         let id = Bytes::from(format!("id-{}", self.opened));
         let call = Call::new(format!("k{}", self.opened), id, Bytes::from("d=1"), None, 60_000_000).unwrap();
-        let pending = self.requests.open(call, Instant::now(), 100).expect("an id of its own");
-        let (port, answer) = timeout(PATIENCE, self.asked.recv()).await.expect("asked in time").unwrap();
+        let pending = self.requests.open(call, Instant::now(), 100).expect("a unique id");
+        let (port, answer) =
+            timeout(TEST_TIMEOUT, self.attempts.recv()).await.expect("an attempt in time").unwrap();
         (pending, port, answer)
     }
 
-    /// Serves fifty reads; tells how many went to each server.
-    async fn fifty(&mut self) -> [usize; 2] {
-        let mut to = [0; 2];
+    /// Serves fifty reads; returns how many went to each server.
+    async fn serve_fifty_reads(&mut self) -> [usize; 2] {
+        let mut reads = [0; 2];
         for _ in 0..50 {
             let (pending, port, answer) = self.read().await;
-            to[usize::from(port) - 1] += 1;
-            sleep(TOOK).await;
+            reads[usize::from(port) - 1] += 1;
+            sleep(READ_DURATION).await;
             answer.send(Reply::success(OperationResult::value("v"))).unwrap();
             assert!(matches!(pending.await, Answer::Served(_)));
         }
-        to
+        reads
     }
 
     async fn order(&self, server: &str, order: Order) -> Result<Done, Refusal> {
         let ask = Ask { server: server.into(), order, lasting: false, force: false, seen: None };
-        self.core.apply_order(ask).await.expect("a core that is steered")
+        self.handle.apply_order(ask).await.expect("a core that accepts orders")
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_drain_lets_what_is_out_finish_and_sends_nothing_new_until_it_is_lifted() {
-    let mut stage = Stage::new(Some(Vec::new()));
-    let before = stage.fifty().await;
+async fn a_drained_server_finishes_its_requests_and_gets_no_new_ones_until_the_drain_is_lifted() {
+    let mut core = TestCore::new(Some(Vec::new()));
+    let before = core.serve_fifty_reads().await;
     assert!(before.iter().all(|&n| n > 10), "{before:?}");
     let (pending, port, answer) = loop {
-        let read = stage.read().await;
+        let read = core.read().await;
         if read.1 == 1 {
             break read;
         }
         read.2.send(Reply::success(OperationResult::value("v"))).unwrap();
     };
-    assert_eq!(stage.order("s1", Order::Drain).await.unwrap().replaced, None);
-    assert_eq!(stage.fifty().await, [0, 50], "nothing new");
+    assert_eq!(core.order("s1", Order::Drain).await.unwrap().replaced, None);
+    assert_eq!(core.serve_fifty_reads().await, [0, 50], "no new requests");
     answer.send(Reply::success(OperationResult::value("late"))).unwrap();
-    assert!(matches!(pending.await, Answer::Served(made) if made == OperationResult::value("late")));
+    assert!(matches!(pending.await, Answer::Served(result) if result == OperationResult::value("late")));
     assert_eq!(port, 1);
-    // Neither does word from the list bring it back, nor would the other be let go.
+    // An update of the list does not put it back into service, and the last serving server cannot be drained.
     assert!(
-        stage
-            .members
+        core.members
             .update_list(ServerList { full: false, servers: vec![entry("s1", 1, ServerState::Serving)] })
     );
-    assert_eq!(stage.fifty().await, [0, 50], "the list does not override an operator");
-    assert_eq!(stage.order("s2", Order::Drain).await, Err(Refusal::LastServing));
-    stage.order("s1", Order::Undrain).await.unwrap();
-    let back = stage.fifty().await;
+    assert_eq!(core.serve_fifty_reads().await, [0, 50], "the list does not override an operator");
+    assert_eq!(core.order("s2", Order::Drain).await, Err(Refusal::LastServing));
+    core.order("s1", Order::Undrain).await.unwrap();
+    let back = core.serve_fifty_reads().await;
     assert!(back[0] > 10, "back in service");
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_that_is_left_out_comes_back_by_itself() {
-    let mut stage = Stage::new(Some(Vec::new()));
-    stage.order("s1", Order::LeaveOut(1_000)).await.unwrap();
-    let back = async { while stage.fifty().await[0] == 0 {} };
-    timeout(PATIENCE, back).await.expect("back in time");
+async fn a_server_that_is_left_out_for_a_time_comes_back_by_itself() {
+    let mut core = TestCore::new(Some(Vec::new()));
+    core.order("s1", Order::LeaveOut(1_000)).await.unwrap();
+    let back = async { while core.serve_fifty_reads().await[0] == 0 {} };
+    timeout(TEST_TIMEOUT, back).await.expect("back in time");
 }
 
 #[tokio::test(start_paused = true)]
-async fn orders_that_last_hold_from_the_first_list_on_and_without_steering_none_is_obeyed() {
-    let mut stage = Stage::new(Some(vec![Kept { server: "s2".into(), left: None, mark: None }]));
-    assert_eq!(stage.fifty().await, [50, 0]);
-    let stage = Stage::new(None);
+async fn persisted_orders_apply_from_the_first_list_on_and_a_core_without_overrides_accepts_none() {
+    let mut core = TestCore::new(Some(vec![Kept { server: "s2".into(), left: None, mark: None }]));
+    assert_eq!(core.serve_fifty_reads().await, [50, 0]);
+    let core = TestCore::new(None);
     let ask = Ask { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
-    assert!(stage.core.apply_order(ask).await.is_err());
+    assert!(core.handle.apply_order(ask).await.is_err());
 }
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -1,8 +1,9 @@
 //! A TCP connection whose reads and writes may be short or interrupted.
 //!
-//! The runtime's own stream holds a socket to be drained once a read fills less than its buffer, and to be full once a
-//! write takes less than it was given; it waits for news of the socket then, which never comes if the call was merely
-//! short. Here a socket is asked until it says that it would block, and a call that was interrupted is repeated.
+//! Tokio's own stream assumes that a socket has been drained once a read fills less than its buffer, and that it is
+//! full once a write takes less than it was given. It then waits for a readiness event, which never comes if the call
+//! was merely short. This stream repeats calls until the socket reports that it would block, and repeats calls that
+//! were interrupted.
 
 use std::io::{self, IoSlice};
 use std::mem::MaybeUninit;
@@ -15,22 +16,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A handle on a connection, which closes with the last one. One task may read while another writes.
+/// A handle on a connection. The connection closes when its last handle is dropped. One task may read while another
+/// writes.
 #[derive(Clone, Debug)]
 pub struct Stream(Arc<TcpStream>);
 
 impl Stream {
-    /// The first handle on a connection.
+    /// Creates the first handle on a connection.
     pub fn new(stream: TcpStream) -> Self {
         Stream(Arc::new(stream))
     }
 
-    /// The socket itself.
+    /// The underlying socket.
     pub fn socket(&self) -> &TcpStream {
         &self.0
     }
 
-    /// Looks at the next bytes without taking them; none is the end.
+    /// Reads the next bytes without removing them from the socket; 0 bytes mean the end of the stream.
     ///
     /// # Errors
     /// If the connection is broken.
@@ -43,10 +45,11 @@
         }
     }
 
-    /// How many bytes there are to be read now, one at most; the kernel is asked itself. None is the end.
+    /// The number of bytes that can be read now, at most 1; 0 means the end of the stream. Queries the kernel rather
+    /// than the runtime's readiness state.
     ///
     /// # Errors
-    /// If nothing has come, or the connection is broken.
+    /// If no data has arrived, or the connection is broken.
     pub fn try_peek(&self) -> io::Result<usize> {
         loop {
             match SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]) {
@@ -56,8 +59,8 @@
         }
     }
 
-    /// Tries to write until the socket takes something or fails.
-    fn poll_try_write(
+    /// Repeats `write` until the socket accepts some bytes or fails with a permanent error.
+    fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
         mut write: impl FnMut(&TcpStream) -> io::Result<usize>,
@@ -65,15 +68,15 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(error) if is_passing(&error) => {}
+                Err(error) if is_transient(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
     }
 }
 
-/// Whether a call that failed so is to be repeated, once the socket is ready.
-fn is_passing(error: &io::Error) -> bool {
+/// Whether a call that failed with this error must be repeated once the socket is ready.
+fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
@@ -86,7 +89,7 @@
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read(buffer.initialize_unfilled()) {
-                Err(error) if is_passing(&error) => {}
+                Err(error) if is_transient(&error) => {}
                 read => return Poll::Ready(read.map(|read| buffer.advance(read))),
             }
         }
@@ -95,7 +98,7 @@
 
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        self.poll_try_write(cx, |socket| socket.try_write(bytes))
+        self.poll_write_with(cx, |socket| socket.try_write(bytes))
     }
 
     fn poll_write_vectored(
@@ -103,7 +106,7 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.poll_try_write(cx, |socket| socket.try_write_vectored(slices))
+        self.poll_write_with(cx, |socket| socket.try_write_vectored(slices))
     }
 
     fn is_write_vectored(&self) -> bool {
