--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -261,7 +261,7 @@
         driver.directory.take_news(); // what is known from the start is none
         driver.decide();
         if let Some(learned) = &options.learned {
-            driver.balancer.resume(learned);
+            driver.balancer.restore(learned);
         }
         driver.count();
         let (requests, orders) = (
@@ -358,7 +358,7 @@
     fn fellows(&mut self, fellows: Fellows) {
         let left = fellows.until.saturating_duration_since(Instant::now());
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
-        self.events.push_back(Event::Part { part: f64::from(fellows.thousandths) / 1e3, until });
+        self.events.push_back(Event::CapacityShare { share: f64::from(fellows.thousandths) / 1e3, until });
         self.directory.set_nodes(fellows.nodes());
         self.book.siblings(fellows.numbers);
         self.siblings = Some(fellows);
@@ -393,8 +393,11 @@
         let (mut known, mut skipped, now) = (0, 0, Instant::now());
         for (id, serves, sent) in self.directory.caches() {
             known += 1;
-            let left_out =
-                || self.balancer.server(id).is_some_and(|view| view.cut_off || view.silent.is_some());
+            let left_out = || {
+                self.balancer
+                    .server_view(id)
+                    .is_some_and(|view| view.cut_off || view.unanswered_attempts.is_some())
+            };
             let tried = sent.is_some_and(|sent| now < sent + AVOIDED);
             skipped += usize::from(!serves || !tried && left_out());
         }
@@ -459,7 +462,7 @@
         let known = self.directory.by_name();
         let told = known.into_iter().map(|(name, (server, ..))| {
             let slowness = believed.get(name).copied();
-            Event::Told {
+            Event::PeerSlowness {
                 server,
                 slowness: slowness.unwrap_or(0.0),
                 until: slowness.map_or(0, |_| now + BELIEVED),
@@ -472,9 +475,9 @@
     fn sights(&self) -> BTreeMap<String, f64> {
         let names = self.directory.names();
         let seen = |(id, name): (&ServerId, &&str)| {
-            let view = self.balancer.server(*id)?;
-            let silent = view.silent.is_some_and(|tries| tries > 0);
-            Some(((*name).to_owned(), if silent { f64::INFINITY } else { view.seen }))
+            let view = self.balancer.server_view(*id)?;
+            let silent = view.unanswered_attempts.is_some_and(|tries| tries > 0);
+            Some(((*name).to_owned(), if silent { f64::INFINITY } else { view.own_slowness }))
         };
         names.iter().filter_map(seen).collect()
     }
@@ -551,7 +554,7 @@
             key: Some(call.key.clone()),
             budget: call.wait().saturating_sub(spent),
             write: call.is_write(),
-            keyed: !call.is_write() || call.idempotency.is_some(),
+            has_idempotency_key: !call.is_write() || call.idempotency.is_some(),
         };
         let effect =
             call.class.and_then(|class| self.setup.settings.classes.get(class)).map(|class| class.effect);
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -5,7 +5,7 @@
 
 use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
 use lilacquay_overrides::Hold;
-use paddlefold::{Micros, RequestId, ServerId, Waiting};
+use paddlefold::{Micros, RequestId, ServerId, WaitReason};
 use tokio::time::Instant;
 
 use super::Driver;
@@ -13,12 +13,12 @@
 use crate::overrides::ServerNow;
 use crate::upstream::Upstream;
 
-fn waits(waiting: Waiting) -> Waits {
+fn waits(waiting: WaitReason) -> Waits {
     match waiting {
-        Waiting::Nothing => Waits::Nothing,
-        Waiting::Flight => Waits::Fetch,
-        Waiting::Place => Waits::Place,
-        Waiting::Pause => Waits::Pause,
+        WaitReason::NotWaiting => Waits::Nothing,
+        WaitReason::InFlightFetch => Waits::Fetch,
+        WaitReason::ConcurrencySlot => Waits::Place,
+        WaitReason::Backoff => Waits::Pause,
     }
 }
 
@@ -71,7 +71,7 @@
             observer.keep_servers(|id| names.contains_key(&ServerId(id)));
             let open = |id: u32| {
                 let id = RequestId(id);
-                let waits = self.balancer.waiting(id).map_or(Waits::Nothing, waits);
+                let waits = self.balancer.wait_reason(id).map_or(Waits::Nothing, waits);
                 Some((self.open.get(&id)?.call.key.clone(), waits))
             };
             let server = |id: u32| {
@@ -107,7 +107,7 @@
         let tell = |server: ServerNow| {
             let id = known.get(server.name.as_str()).map(|(id, ..)| *id);
             let at = id.and_then(|id| out.get(&id)).copied().unwrap_or_default();
-            let view = id.and_then(|id| self.balancer.server(id));
+            let view = id.and_then(|id| self.balancer.server_view(id));
             let order = server.held.map(|held| OrderNow {
                 number: held.number,
                 seconds_left: match held.hold {
@@ -116,7 +116,7 @@
                 },
                 lasting: held.lasting,
             });
-            let left_out = view.and_then(|view| match (view.cut_off, view.silent) {
+            let left_out = view.and_then(|view| match (view.cut_off, view.unanswered_attempts) {
                 (true, _) => Some("its zone gives no connections".to_owned()),
                 (false, Some(0)) => Some("it owes an answer that is long overdue".to_owned()),
                 (false, Some(silent)) => Some(format!("{silent} attempts in a row had no answer")),
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -62,7 +62,7 @@
         let repeats = match effect {
             _ if !request.write => Repeats::Free,
             Some(Effect::Safe) => Repeats::Free,
-            Some(Effect::Keyed { .. }) if request.keyed => Repeats::Discarded,
+            Some(Effect::Keyed { .. }) if request.has_idempotency_key => Repeats::Discarded,
             _ => Repeats::Never,
         };
         let (id, class, tenant) = (request.id.0, request.class, request.tenant);
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -12,7 +12,7 @@
 use lilacquay_fronts::Bounds;
 use lilacquay_inherit::{PassedError, number};
 use lilacquay_members::discovery::Told;
-use paddlefold::setup::{Setup, Stated};
+use paddlefold::setup::{RawSettings, Setup};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -156,7 +156,7 @@
     limits: Limits,
     #[serde(default)]
     known: Told,
-    settings: Stated,
+    settings: RawSettings,
 }
 
 #[derive(Deserialize, Default)]
@@ -235,7 +235,7 @@
         });
         let (seed, setup) = (seed.ok()?, setup.ok()?);
         let site = setup.names.all_classes().join(",");
-        let siblings = Site::of_platform(setup.peers, peer_listen, peers, setup.me, site);
+        let siblings = Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site);
         let (limits, known) = (file.limits, file.known);
         Some(Read { listen, discovery, admin, seed, limits, known, setup, siblings })
     }
--- a/crates/lilacquay/src/memcached.rs
+++ b/crates/lilacquay/src/memcached.rs
@@ -269,7 +269,7 @@
 
 #[cfg(test)]
 mod tests {
-    use paddlefold::setup::{Setup, Stated};
+    use paddlefold::setup::{RawSettings, Setup};
 
     use super::*;
 
@@ -277,7 +277,7 @@
         let settings = r#"{"Classes":[{"Name":"lookup","Aim":300.0,"Effect":"safe"},
             {"Name":"reminder-signup","Aim":800.0,"Effect":"keyed","Window":2500.0}],
             "Tenants":[{"Name":"acme","Share":0.5}]}"#;
-        Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap().names
+        Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap().names
     }
 
     fn read(text: &str) -> Result<Ready, Vec<String>> {
--- a/crates/lilacquay/src/quota.rs
+++ b/crates/lilacquay/src/quota.rs
@@ -345,7 +345,7 @@
 
 #[cfg(test)]
 mod tests {
-    use paddlefold::setup::{Setup, Stated};
+    use paddlefold::setup::{RawSettings, Setup};
 
     use super::*;
 
@@ -353,7 +353,7 @@
         let settings = r#"{"Classes":[{"Name":"lookup","Aim":300.0,"Effect":"safe"},
             {"Name":"reminder-signup","Aim":800.0,"Effect":"keyed","Window":2500.0}],
             "Tenants":[{"Name":"acme","Share":0.5},{"Name":"wyre","Share":0.5}]}"#;
-        let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
+        let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("quota.toml");
         fs::write(&file, text).unwrap();
--- a/crates/paddlefold/src/api.rs
+++ b/crates/paddlefold/src/api.rs
@@ -29,7 +29,7 @@
     Safe,
     /// Repeats are discarded by the servers of one [`Scope`] for a time.
     Keyed {
-        /// Who discards repeats.
+        /// Who deduplicates repeats.
         scope: Scope,
         /// For how long after the first send that may have run.
         window: Micros,
@@ -174,9 +174,9 @@
     pub started: Option<Micros>,
     /// It is the origin, not a cache.
     pub origin: bool,
-    /// It discards the repeats of keyed requests. For one that does not, such a request is as one that must not
+    /// It deduplicates the repeats of keyed requests. For one that does not, such a request is as one that must not
     /// run twice.
-    pub discards: bool,
+    pub deduplicates: bool,
 }
 
 impl Member {
@@ -191,7 +191,7 @@
             weight: 1.0,
             started: None,
             origin: false,
-            discards: true,
+            deduplicates: true,
         }
     }
 
@@ -202,7 +202,7 @@
             Scope::Zone => self.zone == other.zone,
             Scope::Cell => self.cell == other.cell,
         };
-        grouped && self.discards && other.discards
+        grouped && self.deduplicates && other.deduplicates
     }
 }
 
@@ -233,13 +233,21 @@
     /// It changes something.
     pub write: bool,
     /// Servers can know its repeats. Without, one of a keyed class must not run twice.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
 }
 
 impl Request {
     /// A read of no told class, tenant or key, with no time left.
     pub fn new(id: RequestId) -> Self {
-        Request { id, class: None, tenant: None, key: None, budget: 0, write: false, keyed: true }
+        Request {
+            id,
+            class: None,
+            tenant: None,
+            key: None,
+            budget: 0,
+            write: false,
+            has_idempotency_key: true,
+        }
     }
 }
 
@@ -328,7 +336,7 @@
     Timer(TimerToken),
     /// What other nodes have seen of a server by their own requests. It counts beside what this node has seen, never as
     /// that, so that no rumour feeds itself.
-    Told {
+    PeerSlowness {
         /// The server.
         server: ServerId,
         /// How much slower than all caches it answers, 1 being usual; at most 6 is believed.
@@ -338,9 +346,9 @@
     },
     /// How much of this node's part of what all nodes share it may use: 1 is all, 0 nothing. A node that is never told
     /// has all. More than 1 counts as 1: what a fellow leaves comes with the requests that it had.
-    Part {
+    CapacityShare {
         /// The part of its part.
-        part: f64,
+        share: f64,
         /// It holds until then, and from then on there is none.
         until: Micros,
     },
--- a/crates/paddlefold/src/balancer.rs
+++ b/crates/paddlefold/src/balancer.rs
@@ -134,8 +134,8 @@
                 }
             }
             Event::ClientGone(id) => self.end(id, out),
-            Event::Part { part, until } => self.part = (part.clamp(0.0, 1.0), until),
-            Event::Told { server, slowness, until } => {
+            Event::CapacityShare { share, until } => self.part = (share.clamp(0.0, 1.0), until),
+            Event::PeerSlowness { server, slowness, until } => {
                 self.servers.entry(server).and_modify(|s| s.told = (slowness.clamp(0.0, 2.0 * SLOW), until));
             }
             Event::Timer(LIST_TIMER) if self.settings.must_subscribe => out.push(Action::Subscribe),
@@ -194,7 +194,7 @@
             None => self.rng.u64(..),
         };
         let effect = match told.map_or(untold, |c| c.effect) {
-            Effect::Keyed { .. } if !request.keyed => Effect::Unsafe,
+            Effect::Keyed { .. } if !request.has_idempotency_key => Effect::Unsafe,
             effect => effect,
         };
         let mut open = Open::new(&request, key, effect, self.now);
--- a/crates/paddlefold/src/learned.rs
+++ b/crates/paddlefold/src/learned.rs
@@ -57,7 +57,7 @@
 
     /// Goes on from what another has learned, as far as it fits: classes by their places, servers that are listed, and
     /// no figure that can't be one. Told once, before the first request.
-    pub fn resume(&mut self, learned: &Learned) {
+    pub fn restore(&mut self, learned: &Learned) {
         const HOUR: f64 = 3.6e9;
         if learned.times.len() == self.timings.len() {
             for (timing, &mean) in self.timings.iter_mut().zip(&learned.times) {
@@ -114,11 +114,11 @@
             }
         }
         let learned = first.learned();
-        let slow = |b: &Balancer| b.server(ServerId(2)).unwrap().slowness;
+        let slow = |b: &Balancer| b.server_view(ServerId(2)).unwrap().slowness;
         assert!(slow(&first) > 2.0 && first.timings[0].mean < 60_000.0);
         let mut second = balancer();
         second.on_event(10_000_000, Event::Timer(TimerToken(7)), &mut out);
-        second.resume(&serde_json::from_str(&serde_json::to_string(&learned).unwrap()).unwrap());
+        second.restore(&serde_json::from_str(&serde_json::to_string(&learned).unwrap()).unwrap());
         assert!((slow(&second) - slow(&first)).abs() < 0.2, "{} {}", slow(&second), slow(&first));
         assert!((second.timings[0].mean - first.timings[0].mean).abs() < 1.0);
         // Nothing of this can be.
@@ -129,7 +129,7 @@
             servers: vec![OfServer { id: 1, slowness: 1e300, ..OfServer::default() }],
         };
         let (before, mut third) = (balancer().learned(), balancer());
-        third.resume(&wrong);
+        third.restore(&wrong);
         assert_eq!(third.learned(), before);
     }
 }
--- a/crates/paddlefold/src/lib.rs
+++ b/crates/paddlefold/src/lib.rs
@@ -30,4 +30,4 @@
 pub use api::*;
 pub use balancer::Balancer;
 pub use balancer::permit::Withheld;
-pub use balancer::view::{Learned, OfServer, ServerView, Waiting};
+pub use balancer::view::{Learned, OfServer, ServerView, WaitReason};
--- a/crates/paddlefold/src/setup.rs
+++ b/crates/paddlefold/src/setup.rs
@@ -14,7 +14,7 @@
 /// The settings as they are stated, on the wire or in a node's configuration.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Stated {
+pub struct RawSettings {
     classes: Vec<ClassSetup>,
     #[serde(default)]
     family_info: FamilyInfo,
@@ -157,9 +157,9 @@
     /// The longest that a client of any class waits.
     pub longest_deadline: Micros,
     /// This node's number among all, if the settings tell it.
-    pub me: Option<usize>,
+    pub node_index: Option<usize>,
     /// Whether nodes may speak to one another.
-    pub peers: bool,
+    pub peers_allowed: bool,
     /// What classes and tenants are called.
     pub names: Arc<Names>,
     zones: HashMap<String, u32>,
@@ -167,10 +167,10 @@
     origin_kind: Option<String>,
 }
 
-impl TryFrom<Stated> for Setup {
+impl TryFrom<RawSettings> for Setup {
     type Error = SetupError;
 
-    fn try_from(setup: Stated) -> Result<Setup, SetupError> {
+    fn try_from(setup: RawSettings) -> Result<Setup, SetupError> {
         let mut classes = Vec::new();
         for class in &setup.classes {
             let scope = match class.dedup_scope.as_str() {
@@ -217,8 +217,8 @@
             settings,
             connect_timeout: limits.connect_timeout.map_or(CONNECT_TIMEOUT, micros),
             longest_deadline: hard_limits.max().unwrap_or(0),
-            me: setup.me,
-            peers: limits.peers,
+            node_index: setup.me,
+            peers_allowed: limits.peers,
             names: Arc::new(Names {
                 classes: index(setup.classes.into_iter().map(|c| c.name).collect()),
                 tenants: index(setup.tenants.into_iter().map(|t| t.name).collect()),
@@ -232,11 +232,11 @@
 
 impl Setup {
     /// The number of a zone; a new one for a name not met before.
-    pub fn zone(&mut self, name: Cow<str>) -> u32 {
+    pub fn zone_index(&mut self, name: Cow<str>) -> u32 {
         number(&mut self.zones, name)
     }
     /// The number of a kind of machine; a new one for a name not met before.
-    pub fn kind(&mut self, name: Cow<str>) -> u32 {
+    pub fn kind_index(&mut self, name: Cow<str>) -> u32 {
         number(&mut self.kinds, name)
     }
     /// Whether servers of this kind are the origin.
--- a/crates/paddlefold/src/wire.rs
+++ b/crates/paddlefold/src/wire.rs
@@ -13,7 +13,7 @@
 
 use crate::api::*;
 use crate::balancer::Balancer;
-use crate::setup::{Setup, Stated, micros};
+use crate::setup::{RawSettings, Setup, micros};
 
 /// Why the wire could not be followed, and where.
 #[derive(Debug)]
@@ -70,7 +70,7 @@
     #[serde(rename = "I")]
     instance: u64,
     nonce64: u64,
-    setup: Stated,
+    setup: RawSettings,
 }
 
 #[derive(Deserialize)]
@@ -267,13 +267,13 @@
             members.push(Member {
                 id: ServerId(entry.server),
                 state,
-                zone: self.setup.zone(entry.area),
+                zone: self.setup.zone_index(entry.area),
                 cell: entry.group,
-                kind: self.setup.kind(entry.kind),
+                kind: self.setup.kind_index(entry.kind),
                 weight: entry.weight.unwrap_or(1.0),
                 started: entry.start_time.filter(|&t| t > 0.0).map(micros),
                 origin,
-                discards: true,
+                deduplicates: true,
             });
         }
         Ok(Event::Members { scope, members })
@@ -291,7 +291,7 @@
             key: request.name_key,
             budget: micros(request.budget),
             write: request.write.unwrap_or(false),
-            keyed: true,
+            has_idempotency_key: true,
         })
     }
 }
--- a/crates/paddlefold/tests/begin.rs
+++ b/crates/paddlefold/tests/begin.rs
@@ -228,11 +228,11 @@
         members: vec![Member { started: Some(now + hour), ..Member::up(ServerId(1)) }],
     };
     balancer.on_event(now, list(), &mut actions);
-    assert!(balancer.server(ServerId(1)).is_some_and(|server| server.warmth < 0.2));
+    assert!(balancer.server_view(ServerId(1)).is_some_and(|server| server.warmth < 0.2));
     balancer.on_event(now + 10_000 * MS, list(), &mut actions);
-    assert!(balancer.server(ServerId(1)).is_some_and(|server| (0.5..0.6).contains(&server.warmth)));
+    assert!(balancer.server_view(ServerId(1)).is_some_and(|server| (0.5..0.6).contains(&server.warmth)));
     for after in [21_000, 22_000, 60_000] {
         balancer.on_event(now + after * MS, list(), &mut actions);
-        assert!(balancer.server(ServerId(1)).is_some_and(|server| server.warmth == 1.0), "{after} ms");
+        assert!(balancer.server_view(ServerId(1)).is_some_and(|server| server.warmth == 1.0), "{after} ms");
     }
 }
--- a/crates/paddlefold/tests/locality.rs
+++ b/crates/paddlefold/tests/locality.rs
@@ -200,11 +200,11 @@
     let first = sent(&node.read(1, "hot")).unwrap();
     node.now += 50_000;
     node.end(1, 0, Outcome::Ok, 50_000);
-    let told = |slowness, until| Event::Told { server: first, slowness, until };
+    let told = |slowness, until| Event::PeerSlowness { server: first, slowness, until };
     let until = node.now + 10_000_000;
     node.tell(told(f64::MAX, until));
-    let view = node.balancer.server(first).unwrap();
-    assert!(view.slowness == 6.0 && view.seen < 1.5, "{view:?}");
+    let view = node.balancer.server_view(first).unwrap();
+    assert!(view.slowness == 6.0 && view.own_slowness < 1.5, "{view:?}");
     assert_ne!(sent(&node.read(2, "hot")), Some(first));
     node.now += 50_000;
     node.end(2, 0, Outcome::Ok, 50_000);
--- a/crates/paddlefold/tests/property.rs
+++ b/crates/paddlefold/tests/property.rs
@@ -207,7 +207,7 @@
                 started,
                 origin,
                 cell,
-                discards: id.0 % 5 != 1,
+                deduplicates: id.0 % 5 != 1,
                 kind: id.0 % 3,
                 zone: id.0 % self.zones,
                 ..Member::up(id)
@@ -226,9 +226,9 @@
         let class = Some(self.rng.usize(..4)).filter(|&c| c < 3);
         let write = self.rng.u8(..5) == 0;
         let budget = if self.rng.u8(..20) == 0 { 0 } else { self.rng.u64(10_000..SECOND) };
-        let keyed = self.rng.u8(..4) != 0;
+        let has_idempotency_key = self.rng.u8(..4) != 0;
         let effect = match class.map(|class| self.settings.classes[class].effect) {
-            Some(Effect::Keyed { .. }) if !keyed => Effect::Unsafe,
+            Some(Effect::Keyed { .. }) if !has_idempotency_key => Effect::Unsafe,
             Some(effect) => effect,
             None if write => Effect::Unsafe,
             None => Effect::Safe,
@@ -237,7 +237,7 @@
         self.asked.insert(id, Asked { effect, write, deadline, answered: false, attempts: Vec::new() });
         let key = (self.rng.u8(..8) != 0).then(|| format!("k{}", self.rng.u8(..20)));
         let tenant = Some(self.rng.usize(..3));
-        self.tell(Event::Request(Request { id, class, tenant, key, budget, write, keyed }));
+        self.tell(Event::Request(Request { id, class, tenant, key, budget, write, has_idempotency_key }));
     }
 
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
--- a/crates/paddlefold/tests/rules.rs
+++ b/crates/paddlefold/tests/rules.rs
@@ -95,7 +95,7 @@
 fn a_keyed_request_goes_nowhere_else_from_or_to_a_server_that_drops_no_repeats() {
     let mut s = settings(Mode::Through);
     s.classes[1].effect = Effect::Keyed { scope: Scope::All, window: 2 * SECOND };
-    let member = |id| Member { discards: id < 4, ..Member::up(ServerId(id)) };
+    let member = |id| Member { deduplicates: id < 4, ..Member::up(ServerId(id)) };
     let (mut again, mut held) = (0, 0);
     for n in 0..40 {
         let mut node = Node::new(s.clone(), 0);
@@ -125,9 +125,16 @@
     let mut s = settings(Mode::Through);
     s.classes[1].effect = Effect::Keyed { scope: Scope::All, window: 2 * SECOND };
     let mut node = Node::new(s, 4);
-    let request = |id, keyed| {
+    let request = |id, has_idempotency_key| {
         let (class, key, budget) = (Some(1), Some("k".into()), SECOND);
-        Event::Request(Request { class, key, budget, keyed, write: true, ..Request::new(RequestId(id)) })
+        Event::Request(Request {
+            class,
+            key,
+            budget,
+            has_idempotency_key,
+            write: true,
+            ..Request::new(RequestId(id))
+        })
     };
     node.tell(request(1, false));
     assert!(node.end(1, 0, Outcome::Reset, 1_000).contains(&Action::Fail(RequestId(1))));
