--- a/crates/paddlefold/src/api.rs
+++ b/crates/paddlefold/src/api.rs
@@ -227,7 +227,7 @@
     pub class: Option<usize>,
     /// Its tenant, an index into [`Settings::tenant_shares`].
     pub tenant: Option<usize>,
-    /// The key whose value it reads or writes.
+    /// The key whose value it reads or writes; requests with the same key go to the same caches.
     pub key: Option<String>,
     /// Time left until the client gives up.
     pub budget: Micros,
--- a/crates/paddlefold/src/learned.rs
+++ b/crates/paddlefold/src/learned.rs
@@ -113,24 +113,24 @@
     #[test]
     fn what_was_learned_is_restored_and_invalid_numbers_are_ignored() {
         let mut first = balancer();
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         for n in 0..200_u32 {
             let (id, now) = (RequestId(n), u64::from(n) * 50_000);
             let read =
                 Request { class: Some(0), budget: 900_000, key: Some(n.to_string()), ..Request::new(id) };
-            first.on_event(now, Event::Request(read), &mut out);
-            for action in std::mem::take(&mut out) {
+            first.on_event(now, Event::Request(read), &mut actions);
+            for action in std::mem::take(&mut actions) {
                 let Action::Send { server, .. } = action else { continue };
                 let elapsed = if server == ServerId(2) { 90_000 } else { 10_000 };
                 let end = AttemptEnd { elapsed, ..AttemptEnd::new(id, 0, Outcome::Ok) };
-                first.on_event(now + elapsed, Event::Outcome(end), &mut out);
+                first.on_event(now + elapsed, Event::Outcome(end), &mut actions);
             }
         }
         let learned = first.learned();
         let slow = |b: &Balancer| b.server_view(ServerId(2)).unwrap().slowness;
         assert!(slow(&first) > 2.0 && first.response_times[0].mean < 60_000.0);
         let mut second = balancer();
-        second.on_event(10_000_000, Event::Timer(TimerToken(7)), &mut out);
+        second.on_event(10_000_000, Event::Timer(TimerToken(7)), &mut actions);
         second.restore(&serde_json::from_str(&serde_json::to_string(&learned).unwrap()).unwrap());
         assert!((slow(&second) - slow(&first)).abs() < 0.2, "{} {}", slow(&second), slow(&first));
         assert!((second.response_times[0].mean - first.response_times[0].mean).abs() < 1.0);
--- a/crates/paddlefold/tests/begin.rs
+++ b/crates/paddlefold/tests/begin.rs
@@ -1,4 +1,5 @@
-//! An attempt that was decided may begin only as far as the facts still allow it when its connection is up.
+//! A decided attempt may begin only if the rules still allow it when its connection is up: the state may have
+//! changed since the decision.
 
 use paddlefold::{
     Action, AttemptEnd, Balancer, Class, Effect, Event, ListScope, Member, MemberState, Micros, Mode,
@@ -11,23 +12,23 @@
 const UNSAFE: usize = 2;
 const ORIGIN: ServerId = ServerId(9);
 
-/// A node that knows one cache and the origin, with a request that was sent.
-struct Stage {
+/// A balancer that knows one cache and the origin, and the servers that it has sent attempts to.
+struct Fixture {
     balancer: Balancer,
     sent: Vec<ServerId>,
 }
 
 const ID: RequestId = RequestId(1);
 
-impl Stage {
-    fn new(settings: Settings) -> Stage {
-        let mut stage = Stage { balancer: Balancer::new(settings, 7, 0), sent: Vec::new() };
+impl Fixture {
+    fn new(settings: Settings) -> Fixture {
+        let mut fixture = Fixture { balancer: Balancer::new(settings, 7, 0), sent: Vec::new() };
         let origin = Member { origin: true, ..Member::up(ORIGIN) };
-        stage.list(0, ListScope::Full, vec![Member::up(ServerId(1)), origin]);
-        stage
+        fixture.update_list(0, ListScope::Full, vec![Member::up(ServerId(1)), origin]);
+        fixture
     }
 
-    fn on(&mut self, now: Micros, event: Event) {
+    fn handle(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.balancer.on_event(now, event, &mut actions);
         self.sent.extend(actions.iter().filter_map(|action| match action {
@@ -36,11 +37,11 @@
         }));
     }
 
-    fn list(&mut self, now: Micros, scope: ListScope, members: Vec<Member>) {
-        self.on(now, Event::Members { scope, members });
+    fn update_list(&mut self, now: Micros, scope: ListScope, members: Vec<Member>) {
+        self.handle(now, Event::Members { scope, members });
     }
 
-    /// A request of a class, whose client waits for a second.
+    /// Sends a request of a class, whose client waits for a second.
     fn request(&mut self, class: usize) {
         let request = Request {
             class: Some(class),
@@ -49,12 +50,12 @@
             write: class != READ,
             ..Request::new(ID)
         };
-        self.on(10 * MS, Event::Request(request));
+        self.handle(10 * MS, Event::Request(request));
         assert_eq!(self.sent.len(), 1);
     }
 
-    fn outcome(&mut self, now: Micros, attempt: usize, outcome: Outcome) {
-        self.on(now, Event::Outcome(AttemptEnd::new(ID, attempt, outcome)));
+    fn end_attempt(&mut self, now: Micros, attempt: usize, outcome: Outcome) {
+        self.handle(now, Event::Outcome(AttemptEnd::new(ID, attempt, outcome)));
     }
 
     fn begin(&mut self, now: Micros, attempt: usize) -> Result<Micros, PermitError> {
@@ -75,85 +76,93 @@
 }
 
 #[test]
-fn what_is_left_is_told_as_of_the_moment_of_the_write() {
-    let mut stage = Stage::new(settings());
-    stage.request(READ);
-    assert_eq!(stage.begin(10 * MS, 0), Ok(1000 * MS));
-    assert_eq!(stage.begin(610 * MS, 0), Ok(400 * MS));
+fn begin_returns_the_time_left_at_the_moment_of_the_write() {
+    let mut fixture = Fixture::new(settings());
+    fixture.request(READ);
+    assert_eq!(fixture.begin(10 * MS, 0), Ok(1000 * MS));
+    assert_eq!(fixture.begin(610 * MS, 0), Ok(400 * MS));
 }
 
 #[test]
 fn nothing_begins_after_the_deadline() {
-    let mut stage = Stage::new(settings());
-    stage.request(READ);
-    assert_eq!(stage.begin(1009 * MS, 0), Err(PermitError::DeadlinePassed), "a quantum before");
+    let mut fixture = Fixture::new(settings());
+    fixture.request(READ);
+    assert_eq!(
+        fixture.begin(1009 * MS, 0),
+        Err(PermitError::DeadlinePassed),
+        "one quantum before the deadline"
+    );
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_has_left_where_attempts_cannot_be_called_off() {
-    let mut stage = Stage::new(Settings { cancel: false, ..settings() });
-    stage.request(READ);
-    stage.on(20 * MS, Event::ClientGone(ID));
-    assert_eq!(stage.begin(30 * MS, 0), Err(PermitError::RequestSettled));
+fn nothing_begins_for_a_client_that_has_left_where_attempts_cannot_be_cancelled() {
+    let mut fixture = Fixture::new(Settings { cancel: false, ..settings() });
+    fixture.request(READ);
+    fixture.handle(20 * MS, Event::ClientGone(ID));
+    assert_eq!(fixture.begin(30 * MS, 0), Err(PermitError::RequestSettled));
 }
 
 #[test]
-fn nothing_begins_once_another_answer_has_begun_to_flow() {
-    let mut stage = Stage::new(Settings { cancel: false, ..settings() });
-    stage.request(READ);
-    stage.on(20 * MS, Event::FirstByte { id: ID, attempt: 0 });
-    assert_eq!(stage.begin(30 * MS, 0), Err(PermitError::ResponseStarted));
+fn nothing_begins_once_an_answer_is_being_streamed() {
+    let mut fixture = Fixture::new(Settings { cancel: false, ..settings() });
+    fixture.request(READ);
+    fixture.handle(20 * MS, Event::FirstByte { id: ID, attempt: 0 });
+    assert_eq!(fixture.begin(30 * MS, 0), Err(PermitError::ResponseStarted));
 }
 
 #[test]
 fn nothing_begins_at_a_server_that_drains_or_is_gone() {
     for state in [MemberState::Draining, MemberState::Removed] {
-        let mut stage = Stage::new(settings());
-        stage.request(READ);
-        let member = Member { state, ..Member::up(stage.sent[0]) };
-        stage.list(20 * MS, ListScope::Delta, vec![member]);
-        assert_eq!(stage.begin(30 * MS, 0), Err(PermitError::ServerNotServing));
+        let mut fixture = Fixture::new(settings());
+        fixture.request(READ);
+        let member = Member { state, ..Member::up(fixture.sent[0]) };
+        fixture.update_list(20 * MS, ListScope::Delta, vec![member]);
+        assert_eq!(fixture.begin(30 * MS, 0), Err(PermitError::ServerNotServing));
     }
 }
 
 #[test]
 fn an_attempt_that_is_not_known_or_has_ended_does_not_begin() {
-    let mut stage = Stage::new(settings());
-    stage.request(READ);
-    assert_eq!(stage.begin(20 * MS, 1), Err(PermitError::AttemptEnded));
-    assert_eq!(stage.balancer.begin(20 * MS, RequestId(2), 0), Err(PermitError::AttemptEnded));
-    stage.outcome(30 * MS, 0, Outcome::Miss);
-    assert_eq!(stage.begin(30 * MS, 0), Err(PermitError::AttemptEnded));
-    assert_eq!(stage.sent, [stage.sent[0], ORIGIN]);
-    assert!(stage.begin(30 * MS, 1).is_ok());
+    let mut fixture = Fixture::new(settings());
+    fixture.request(READ);
+    assert_eq!(fixture.begin(20 * MS, 1), Err(PermitError::AttemptEnded));
+    assert_eq!(fixture.balancer.begin(20 * MS, RequestId(2), 0), Err(PermitError::AttemptEnded));
+    fixture.end_attempt(30 * MS, 0, Outcome::Miss);
+    assert_eq!(fixture.begin(30 * MS, 0), Err(PermitError::AttemptEnded));
+    assert_eq!(fixture.sent, [fixture.sent[0], ORIGIN]);
+    assert!(fixture.begin(30 * MS, 1).is_ok());
 }
 
 #[test]
 fn a_keyed_repeat_does_not_begin_once_its_window_is_nearly_over() {
-    let mut stage = Stage::new(settings());
-    stage.request(KEYED);
-    assert!(stage.begin(10 * MS, 0).is_ok());
-    stage.outcome(100 * MS, 0, Outcome::Reset);
-    assert_eq!(stage.sent, [ORIGIN; 2]);
-    assert!(stage.begin(300 * MS, 1).is_ok());
-    assert_eq!(stage.begin(361 * MS, 1), Err(PermitError::RepeatedEffect), "an eighth before");
+    let mut fixture = Fixture::new(settings());
+    fixture.request(KEYED);
+    assert!(fixture.begin(10 * MS, 0).is_ok());
+    fixture.end_attempt(100 * MS, 0, Outcome::Reset);
+    assert_eq!(fixture.sent, [ORIGIN; 2]);
+    assert!(fixture.begin(300 * MS, 1).is_ok());
+    assert_eq!(
+        fixture.begin(361 * MS, 1),
+        Err(PermitError::RepeatedEffect),
+        "an eighth of the window before its end"
+    );
 }
 
 #[test]
 fn a_write_that_must_not_run_twice_begins_alone() {
-    let mut stage = Stage::new(settings());
-    stage.request(UNSAFE);
-    assert!(stage.begin(10 * MS, 0).is_ok());
-    stage.outcome(100 * MS, 0, Outcome::ConnectError);
-    assert!(stage.begin(100 * MS, 1).is_ok(), "the first never ran");
-    stage.outcome(200 * MS, 1, Outcome::Reset);
-    assert_eq!(stage.sent.len(), 2, "the second may have run");
+    let mut fixture = Fixture::new(settings());
+    fixture.request(UNSAFE);
+    assert!(fixture.begin(10 * MS, 0).is_ok());
+    fixture.end_attempt(100 * MS, 0, Outcome::ConnectError);
+    assert!(fixture.begin(100 * MS, 1).is_ok(), "the first never ran");
+    fixture.end_attempt(200 * MS, 1, Outcome::Reset);
+    assert_eq!(fixture.sent.len(), 2, "the second may have run");
 }
 
 #[test]
 fn attempts_whose_connections_come_up_together_begin_no_faster_than_slow_start_allows() {
-    // Decided while the cache was warm, it starts anew before their connections are up.
-    let mut stage = Stage::new(settings());
+    // The attempts are decided while the cache is warm; it restarts before their connections are up.
+    let mut fixture = Fixture::new(settings());
     for n in 1..=8 {
         let request = Request {
             class: Some(READ),
@@ -161,21 +170,21 @@
             budget: 1000 * MS,
             ..Request::new(RequestId(n))
         };
-        stage.on(10 * MS, Event::Request(request));
+        fixture.handle(10 * MS, Event::Request(request));
     }
-    let cache = stage.sent[0];
-    let decided = stage.sent.iter().filter(|to| **to == cache).count();
+    let cache = fixture.sent[0];
+    let decided = fixture.sent.iter().filter(|to| **to == cache).count();
     assert!(decided >= 4, "{decided}");
     let started = Member { started: Some(15 * MS), ..Member::up(cache) };
-    stage.list(20 * MS, ListScope::Delta, vec![started]);
-    let begun: Vec<_> = (1..=8).map(|n| stage.balancer.begin(30 * MS, RequestId(n), 0)).collect();
+    fixture.update_list(20 * MS, ListScope::Delta, vec![started]);
+    let begun: Vec<_> = (1..=8).map(|n| fixture.balancer.begin(30 * MS, RequestId(n), 0)).collect();
     assert!(begun.iter().filter(|begun| begun.is_ok()).count() <= 1, "{begun:?}");
     assert!(begun.contains(&Err(PermitError::SlowStart)), "{begun:?}");
 }
 
-/// What a cache that is told to have started at a time is sent of ten reads that come at once, where the list held some
-/// caches before and it comes with a change so much later.
-fn sent_to_started(started: Micros, before: &[u32], later: Micros) -> usize {
+/// Number of attempts that a cache with a listed start time is sent when ten reads come at once. The list has
+/// the caches `before` at first, and the change with the start time comes `later` after it.
+fn sends_after_start(started: Micros, before: &[u32], later: Micros) -> usize {
     let now = 7_200_000 * MS;
     let mut balancer = Balancer::new(settings(), 7, now - later);
     let mut actions = Vec::new();
@@ -193,33 +202,33 @@
 }
 
 #[test]
-fn a_server_that_started_anew_was_taken_for_warm_since_the_wall_clock_had_been_stepped() {
+fn a_restarted_server_was_taken_for_warm_because_the_wall_clock_had_been_stepped() {
     let hour = 3_600_000 * MS;
     let now = 2 * hour;
-    assert!(sent_to_started(now, &[1], MS) <= 1, "as it is told where clocks agree");
-    assert!(sent_to_started(now - hour, &[1], MS) <= 1, "our clock is an hour ahead");
-    assert!(sent_to_started(now + hour, &[1], MS) <= 1, "our clock is an hour behind");
+    assert!(sends_after_start(now, &[1], MS) <= 1, "the clocks agree");
+    assert!(sends_after_start(now - hour, &[1], MS) <= 1, "our clock is an hour ahead");
+    assert!(sends_after_start(now + hour, &[1], MS) <= 1, "our clock is an hour behind");
 }
 
 #[test]
-fn a_new_server_was_taken_for_warm_since_the_wall_clock_had_been_stepped() {
+fn a_new_server_was_taken_for_warm_because_the_wall_clock_had_been_stepped() {
     let hour = 3_600_000 * MS;
     let now = 2 * hour;
     for later in [10_000 * MS, hour] {
-        assert!(sent_to_started(now, &[], later) <= 1, "as it is told where clocks agree");
-        assert!(sent_to_started(now - hour, &[], later) <= 1, "our clock is an hour ahead");
-        assert!(sent_to_started(now + hour, &[], later) <= 1, "our clock is an hour behind");
+        assert!(sends_after_start(now, &[], later) <= 1, "the clocks agree");
+        assert!(sends_after_start(now - hour, &[], later) <= 1, "our clock is an hour ahead");
+        assert!(sends_after_start(now + hour, &[], later) <= 1, "our clock is an hour behind");
     }
 }
 
 #[test]
-fn a_server_that_the_first_change_tells_is_warm_where_it_started_long_ago() {
+fn a_server_of_the_first_list_change_is_warm_if_it_started_long_ago() {
     let hour = 3_600_000 * MS;
-    assert!(sent_to_started(hour, &[], MS) > 1, "the list that was kept may be old");
+    assert!(sends_after_start(hour, &[], MS) > 1, "the first list may have been a stored, old one");
 }
 
 #[test]
-fn a_server_was_in_slow_start_for_an_hour_since_the_wall_clock_had_been_stepped() {
+fn a_server_was_in_slow_start_for_an_hour_because_the_wall_clock_had_been_stepped() {
     let (now, hour) = (7_200_000 * MS, 3_600_000 * MS);
     let mut balancer = Balancer::new(settings(), 7, now);
     let mut actions = Vec::new();
--- a/crates/paddlefold/tests/common/mod.rs
+++ b/crates/paddlefold/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers for tests that drive the module through its public interface.
-#![allow(dead_code)] // each test file uses its own part
+#![allow(dead_code)] // each test file uses some of these helpers
 
 use paddlefold::*;
 
@@ -7,7 +7,7 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-/// Two classes as a site might state them: 0 is safe, 1 keyed over all servers.
+/// Settings with three classes: 0 is safe, 1 keyed over all servers, 2 unsafe.
 pub fn settings(mode: Mode) -> Settings {
     Settings {
         classes: vec![
@@ -28,7 +28,7 @@
     }
 }
 
-/// A balancer with the caches 1..=n and, in aside mode, the origin 99.
+/// A balancer that knows the caches 1..=n and, in cache-aside mode, the origin 99.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
@@ -42,18 +42,18 @@
         if aside {
             members.push(Member { origin: true, ..Member::up(ServerId(99)) });
         }
-        node.tell(Event::Members { scope: ListScope::Full, members });
+        node.handle(Event::Members { scope: ListScope::Full, members });
         node
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.on_event(self.now, event, &mut actions);
         actions
     }
 
-    pub fn list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
-        self.tell(Event::Members { scope, members })
+    pub fn update_list(&mut self, scope: ListScope, members: Vec<Member>) -> Vec<Action> {
+        self.handle(Event::Members { scope, members })
     }
 
     pub fn read(&mut self, id: u32, key: &str) -> Vec<Action> {
@@ -61,7 +61,7 @@
     }
 
     pub fn request(&mut self, id: u32, key: &str, class: usize, write: bool) -> Vec<Action> {
-        self.tell(Event::Request(Request {
+        self.handle(Event::Request(Request {
             class: Some(class),
             key: Some(key.into()),
             budget: SECOND,
@@ -70,51 +70,54 @@
         }))
     }
 
-    pub fn end(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
-        self.tell(Event::Outcome(AttemptEnd { elapsed, ..AttemptEnd::new(RequestId(id), attempt, outcome) }))
+    pub fn end_attempt(&mut self, id: u32, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
+        self.handle(Event::Outcome(AttemptEnd {
+            elapsed,
+            ..AttemptEnd::new(RequestId(id), attempt, outcome)
+        }))
     }
 
-    /// Serves one read of `key` in `elapsed`; tells by which server.
+    /// Lets one read of `key` be served in `elapsed`; returns by which server.
     pub fn serve(&mut self, id: u32, key: &str, elapsed: Micros) -> ServerId {
-        let to = sent(&self.read(id, key)).expect("a read is sent");
+        let to = first_send(&self.read(id, key)).expect("a read is sent");
         self.now += elapsed;
-        self.end(id, 0, Outcome::Ok, elapsed);
+        self.end_attempt(id, 0, Outcome::Ok, elapsed);
         to
     }
 
-    /// Serves 200 reads, so that every cache was heard from.
+    /// Lets 200 reads be served, so that every cache has answered.
     pub fn warm_up(&mut self) {
         for n in 0..200 {
             self.serve(n, &format!("k{n}"), 50_000);
         }
     }
 
-    pub fn timer(&mut self, token: TimerToken) -> Vec<Action> {
-        self.tell(Event::Timer(token))
+    pub fn fire_timer(&mut self, token: TimerToken) -> Vec<Action> {
+        self.handle(Event::Timer(token))
     }
 }
 
 /// The server of the first send.
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn first_send(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-/// The first timer asked for.
-pub fn timer(actions: &[Action]) -> Option<(Micros, TimerToken)> {
+/// The first timer that is set.
+pub fn first_timer(actions: &[Action]) -> Option<(Micros, TimerToken)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     })
 }
 
-pub fn answered(actions: &[Action]) -> bool {
+pub fn has_final_answer(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
 }
 
-pub fn cancels(actions: &[Action]) -> Vec<usize> {
+pub fn cancelled_attempts(actions: &[Action]) -> Vec<usize> {
     let attempt = |a: &Action| match a {
         Action::Cancel { attempt, .. } => Some(*attempt),
         _ => None,
--- a/crates/paddlefold/tests/common/site.rs
+++ b/crates/paddlefold/tests/common/site.rs
@@ -1,5 +1,6 @@
-//! A small site in virtual time: nodes, caches with few cores and little memory, an origin, zones with a way between
-//! them. It takes seconds of a deployment and gives the same run every time.
+//! Simulates a small site in virtual time: nodes, caches with two cores and little memory, an origin, and
+//! zones with a delay between them. It simulates some seconds of a deployment, and gives the same run every
+//! time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -7,77 +8,84 @@
 
 pub const ORIGIN: ServerId = ServerId(1_000_000);
 const MS: Micros = 1_000;
+/// The time at which a simulation starts.
+const START: Micros = 100 * 1_000_000;
 
-/// What a site is made of, and what befalls it.
+/// The configuration of a site, its load, and the faults that are injected.
 pub struct Plan {
     pub seed: u64,
     pub settings: Settings,
-    /// Caches by zone.
+    /// Number of caches, by zone.
     pub caches: Vec<u32>,
-    /// Reads a second by zone, from one node each.
-    pub reads: Vec<f64>,
-    /// Distinct keys, of which one is as likely to be asked for as any other of its decade.
-    pub keys: u64,
-    /// Keys that a cache holds.
-    pub memory: usize,
-    /// Microseconds of work that a read takes a cache's core.
-    pub work: Micros,
-    /// One way between zones.
-    pub cross: Micros,
-    /// Fetches a second that the origin can take, and the time of one.
+    /// Reads per second by zone; each zone has one node.
+    pub read_rates: Vec<f64>,
+    /// Number of distinct keys; each key is as likely to be read as any other of its decade.
+    pub distinct_keys: u64,
+    /// Number of keys that a cache holds.
+    pub keys_per_cache: usize,
+    /// CPU time that a read takes at a cache.
+    pub service_time: Micros,
+    /// One-way delay between zones.
+    pub crossing_delay: Micros,
+    /// Fetches per second that the origin can serve, and the time of one.
     pub origin: (f64, Micros),
-    pub length: Micros,
-    pub events: Vec<(Micros, Turn)>,
+    pub duration: Micros,
+    /// Faults by the time after the start at which they happen.
+    pub faults: Vec<(Micros, Fault)>,
 }
 
-/// What befalls a site.
+/// A change of the site during the simulation.
 #[derive(Clone)]
-pub enum Turn {
-    /// A zone's caches are gone, silently; the list tells a second later.
-    Lose(u32),
-    /// They are back, cold and empty; the list tells at once.
-    Restore(u32),
+pub enum Fault {
+    /// A zone's caches fail without notice; the list shows it a second later.
+    LoseZone(u32),
+    /// They are back, cold and empty; the list shows it at once.
+    RestoreZone(u32),
     /// A zone is cut off from the others, or no longer.
-    Cut(u32, bool),
+    Partition(u32, bool),
     /// A cache drains; it is gone a second later.
     Drain(ServerId),
-    /// A cache fails this part of its requests at once.
-    Fail(ServerId, f64),
-    /// This part of the reads asks for keys that are wanted once.
+    /// A cache fails this fraction of its requests at once.
+    FailRequests(ServerId, f64),
+    /// This fraction of the reads asks for keys that are read only once.
     Scan(f64),
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Default, Debug)]
 pub struct Tally {
-    pub asked: u64,
+    pub reads: u64,
+    /// Reads served within the aim.
     pub in_aim: u64,
+    /// Reads served after the aim.
     pub late: u64,
     pub unserved: u64,
     pub crossings: u64,
     pub fetches: u64,
     pub hits: u64,
     pub misses: u64,
-    /// Most that a cold cache was sent in `fall`, in parts of what makes it collapse.
-    pub cold_push: f64,
-    /// Most that the origin was sent in a second, in parts of what it can take.
-    pub origin_push: f64,
-    /// Reads served within the aim, and all, by second.
+    /// The highest load on a cold cache over the time `fall`, as a fraction of the load at which it
+    /// collapses.
+    pub max_cold_load: f64,
+    /// The highest load on the origin over a second, as a fraction of what it can serve.
+    pub max_origin_load: f64,
+    /// Reads served within the aim, and all reads, by second.
     pub by_second: BTreeMap<u64, (u64, u64)>,
 }
 
 impl Tally {
-    pub fn served(&self) -> f64 {
-        self.in_aim as f64 / self.asked.max(1) as f64
+    /// The fraction of reads served within the aim.
+    pub fn served_ratio(&self) -> f64 {
+        self.in_aim as f64 / self.reads.max(1) as f64
     }
-    pub fn crossings(&self) -> f64 {
-        self.crossings as f64 / self.asked.max(1) as f64
+    pub fn crossings_per_read(&self) -> f64 {
+        self.crossings as f64 / self.reads.max(1) as f64
     }
-    pub fn found(&self) -> f64 {
+    pub fn hit_ratio(&self) -> f64 {
         self.hits as f64 / (self.hits + self.misses).max(1) as f64
     }
-    /// The part served within the aim from one second to another.
-    pub fn between(&self, from: u64, to: u64) -> f64 {
+    /// The fraction of reads served within the aim from one second to another.
+    pub fn served_ratio_between(&self, from: u64, to: u64) -> f64 {
         let sum = self.by_second.range(from..to).fold((0, 0), |a, (_, s)| (a.0 + s.0, a.1 + s.1));
         sum.0 as f64 / sum.1.max(1) as f64
     }
@@ -85,244 +93,273 @@
 
 struct Cache {
     member: Member,
+    /// When each core is free.
     cores: [Micros; 2],
-    held: VecDeque<u64>,
+    /// The keys that it holds, in the order of their last use.
+    keys: VecDeque<u64>,
     up: bool,
-    failing: f64,
-    pushed: VecDeque<(Micros, Micros)>,
+    failure_ratio: f64,
+    /// While it is cold: when it was sent work of late, and how much.
+    recent_work: VecDeque<(Micros, Micros)>,
 }
 
-struct Asked {
+struct Read {
     key: u64,
-    sent: Vec<(ServerId, Micros, bool)>,
+    /// Attempts: server, time of the send, and whether it is in flight.
+    attempts: Vec<(ServerId, Micros, bool)>,
     missed: Vec<ServerId>,
-    arrived: Micros,
+    arrived_at: Micros,
     answered: bool,
 }
 
-enum Due {
+/// A scheduled event; the first number of most is the node.
+enum Scheduled {
     Arrival(usize),
     Outcome(usize, RequestId, usize, Outcome, Option<bool>),
     Timer(usize, TimerToken),
-    List(usize, Vec<Member>),
-    Turn(Turn),
-    Gone(ServerId),
+    ListUpdate(usize, Vec<Member>),
+    Fault(Fault),
+    Removal(ServerId),
 }
 
-/// Runs a plan.
+/// A running simulation.
 pub struct Site {
     plan: Plan,
     rng: fastrand::Rng,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,
-    count: u64,
-    ids: u32,
+    /// By time, and by the order in which they were scheduled.
+    scheduled: BTreeMap<(Micros, u64), Scheduled>,
+    scheduled_count: u64,
+    last_id: u32,
     nodes: Vec<Balancer>,
     caches: BTreeMap<ServerId, Cache>,
-    asked: HashMap<RequestId, Asked>,
-    origin: VecDeque<Micros>,
-    cut: Option<u32>,
-    scan: f64,
-    once: u64,
+    reads: HashMap<RequestId, Read>,
+    /// When the origin was sent its fetches of the last second.
+    recent_fetches: VecDeque<Micros>,
+    partitioned_zone: Option<u32>,
+    scan_ratio: f64,
+    last_scan_key: u64,
     tally: Tally,
 }
 
 impl Site {
     pub fn run(plan: Plan) -> Tally {
-        let start = 100 * 1_000_000;
         let mut site = Site {
             rng: fastrand::Rng::with_seed(plan.seed),
-            now: start,
-            due: BTreeMap::new(),
-            count: 0,
-            ids: 0,
+            now: START,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            last_id: 0,
             nodes: Vec::new(),
             caches: BTreeMap::new(),
-            asked: HashMap::new(),
-            origin: VecDeque::new(),
-            cut: None,
-            scan: 0.0,
-            once: 1 << 40,
+            reads: HashMap::new(),
+            recent_fetches: VecDeque::new(),
+            partitioned_zone: None,
+            scan_ratio: 0.0,
+            last_scan_key: 1 << 40,
             tally: Tally::default(),
             plan,
         };
-        site.begin();
-        while let Some(((when, _), due)) = site.due.pop_first() {
+        site.start();
+        while let Some(((when, _), event)) = site.scheduled.pop_first() {
             site.now = when;
-            site.take(due);
+            site.handle_scheduled(event);
         }
-        let open = site.asked.values().filter(|a| !a.answered).count();
+        let open = site.reads.values().filter(|read| !read.answered).count();
         assert_eq!(open, 0, "requests without an answer");
         site.tally
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         let zones = self.plan.caches.clone();
-        let all = zones.iter().zip(0..).flat_map(|(&n, zone)| (0..n).map(move |_| zone));
-        for (zone, id) in all.zip(1..) {
-            let member = Member { zone, ..Member::up(ServerId(id)) };
-            let (held, pushed) = (VecDeque::new(), VecDeque::new());
-            self.caches
-                .insert(ServerId(id), Cache { member, cores: [0; 2], held, up: true, failing: 0.0, pushed });
+        let zone_of_caches = zones.iter().zip(0..).flat_map(|(&n, zone)| (0..n).map(move |_| zone));
+        for (zone, id) in zone_of_caches.zip(1..) {
+            let cache = Cache {
+                member: Member { zone, ..Member::up(ServerId(id)) },
+                cores: [0; 2],
+                keys: VecDeque::new(),
+                up: true,
+                failure_ratio: 0.0,
+                recent_work: VecDeque::new(),
+            };
+            self.caches.insert(ServerId(id), cache);
         }
         let mut members: Vec<Member> = self.caches.values().map(|c| c.member.clone()).collect();
         members.push(Member { origin: true, zone: 0, ..Member::up(ORIGIN) });
-        for zone in 0..self.plan.reads.len() {
+        for zone in 0..self.plan.read_rates.len() {
             let settings =
                 Settings { zone: Some(zone as u32), nodes: zones.len(), ..self.plan.settings.clone() };
             self.nodes.push(Balancer::new(settings, self.plan.seed + zone as u64, self.now));
-            self.tell(zone, Event::Members { scope: ListScope::Full, members: members.clone() });
-            if self.plan.reads[zone] > 0.0 {
-                self.at(0, Due::Arrival(zone));
+            self.handle(zone, Event::Members { scope: ListScope::Full, members: members.clone() });
+            if self.plan.read_rates[zone] > 0.0 {
+                self.schedule(0, Scheduled::Arrival(zone));
             }
         }
-        for (when, turn) in std::mem::take(&mut self.plan.events) {
-            self.at(when, Due::Turn(turn));
+        for (when, fault) in std::mem::take(&mut self.plan.faults) {
+            self.schedule(when, Scheduled::Fault(fault));
         }
     }
 
-    fn at(&mut self, after: Micros, due: Due) {
-        self.count += 1;
-        self.due.insert((self.now + after, self.count), due);
+    fn schedule(&mut self, after: Micros, event: Scheduled) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((self.now + after, self.scheduled_count), event);
     }
 
-    fn take(&mut self, due: Due) {
-        match due {
-            Due::Arrival(node) => self.arrive(node),
-            Due::Outcome(node, id, attempt, outcome, hit) => self.end(node, id, attempt, outcome, hit),
-            Due::Timer(node, token) => self.tell(node, Event::Timer(token)),
-            Due::List(node, members) => {
+    fn handle_scheduled(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Arrival(node) => self.arrive(node),
+            Scheduled::Outcome(node, id, attempt, outcome, hit) => {
+                self.end_attempt(node, id, attempt, outcome, hit)
+            }
+            Scheduled::Timer(node, token) => self.handle(node, Event::Timer(token)),
+            Scheduled::ListUpdate(node, members) => {
                 for member in &members {
-                    self.caches.get_mut(&member.id).expect("known").member.state = member.state;
+                    self.cache(member.id).member.state = member.state;
                 }
-                self.tell(node, Event::Members { scope: ListScope::Delta, members });
+                self.handle(node, Event::Members { scope: ListScope::Delta, members });
             }
-            Due::Turn(turn) => self.turn(turn),
-            Due::Gone(id) => {
-                self.caches.get_mut(&id).expect("known").up = false;
-                self.list(id, MemberState::Removed, 0);
+            Scheduled::Fault(fault) => self.inject(fault),
+            Scheduled::Removal(id) => {
+                self.cache(id).up = false;
+                self.update_lists(id, MemberState::Removed, 0);
             }
         }
     }
 
-    fn list(&mut self, id: ServerId, state: MemberState, after: Micros) {
+    fn cache(&mut self, id: ServerId) -> &mut Cache {
+        self.caches.get_mut(&id).expect("a cache of the site")
+    }
+
+    /// Schedules an update of every node's list.
+    fn update_lists(&mut self, id: ServerId, state: MemberState, after: Micros) {
         let member = Member { state, ..self.caches[&id].member.clone() };
         for node in 0..self.nodes.len() {
-            self.at(after, Due::List(node, vec![member.clone()]));
+            self.schedule(after, Scheduled::ListUpdate(node, vec![member.clone()]));
         }
     }
 
-    fn of_zone(&self, zone: u32) -> Vec<ServerId> {
+    fn caches_of_zone(&self, zone: u32) -> Vec<ServerId> {
         self.caches.values().filter(|c| c.member.zone == zone).map(|c| c.member.id).collect()
     }
 
-    fn turn(&mut self, turn: Turn) {
-        match turn {
-            Turn::Lose(zone) => {
-                for id in self.of_zone(zone) {
-                    self.caches.get_mut(&id).expect("known").up = false;
-                    self.list(id, MemberState::Removed, 1_000 * MS);
+    fn inject(&mut self, fault: Fault) {
+        match fault {
+            Fault::LoseZone(zone) => {
+                for id in self.caches_of_zone(zone) {
+                    self.cache(id).up = false;
+                    self.update_lists(id, MemberState::Removed, 1_000 * MS);
                 }
             }
-            Turn::Restore(zone) => {
-                for id in self.of_zone(zone) {
-                    let cache = self.caches.get_mut(&id).expect("known");
-                    (cache.up, cache.member.started) = (true, Some(self.now));
-                    cache.held.clear();
-                    self.list(id, MemberState::Up, 0);
+            Fault::RestoreZone(zone) => {
+                for id in self.caches_of_zone(zone) {
+                    let now = self.now;
+                    let cache = self.cache(id);
+                    (cache.up, cache.member.started) = (true, Some(now));
+                    cache.keys.clear();
+                    self.update_lists(id, MemberState::Up, 0);
                 }
             }
-            Turn::Cut(zone, cut) => self.cut = Some(zone).filter(|_| cut),
-            Turn::Drain(id) => {
-                self.list(id, MemberState::Draining, 0);
-                self.at(1_000 * MS, Due::Gone(id));
+            Fault::Partition(zone, cut_off) => self.partitioned_zone = Some(zone).filter(|_| cut_off),
+            Fault::Drain(id) => {
+                self.update_lists(id, MemberState::Draining, 0);
+                self.schedule(1_000 * MS, Scheduled::Removal(id));
             }
-            Turn::Fail(id, part) => self.caches.get_mut(&id).expect("known").failing = part,
-            Turn::Scan(part) => self.scan = part,
+            Fault::FailRequests(id, ratio) => self.cache(id).failure_ratio = ratio,
+            Fault::Scan(ratio) => self.scan_ratio = ratio,
         }
     }
 
     fn arrive(&mut self, node: usize) {
-        let rate = self.plan.reads[node];
+        let rate = self.plan.read_rates[node];
         let pause = (-(1.0 - self.rng.f64()).ln() / rate * 1e6) as Micros;
-        if self.now + pause < 100 * 1_000_000 + self.plan.length {
-            self.at(pause, Due::Arrival(node));
+        if self.now + pause < START + self.plan.duration {
+            self.schedule(pause, Scheduled::Arrival(node));
         }
-        self.ids += 1;
-        let (id, once) = (RequestId(self.ids), self.rng.f64() < self.scan);
-        self.once += u64::from(once);
-        let key = if once { self.once } else { (self.plan.keys as f64).powf(self.rng.f64()) as u64 };
-        let asked = Asked { key, sent: Vec::new(), missed: Vec::new(), arrived: self.now, answered: false };
-        self.asked.insert(id, asked);
-        self.tally.asked += 1;
-        self.tally.by_second.entry(self.second()).or_default().1 += 1;
+        self.last_id += 1;
+        let (id, is_scan) = (RequestId(self.last_id), self.rng.f64() < self.scan_ratio);
+        self.last_scan_key += u64::from(is_scan);
+        let key = if is_scan {
+            self.last_scan_key
+        } else {
+            (self.plan.distinct_keys as f64).powf(self.rng.f64()) as u64
+        };
+        let (attempts, missed) = (Vec::new(), Vec::new());
+        self.reads.insert(id, Read { key, attempts, missed, arrived_at: self.now, answered: false });
+        self.tally.reads += 1;
+        let second = (self.now - START) / 1_000_000;
+        self.tally.by_second.entry(second).or_default().1 += 1;
         let (key, budget) = (Some(format!("k{key}")), 1_000 * MS);
-        self.tell(node, Event::Request(Request { class: Some(0), key, budget, ..Request::new(id) }));
-    }
-
-    fn second(&self) -> u64 {
-        (self.now - 100 * 1_000_000) / 1_000_000
+        self.handle(node, Event::Request(Request { class: Some(0), key, budget, ..Request::new(id) }));
     }
 
-    fn tell(&mut self, node: usize, event: Event) {
+    /// Gives a node an event and carries out its actions.
+    fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { id, server, timeout } => self.send(node, id, server, timeout),
                 Action::Cancel { id, attempt } => {
-                    self.at(0, Due::Outcome(node, id, attempt, Outcome::Canceled, None))
+                    self.schedule(0, Scheduled::Outcome(node, id, attempt, Outcome::Canceled, None))
                 }
                 Action::Refuse { id, .. } | Action::Fail(id) => {
-                    let asked = self.asked.get_mut(&id).expect("asked");
-                    assert!(!asked.answered, "two final answers");
-                    assert!(self.now <= asked.arrived + 1_020 * MS, "answered too late");
-                    asked.answered = true;
+                    let read = self.reads.get_mut(&id).expect("a read that has arrived");
+                    assert!(!read.answered, "two final answers");
+                    assert!(self.now <= read.arrived_at + 1_020 * MS, "answered too late");
+                    read.answered = true;
                     self.tally.unserved += 1;
                 }
-                Action::SetTimer { after, token } => self.at(after, Due::Timer(node, token)),
+                Action::SetTimer { after, token } => self.schedule(after, Scheduled::Timer(node, token)),
                 Action::Subscribe => {}
             }
         }
     }
 
     fn send(&mut self, node: usize, id: RequestId, to: ServerId, timeout: Micros) {
-        let (here, there) = (node as u32, self.caches.get(&to).map_or(0, |c| c.member.zone));
-        let cut = here != there && self.cut.is_some_and(|zone| zone == here || zone == there);
-        self.tally.crossings += u64::from(here != there);
-        let way = if here == there { 200 } else { self.plan.cross };
-        let asked = self.asked.get_mut(&id).expect("asked");
-        assert!(!asked.answered, "nothing goes out after the final answer");
-        let attempt = asked.sent.len();
-        asked.sent.push((to, self.now, true));
-        let key = asked.key;
-        let (took, outcome, hit) = match to {
-            _ if cut => (100 * MS, Outcome::ConnectError, None),
-            ORIGIN => self.fetch(way),
-            _ => self.ask(to, key, way),
+        let (from_zone, to_zone) = (node as u32, self.caches.get(&to).map_or(0, |c| c.member.zone));
+        let crosses = from_zone != to_zone;
+        let cut_off = crosses && self.partitioned_zone.is_some_and(|z| z == from_zone || z == to_zone);
+        self.tally.crossings += u64::from(crosses);
+        let delay = if crosses { self.plan.crossing_delay } else { 200 };
+        let read = self.reads.get_mut(&id).expect("a read that has arrived");
+        assert!(!read.answered, "nothing is sent after the final answer");
+        let attempt = read.attempts.len();
+        read.attempts.push((to, self.now, true));
+        let key = read.key;
+        let (elapsed, outcome, hit) = match to {
+            _ if cut_off => (100 * MS, Outcome::ConnectError, None),
+            ORIGIN => self.fetch(delay),
+            _ => self.look_up(to, key, delay),
         };
-        let (took, outcome) = if took > timeout { (timeout, Outcome::TimedOut) } else { (took, outcome) };
-        self.at(took, Due::Outcome(node, id, attempt, outcome, hit));
+        let (elapsed, outcome) =
+            if elapsed > timeout { (timeout, Outcome::TimedOut) } else { (elapsed, outcome) };
+        self.schedule(elapsed, Scheduled::Outcome(node, id, attempt, outcome, hit));
     }
 
-    /// The origin turns away what is more than it can take in a second.
-    fn fetch(&mut self, way: Micros) -> (Micros, Outcome, Option<bool>) {
+    /// A fetch from the origin, which rejects what exceeds its capacity for a second. `delay` is the one-way
+    /// delay.
+    fn fetch(&mut self, delay: Micros) -> (Micros, Outcome, Option<bool>) {
         let (capacity, time) = self.plan.origin;
         self.tally.fetches += 1;
-        self.origin.push_back(self.now);
-        while self.origin.front().is_some_and(|&at| at + 1_000_000 <= self.now) {
-            self.origin.pop_front();
+        self.recent_fetches.push_back(self.now);
+        while self.recent_fetches.front().is_some_and(|&at| at + 1_000_000 <= self.now) {
+            self.recent_fetches.pop_front();
         }
-        let push = self.origin.len() as f64 / capacity;
-        self.tally.origin_push = self.tally.origin_push.max(push);
-        let outcome = if push > 1.0 { Outcome::QueueFull } else { Outcome::Ok };
-        (2 * way + time, outcome, None)
+        let load = self.recent_fetches.len() as f64 / capacity;
+        self.tally.max_origin_load = self.tally.max_origin_load.max(load);
+        let outcome = if load > 1.0 { Outcome::QueueFull } else { Outcome::Ok };
+        (2 * delay + time, outcome, None)
     }
 
-    fn ask(&mut self, to: ServerId, key: u64, way: Micros) -> (Micros, Outcome, Option<bool>) {
+    /// A lookup at a cache. `delay` is the one-way delay.
+    fn look_up(&mut self, to: ServerId, key: u64, delay: Micros) -> (Micros, Outcome, Option<bool>) {
         let (settings, now) = (&self.plan.settings, self.now);
-        let cache = self.caches.get_mut(&to).expect("known");
-        assert_eq!(cache.member.state, MemberState::Up, "a drain or an end is kept as soon as it is told");
+        let cache = self.caches.get_mut(&to).expect("a cache of the site");
+        assert_eq!(
+            cache.member.state,
+            MemberState::Up,
+            "a drain or removal takes effect as soon as it is listed"
+        );
         if !cache.up {
             return (100 * MS, Outcome::ConnectError, None);
         }
@@ -330,65 +367,72 @@
         let warm = (age as f64 / settings.cold.max(1) as f64).min(1.0);
         let capacity = settings.cold_from + (1.0 - settings.cold_from) * warm;
         if warm < 1.0 {
-            cache.pushed.push_back((now, self.plan.work));
-            while cache.pushed.front().is_some_and(|p| p.0 + settings.fall <= now) {
-                cache.pushed.pop_front();
+            cache.recent_work.push_back((now, self.plan.service_time));
+            while cache.recent_work.front().is_some_and(|work| work.0 + settings.fall <= now) {
+                cache.recent_work.pop_front();
             }
-            let work: Micros = cache.pushed.iter().map(|p| p.1).sum();
-            let bound = settings.overload_factor * capacity * 2.0 * settings.fall as f64;
-            self.tally.cold_push = self.tally.cold_push.max(work as f64 / bound);
+            let work: Micros = cache.recent_work.iter().map(|work| work.1).sum();
+            let collapses_at = settings.overload_factor * capacity * 2.0 * settings.fall as f64;
+            self.tally.max_cold_load = self.tally.max_cold_load.max(work as f64 / collapses_at);
         }
-        if self.rng.f64() < cache.failing {
-            return (2 * way + 2 * MS, Outcome::Failed, None);
+        if self.rng.f64() < cache.failure_ratio {
+            return (2 * delay + 2 * MS, Outcome::Failed, None);
         }
-        let held = cache.held.iter().position(|&k| k == key);
-        let work = if held.is_some() { self.plan.work } else { self.plan.work / 4 };
-        if let Some(place) = held {
-            cache.held.remove(place);
-            cache.held.push_back(key);
+        let position = cache.keys.iter().position(|&k| k == key);
+        let hit = position.is_some();
+        let work = if hit { self.plan.service_time } else { self.plan.service_time / 4 };
+        if let Some(position) = position {
+            cache.keys.remove(position);
+            cache.keys.push_back(key);
         }
         let core = if cache.cores[0] <= cache.cores[1] { 0 } else { 1 };
-        let end = cache.cores[core].max(now + way) + (work as f64 / capacity) as Micros;
+        let end = cache.cores[core].max(now + delay) + (work as f64 / capacity) as Micros;
         cache.cores[core] = end;
-        let outcome = if held.is_some() { Outcome::Ok } else { Outcome::Miss };
-        (end + way - now, outcome, Some(held.is_some()))
+        let outcome = if hit { Outcome::Ok } else { Outcome::Miss };
+        (end + delay - now, outcome, Some(hit))
     }
 
-    fn end(&mut self, node: usize, id: RequestId, attempt: usize, outcome: Outcome, hit: Option<bool>) {
-        let asked = self.asked.get_mut(&id).expect("asked");
-        let (server, sent, out) = &mut asked.sent[attempt];
-        if !std::mem::take(out) {
-            return; // called off before
+    fn end_attempt(
+        &mut self,
+        node: usize,
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        hit: Option<bool>,
+    ) {
+        let read = self.reads.get_mut(&id).expect("a read that has arrived");
+        let (server, sent_at, in_flight) = &mut read.attempts[attempt];
+        if !std::mem::take(in_flight) {
+            return; // it was cancelled before
         }
-        let (server, elapsed) = (*server, self.now - *sent);
+        let (server, elapsed) = (*server, self.now - *sent_at);
         if server != ORIGIN {
             self.tally.hits += u64::from(outcome == Outcome::Ok);
             self.tally.misses += u64::from(outcome == Outcome::Miss);
         }
         if outcome == Outcome::Miss {
-            asked.missed.push(server);
+            read.missed.push(server);
         }
-        if outcome == Outcome::Ok && !asked.answered {
-            asked.answered = true;
-            let took = self.now - asked.arrived;
-            if took <= self.plan.settings.classes[0].aim {
+        if outcome == Outcome::Ok && !read.answered {
+            read.answered = true;
+            if self.now - read.arrived_at <= self.plan.settings.classes[0].aim {
                 self.tally.in_aim += 1;
-                let second = (asked.arrived - 100 * 1_000_000) / 1_000_000;
+                let second = (read.arrived_at - START) / 1_000_000;
                 self.tally.by_second.entry(second).or_default().0 += 1;
             } else {
                 self.tally.late += 1;
             }
-            let (key, stored) = (asked.key, asked.missed.iter().take(2).copied());
-            for at in stored.filter(|_| server == ORIGIN) {
-                let held = &mut self.caches.get_mut(&at).expect("known").held;
-                held.push_back(key);
-                if held.len() > self.plan.memory {
-                    held.pop_front();
+            let (key, filled) = (read.key, read.missed.iter().take(2).copied());
+            for id in filled.filter(|_| server == ORIGIN) {
+                let keys = &mut self.caches.get_mut(&id).expect("a cache of the site").keys;
+                keys.push_back(key);
+                if keys.len() > self.plan.keys_per_cache {
+                    keys.pop_front();
                 }
             }
         }
-        let settled = self.asked[&id].answered;
+        let settled = self.reads[&id].answered;
         let end = AttemptEnd { elapsed, settled, hit, ..AttemptEnd::new(id, attempt, outcome) };
-        self.tell(node, Event::Outcome(end));
+        self.handle(node, Event::Outcome(end));
     }
 }
--- a/crates/paddlefold/tests/property.rs
+++ b/crates/paddlefold/tests/property.rs
@@ -1,5 +1,5 @@
-//! Long random but legal event sequences, with the module's actions checked against an independent
-//! statement of the rules. The world below is a list of what is due, not a model of servers.
+//! Long random but legal event sequences, with the module's actions checked against an independent statement
+//! of the rules. The simulation below schedules events; it does not model servers.
 
 mod common;
 use std::collections::{BTreeMap, HashMap};
@@ -10,11 +10,11 @@
 struct Attempt {
     server: ServerId,
     sent: Micros,
-    /// How it ended, once that was told.
+    /// How it ended, once the module was informed.
     end: Option<Outcome>,
 }
 
-struct Asked {
+struct TrackedRequest {
     effect: Effect,
     write: bool,
     deadline: Micros,
@@ -22,29 +22,29 @@
     attempts: Vec<Attempt>,
 }
 
-enum Due {
+enum Scheduled {
     Outcome(RequestId, usize, Outcome),
     Timer(TimerToken),
 }
 
-struct World {
+struct Simulation {
     zones: u32,
     balancer: Balancer,
     settings: Settings,
     rng: fastrand::Rng,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Due>,
-    count: u64,
-    asked: HashMap<RequestId, Asked>,
-    /// What the module was told of each server, and when it last came up.
+    scheduled: BTreeMap<(Micros, u64), Scheduled>,
+    scheduled_count: u64,
+    requests: HashMap<RequestId, TrackedRequest>,
+    /// The latest list entry of each server that the module was given.
     listed: BTreeMap<ServerId, Member>,
-    answers: usize,
+    final_answers: usize,
     repeats: usize,
     timers: usize,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let scope = [Scope::All, Scope::Zone, Scope::Cell][rng.usize(..3)];
         let class = |effect| Class { aim: 300_000, worth: 1.0, effect };
@@ -73,25 +73,25 @@
         };
         let now = rng.u64(0..1 << 50);
         let zones = [1, 2, 3, 8][rng.usize(..4)];
-        let mut world = World {
+        let mut simulation = Simulation {
             zones,
             balancer: Balancer::new(settings.clone(), seed, now),
             settings,
             rng,
             now,
-            due: BTreeMap::new(),
-            count: 0,
-            asked: HashMap::new(),
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            requests: HashMap::new(),
             listed: BTreeMap::new(),
-            answers: 0,
+            final_answers: 0,
             repeats: 0,
             timers: 0,
         };
-        world.list(ListScope::Full);
-        world
+        simulation.send_list(ListScope::Full);
+        simulation
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.on_event(self.now, event, &mut actions);
         for action in actions {
@@ -99,70 +99,72 @@
         }
     }
 
-    fn at(&mut self, when: Micros, what: Due) {
-        self.count += 1;
-        self.due.insert((when, self.count), what);
+    fn schedule(&mut self, when: Micros, event: Scheduled) {
+        self.scheduled_count += 1;
+        self.scheduled.insert((when, self.scheduled_count), event);
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout } => self.sent(id, server, timeout),
+            Action::Send { id, server, timeout } => self.on_send(id, server, timeout),
             Action::Cancel { id, attempt } => {
                 assert!(self.settings.cancel, "cancels are forbidden");
-                assert!(attempt < self.asked[&id].attempts.len(), "no such attempt");
+                assert!(attempt < self.requests[&id].attempts.len(), "no such attempt");
                 let late = self.rng.bool();
                 if !late {
-                    self.due.retain(|_, d| !matches!(d, Due::Outcome(i, n, _) if (*i, *n) == (id, attempt)));
-                    if self.asked[&id].attempts[attempt].end.is_none() {
-                        self.at(self.now + 5_000, Due::Outcome(id, attempt, Outcome::Canceled));
+                    self.scheduled.retain(
+                        |_, d| !matches!(d, Scheduled::Outcome(i, n, _) if (*i, *n) == (id, attempt)),
+                    );
+                    if self.requests[&id].attempts[attempt].end.is_none() {
+                        self.schedule(self.now + 5_000, Scheduled::Outcome(id, attempt, Outcome::Canceled));
                     }
                 }
             }
             Action::Refuse { id, retry_after } => {
                 assert!(retry_after <= self.settings.max_retry_after);
-                let asked = &self.asked[&id];
-                let proved = |a: &Attempt| a.end.is_some_and(|o| !o.may_have_run());
-                let harmless = match asked.effect {
+                let request = &self.requests[&id];
+                let has_not_run = |a: &Attempt| a.end.is_some_and(|o| !o.may_have_run());
+                let harmless = match request.effect {
                     Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
-                    _ => asked.attempts.iter().all(proved),
+                    _ => request.attempts.iter().all(has_not_run),
                 };
-                assert!(harmless, "a refusal that promises too much");
-                self.answer(id);
+                assert!(harmless, "refused although a repeat may do harm");
+                self.on_final_answer(id);
             }
-            Action::Fail(id) => self.answer(id),
+            Action::Fail(id) => self.on_final_answer(id),
             Action::SetTimer { after, token } => {
                 self.timers += 1;
-                assert!(self.timers < 100 * (self.asked.len() + 100), "a timer that is set again and again");
-                self.at(self.now + after, Due::Timer(token));
+                assert!(self.timers < 100 * (self.requests.len() + 100), "a timer is set without end");
+                self.schedule(self.now + after, Scheduled::Timer(token));
             }
             Action::Subscribe => assert!(self.settings.must_subscribe),
         }
     }
 
-    fn answer(&mut self, id: RequestId) {
-        let asked = self.asked.get_mut(&id).expect("a request of ours");
-        assert!(!asked.answered, "two final answers");
-        assert!(self.now <= asked.deadline + 20_000, "answered too late");
-        asked.answered = true;
-        self.answers += 1;
+    fn on_final_answer(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).expect("a request that was sent");
+        assert!(!request.answered, "two final answers");
+        assert!(self.now <= request.deadline + 20_000, "answered too late");
+        request.answered = true;
+        self.final_answers += 1;
     }
 
-    fn sent(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
-        let asked = self.asked.get_mut(&id).expect("a request of ours");
-        assert!(!asked.answered, "nothing goes out after the final answer");
-        assert!(asked.attempts.len() < self.settings.max_attempts);
+    fn on_send(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
+        let request = self.requests.get_mut(&id).expect("a request that was sent");
+        assert!(!request.answered, "nothing is sent after the final answer");
+        assert!(request.attempts.len() < self.settings.max_attempts);
         let to = &self.listed[&server];
-        assert_eq!(to.state, MemberState::Up, "drains are kept at once");
+        assert_eq!(to.state, MemberState::Up, "drains take effect at once");
         let aside = self.settings.mode == Mode::Aside;
-        assert!(!(aside && asked.write) || to.origin, "writes go to the origin");
-        let out = asked.attempts.iter().filter(|a| a.end.is_none()).count();
-        let copies = self.settings.second_copies && !asked.write && asked.effect == Effect::Safe;
-        assert!(out == 0 || copies, "a copy that nobody allowed");
-        for earlier in asked.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
+        assert!(!(aside && request.write) || to.origin, "writes go to the origin");
+        let in_flight = request.attempts.iter().filter(|a| a.end.is_none()).count();
+        let copies_allowed = self.settings.second_copies && !request.write && request.effect == Effect::Safe;
+        assert!(in_flight == 0 || copies_allowed, "a copy that is not allowed");
+        for earlier in request.attempts.iter().filter(|a| a.end.is_none_or(Outcome::may_have_run)) {
             let first = &self.listed[&earlier.server];
-            match asked.effect {
+            match request.effect {
                 Effect::Safe => {}
-                Effect::Unsafe => panic!("an unsafe request that may have run is sent again"),
+                Effect::Unsafe => panic!("an unsafe request that may have run is retried"),
                 Effect::Keyed { scope, window } => {
                     assert!(self.now <= earlier.sent + window, "outside its window");
                     match scope {
@@ -174,21 +176,21 @@
                 }
             }
         }
-        let attempt = asked.attempts.len();
-        asked.attempts.push(Attempt { server, sent: self.now, end: None });
-        let left = asked.deadline - self.now;
+        let attempt = request.attempts.len();
+        request.attempts.push(Attempt { server, sent: self.now, end: None });
+        let left = request.deadline - self.now;
         let limit = if timeout == 0 { left } else { timeout.min(left) };
         use Outcome::*;
-        let common = [Ok, Ok, Ok, Ok, Failed, QueueFull, ConnectError, Reset, Miss, TimedOut];
-        let outcome = common[self.rng.usize(..common.len())];
+        let outcomes = [Ok, Ok, Ok, Ok, Failed, QueueFull, ConnectError, Reset, Miss, TimedOut];
+        let outcome = outcomes[self.rng.usize(..outcomes.len())];
         let outcome = if outcome == Miss && (to.origin || !aside) { Ok } else { outcome };
         let elapsed = self.rng.u64(1_000..400_000);
-        let cut = outcome == TimedOut || elapsed >= limit;
-        let (when, outcome) = if cut { (limit, TimedOut) } else { (elapsed, outcome) };
-        self.at(self.now + when, Due::Outcome(id, attempt, outcome));
+        let times_out = outcome == TimedOut || elapsed >= limit;
+        let (when, outcome) = if times_out { (limit, TimedOut) } else { (elapsed, outcome) };
+        self.schedule(self.now + when, Scheduled::Outcome(id, attempt, outcome));
     }
 
-    fn list(&mut self, scope: ListScope) {
+    fn send_list(&mut self, scope: ListScope) {
         let mut members = Vec::new();
         for id in (0..8).map(ServerId) {
             if self.rng.u8(..4) == 0 {
@@ -219,10 +221,10 @@
             ListScope::Delta => {}
         }
         self.listed.extend(members.iter().map(|m| (m.id, m.clone())));
-        self.tell(Event::Members { scope, members });
+        self.handle(Event::Members { scope, members });
     }
 
-    fn ask(&mut self, id: RequestId) {
+    fn send_request(&mut self, id: RequestId) {
         let class = Some(self.rng.usize(..4)).filter(|&c| c < 3);
         let write = self.rng.u8(..5) == 0;
         let budget = if self.rng.u8(..20) == 0 { 0 } else { self.rng.u64(10_000..SECOND) };
@@ -234,73 +236,75 @@
             None => Effect::Safe,
         };
         let deadline = self.now + budget;
-        self.asked.insert(id, Asked { effect, write, deadline, answered: false, attempts: Vec::new() });
+        self.requests
+            .insert(id, TrackedRequest { effect, write, deadline, answered: false, attempts: Vec::new() });
         let key = (self.rng.u8(..8) != 0).then(|| format!("k{}", self.rng.u8(..20)));
         let tenant = Some(self.rng.usize(..3));
-        self.tell(Event::Request(Request { id, class, tenant, key, budget, write, has_idempotency_key }));
+        self.handle(Event::Request(Request { id, class, tenant, key, budget, write, has_idempotency_key }));
     }
 
-    fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
-        let asked = self.asked.get_mut(&id).unwrap();
-        let a = &mut asked.attempts[attempt];
+    fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
+        let request = self.requests.get_mut(&id).unwrap();
+        let a = &mut request.attempts[attempt];
         if a.end.is_some() {
             return;
         }
         a.end = Some(outcome);
         let elapsed = self.now - a.sent;
-        if outcome == Outcome::Ok && !asked.answered {
-            asked.answered = true;
-            self.answers += 1;
+        if outcome == Outcome::Ok && !request.answered {
+            request.answered = true;
+            self.final_answers += 1;
         }
-        let settled = asked.answered;
+        let settled = request.answered;
         let hit = [None, Some(true), Some(false)][self.rng.usize(..3)];
         let utilization = [None, Some(0.5), Some(0.99)][self.rng.usize(..3)];
         let end = AttemptEnd { id, attempt, outcome, elapsed, settled, hit, utilization };
-        self.tell(Event::Outcome(end));
+        self.handle(Event::Outcome(end));
     }
 
-    /// Every request must be answered by its end, and within the grace at the latest.
+    /// Every request must be answered by its deadline, or at the latest 20 ms after it.
     fn run(&mut self, requests: u32) {
         for n in 0..requests {
             let pause = 5_000 * self.rng.u64(0..6);
-            self.step(pause);
+            self.advance(pause);
             match self.rng.u8(..60) {
-                0 => self.list(ListScope::Delta),
-                1 => self.list(ListScope::Full),
-                2 => self.list(ListScope::Failed),
+                0 => self.send_list(ListScope::Delta),
+                1 => self.send_list(ListScope::Full),
+                2 => self.send_list(ListScope::Failed),
                 3 => {
                     let stray = TimerToken(self.rng.u64(..));
-                    self.tell(Event::Timer(stray));
+                    self.handle(Event::Timer(stray));
                 }
                 4 if n > 0 => {
                     let id = RequestId(self.rng.u32(..n));
-                    if self.asked[&id].answered || self.now < self.asked[&id].deadline {
-                        self.asked.get_mut(&id).unwrap().answered = true;
-                        self.tell(Event::ClientGone(id));
+                    if self.requests[&id].answered || self.now < self.requests[&id].deadline {
+                        self.requests.get_mut(&id).unwrap().answered = true;
+                        self.handle(Event::ClientGone(id));
                     }
                 }
                 _ => {}
             }
-            self.ask(RequestId(n));
+            self.send_request(RequestId(n));
         }
-        self.step(3 * SECOND);
-        let lost: Vec<&RequestId> =
-            self.asked.iter().filter(|(_, a)| !a.answered).map(|(id, _)| id).collect();
-        assert!(lost.is_empty(), "requests without an answer: {lost:?}");
+        self.advance(3 * SECOND);
+        let unanswered: Vec<&RequestId> =
+            self.requests.iter().filter(|(_, a)| !a.answered).map(|(id, _)| id).collect();
+        assert!(unanswered.is_empty(), "requests without an answer: {unanswered:?}");
     }
 
-    fn step(&mut self, time: Micros) {
+    fn advance(&mut self, time: Micros) {
         let end = self.now + time;
-        while let Some((&(when, count), _)) = self.due.first_key_value().filter(|((when, _), _)| *when <= end)
+        while let Some((&(when, count), _)) =
+            self.scheduled.first_key_value().filter(|((when, _), _)| *when <= end)
         {
             self.now = self.now.max(when);
-            match self.due.remove(&(when, count)).unwrap() {
-                Due::Outcome(id, attempt, outcome) => self.finish_attempt(id, attempt, outcome),
-                Due::Timer(token) => self.tell(Event::Timer(token)),
+            match self.scheduled.remove(&(when, count)).unwrap() {
+                Scheduled::Outcome(id, attempt, outcome) => self.end_attempt(id, attempt, outcome),
+                Scheduled::Timer(token) => self.handle(Event::Timer(token)),
             }
-            let overdue = |a: &&Asked| !a.answered && self.now > a.deadline + 20_000;
+            let overdue = |a: &&TrackedRequest| !a.answered && self.now > a.deadline + 20_000;
             assert!(
-                !self.count.is_multiple_of(64) || !self.asked.values().any(|a| overdue(&a)),
+                !self.scheduled_count.is_multiple_of(64) || !self.requests.values().any(|a| overdue(&a)),
                 "an answer is overdue"
             );
         }
@@ -310,24 +314,27 @@
 
 #[test]
 fn random_legal_events_break_no_rule() {
-    let (mut answers, mut repeats) = (0, 0);
+    let (mut final_answers, mut repeats) = (0, 0);
     for seed in 0..200 {
-        let mut world = World::new(seed);
-        world.run(400);
-        answers += world.answers;
-        repeats += world.repeats;
+        let mut simulation = Simulation::new(seed);
+        simulation.run(400);
+        final_answers += simulation.final_answers;
+        repeats += simulation.repeats;
     }
-    assert!(answers > 20_000 && repeats > 100, "the sequences must exercise the rules: {answers}, {repeats}");
+    assert!(
+        final_answers > 20_000 && repeats > 100,
+        "the sequences must exercise the rules: {final_answers}, {repeats}"
+    );
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let trace = |seed| {
-        let mut world = World::new(seed);
-        world.run(200);
-        let mut sends: Vec<_> = world.asked.iter().collect();
+        let mut simulation = Simulation::new(seed);
+        simulation.run(200);
+        let mut sends: Vec<_> = simulation.requests.iter().collect();
         sends.sort_by_key(|(id, _)| **id);
-        let of = |a: &Asked| a.attempts.iter().map(|t| (t.server, t.sent)).collect::<Vec<_>>();
+        let of = |a: &TrackedRequest| a.attempts.iter().map(|t| (t.server, t.sent)).collect::<Vec<_>>();
         sends.into_iter().map(|(_, a)| of(a)).collect::<Vec<_>>()
     };
     assert_eq!(trace(7), trace(7));
--- a/crates/paddlefold/tests/size.rs
+++ b/crates/paddlefold/tests/size.rs
@@ -1,9 +1,10 @@
-//! Each file of the module stays short enough to be read at a sitting.
+//! Bounds the length of each file of the module, so that it can be read in one go, and the width of the lines
+//! of the two files that hold the main rules.
 
-/// Lines of one file that are not blank.
-const LONGEST_FILE: usize = 550;
-/// Characters of a line.
-const WIDEST_LINE: usize = 110;
+/// The most non-blank lines of one file.
+const MAX_LINES_PER_FILE: usize = 550;
+/// The most characters of a line.
+const MAX_LINE_WIDTH: usize = 110;
 
 const FILES: [(&str, &str); 9] = [
     ("admission.rs", include_str!("../src/admission.rs")),
@@ -21,10 +22,10 @@
 fn each_file_of_the_module_is_short_and_the_lines_of_its_rules_narrow() {
     for (name, text) in FILES {
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= LONGEST_FILE, "{name}: {lines} lines");
+        assert!(lines <= MAX_LINES_PER_FILE, "{name}: {lines} lines");
         let narrow = ["balancer.rs", "permit.rs"].contains(&name);
         let wide: Vec<&str> =
-            text.lines().filter(|_| narrow).filter(|line| line.chars().count() > WIDEST_LINE).collect();
-        assert!(wide.is_empty(), "{name}: over {WIDEST_LINE} characters: {wide:?}");
+            text.lines().filter(|_| narrow).filter(|line| line.chars().count() > MAX_LINE_WIDTH).collect();
+        assert!(wide.is_empty(), "{name}: over {MAX_LINE_WIDTH} characters: {wide:?}");
     }
 }
--- a/crates/paddlefold/tests/wire.rs
+++ b/crates/paddlefold/tests/wire.rs
@@ -1,8 +1,9 @@
-//! The wire, on hand-written transcripts.
+//! The wire protocol, on hand-written transcripts.
 
 use paddlefold::wire::run;
 
-fn answer(input: &str) -> (Result<(), String>, String, String) {
+/// Runs the adapter; returns its result, its output and its notes.
+fn run_adapter(input: &str) -> (Result<(), String>, String, String) {
     let (mut output, mut notes) = (Vec::new(), Vec::new());
     let result = run(input.as_bytes(), &mut output, &mut notes).map_err(|e| e.to_string());
     (result, String::from_utf8(output).unwrap(), String::from_utf8(notes).unwrap())
@@ -27,27 +28,27 @@
 }
 
 #[test]
-fn the_transcript_is_answered_as_written() {
-    let (result, output, notes) = answer(include_str!("transcript.in"));
+fn the_transcript_gives_the_stored_output() {
+    let (result, output, notes) = run_adapter(include_str!("transcript.in"));
     assert_eq!(result, Ok(()));
-    // Timers are left out: when they fall due is a matter of tuning.
+    // Timers are left out, since their times depend on tuning constants.
     let answers: Vec<&str> = output.lines().filter(|l| !l.contains("NOTIFY_ME")).collect();
     assert_eq!(answers.join("\n") + "\n", include_str!("transcript.out"));
     assert_eq!(notes, "");
 }
 
 #[test]
-fn an_empty_batch_is_answered_by_its_number() {
-    let (_, output, _) = answer("{\"ROUND\":{\"AtTime\":8412.25,\"n\":1}}\n{\"FLUSH\":{}}\n");
+fn an_empty_batch_is_answered_with_its_number() {
+    let (_, output, _) = run_adapter("{\"ROUND\":{\"AtTime\":8412.25,\"n\":1}}\n{\"FLUSH\":{}}\n");
     assert_eq!(output, "{\"EOR\":{\"n\":1}}\n");
 }
 
 #[test]
-fn instances_share_nothing_and_each_answers_for_itself() {
+fn instances_share_no_state_and_reply_separately() {
     let batch =
         |events: &str| format!("{{\"ROUND\":{{\"AtTime\":9.0,\"n\":2}}}}\n{events}{{\"FLUSH\":{{}}}}\n");
-    let both = answer(&(configured(&[1, 2]) + &batch(&(request(1, 5) + &request(2, 6))))).1;
-    let one = answer(&(configured(&[1]) + &batch(&request(1, 5)))).1;
+    let both = run_adapter(&(configured(&[1, 2]) + &batch(&(request(1, 5) + &request(2, 6))))).1;
+    let one = run_adapter(&(configured(&[1]) + &batch(&request(1, 5)))).1;
     let lines = |text: &str| -> Vec<String> {
         text.lines().filter(|l| l.contains("\"I\":1,")).map(String::from).collect()
     };
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn a_killed_instance_asks_for_nothing_and_may_begin_anew() {
+fn a_killed_instance_gives_no_replies_and_may_be_set_up_again() {
     let setup = configured(&[1]);
     let again =
         setup.lines().filter(|l| !l.contains("ROUND") && !l.contains("FLUSH")).collect::<Vec<_>>().join("\n");
@@ -65,27 +66,27 @@
         "{{\"ROUND\":{{\"AtTime\":9.0,\"n\":2}}}}\n{}{{\"EXIT\":{{\"I\":1}}}}\n{again}\n{{\"FLUSH\":{{}}}}\n",
         request(1, 5)
     );
-    let (result, output, _) = answer(&(setup + &kill));
+    let (result, output, _) = run_adapter(&(setup + &kill));
     assert_eq!(result, Ok(()));
     assert!(!output.contains("\"Rid\":5"), "{output}");
 }
 
 #[test]
-fn what_is_unknown_is_skipped_and_what_is_not_ours_ignored() {
-    let odd = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n{\"NEWS\":{\"I\":1,\"x\":[1,2]}}\n\
+fn unknown_events_are_skipped_and_unknown_timers_and_requests_ignored() {
+    let unknown = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n{\"NEWS\":{\"I\":1,\"x\":[1,2]}}\n\
         {\"TIMER\":{\"I\":1,\"Ref\":\"sweep\"}}\n{\"CLIENT_GONE\":{\"I\":1,\"Rid\":77,\"New\":null}}\n\
         {\"FINISHED\":{\"I\":1,\"Rid\":77,\"Leg\":3,\"Server\":8,\"Code\":\"Ok\",\"Duration\":1.0}}\n\
         {\"FROM_PEER\":{\"I\":1,\"From\":2,\"Raw\":\"00\"}}\n{\"FLUSH\":{}}\n";
-    let (result, output, notes) = answer(&(configured(&[1]) + odd));
+    let (result, output, notes) = run_adapter(&(configured(&[1]) + unknown));
     assert_eq!(result, Ok(()));
     assert!(output.ends_with("{\"EOR\":{\"n\":2}}\n"));
     assert!(notes.contains("NEWS"), "{notes}");
 }
 
 #[test]
-fn malformed_input_is_named_with_its_line_and_gets_no_reply() {
+fn malformed_input_is_reported_with_its_line_and_gets_no_reply() {
     let begun = "{\"ROUND\":{\"AtTime\":9.0,\"n\":2}}\n";
-    for (bad, says) in [
+    for (input, expected) in [
         ("nonsense\n".to_string(), "line 1"),
         (begun.to_string(), "within batch 2"),
         (format!("{begun}{{\"NEW_REQUEST\":{{\"I\":1}}}}\n"), "Rid"),
@@ -101,9 +102,9 @@
             "Odd",
         ),
     ] {
-        let (result, output, _) = answer(&bad);
-        let error = result.expect_err(&bad);
-        assert!(error.contains(says), "{error} for {bad}");
+        let (result, output, _) = run_adapter(&input);
+        let error = result.expect_err(&input);
+        assert!(error.contains(expected), "{error} for {input}");
         assert!(!error.contains('\n') && output.is_empty());
     }
 }
