--- a/crates/paddlefold/src/balancer.rs
+++ b/crates/paddlefold/src/balancer.rs
@@ -192,7 +192,7 @@
                 // The credit starts at a random fraction of one send: with equal starts, the credits of
                 // hundreds of nodes would grow in step and all of them would send to the cold server at the
                 // same time.
-                server.restart(since, self.now, self.rng.f64());
+                server.reset_after_restart(since, self.now, self.rng.f64());
             }
             server.member = member;
         }
@@ -414,7 +414,7 @@
         self.current_credit(server, server.send_credit)
     }
 
-    /// Grows a credit (amount, and when it was computed) to the present time.
+    /// A credit (its amount, and when that was computed), grown to the present time.
     fn current_credit(&self, server: &Server, (saved, at): (f64, Micros)) -> f64 {
         let share = if self.now < self.capacity_share.1 { self.capacity_share.0 } else { 0.0 };
         let arrivals = share * self.arrivals.per_second(self.now, self.rate_time_constant());
--- a/crates/paddlefold/src/health.rs
+++ b/crates/paddlefold/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of caches, zones and kinds of machines, learned from the ends of this node's own attempts.
+//! Health of caches, zones and kinds of machines, learned from the ends of this node's own attempts alone.
 
 use super::*;
 
--- a/crates/paddlefold/src/holders.rs
+++ b/crates/paddlefold/src/holders.rs
@@ -7,11 +7,12 @@
 
 /// Keys that one generation remembers; two generations are kept, and the older one is dropped as a whole.
 const KEYS_PER_GENERATION: usize = 8192;
-/// Caches that are remembered of one key.
+/// The most caches that are remembered of one key.
 const MAX_HOLDERS_PER_KEY: usize = 8;
 /// Width of the first age bucket: the key was last seen at the cache at most this long ago. Each further
 /// bucket reaches twice as far.
-const FIRST_AGE_BUCKET: Micros = 500_000;
+const FIRST_AGE_BUCKET_US: Micros = 500_000;
+/// Number of age buckets; the last one has no upper limit.
 const AGE_BUCKETS: usize = 8;
 /// Initial hit ratio of lookups at a cache where the key was seen before, ...
 const INITIAL_HIT_RATIO_SEEN: f64 = 0.95;
@@ -33,8 +34,8 @@
     OtherZone,
 }
 
-/// What is known of a key at a cache, as an index of a hit ratio: the age bucket of its last sight there, or
-/// else the role of the cache. See [`KeyHolders::hit_class`].
+/// What is known of a key at a cache, as an index of a hit ratio: the age bucket of the time when it was
+/// last seen there, or else the role of the cache. See [`KeyHolders::hit_class`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct HitClass(usize);
 
@@ -120,13 +121,13 @@
     fn min_retention(&self) -> Micros {
         let kept = |&&ratio: &&f64| ratio > KEPT_HIT_RATIO;
         let buckets = self.hit_ratios[..AGE_BUCKETS].iter().take_while(kept).count();
-        FIRST_AGE_BUCKET << buckets >> 1
+        FIRST_AGE_BUCKET_US << buckets >> 1
     }
 }
 
-/// The bucket of an age: 0 up to `FIRST_AGE_BUCKET`, then one more at each doubling.
+/// The bucket of an age: 0 up to `FIRST_AGE_BUCKET_US`, then one more at each doubling.
 fn age_bucket(age: Micros) -> usize {
-    (age / FIRST_AGE_BUCKET).checked_ilog2().map_or(0, |n| n as usize + 1).min(AGE_BUCKETS - 1)
+    (age / FIRST_AGE_BUCKET_US).checked_ilog2().map_or(0, |n| n as usize + 1).min(AGE_BUCKETS - 1)
 }
 
 #[cfg(test)]
--- a/crates/paddlefold/src/learned.rs
+++ b/crates/paddlefold/src/learned.rs
@@ -65,9 +65,9 @@
         }
     }
 
-    /// Continues from what another balancer has learned, as far as it applies: response times if the number
-    /// of classes is the same, servers that are listed, and only valid numbers. To be called once, before the
-    /// first request.
+    /// Continues from what another balancer has learned, as far as it applies: response times by the index of
+    /// their class, if the number of classes is the same; servers that are listed; and only valid numbers. To
+    /// be called once, before the first request.
     pub fn restore(&mut self, learned: &Learned) {
         const HOUR_US: f64 = 3.6e9;
         if learned.response_times_us.len() == self.response_times.len() {
@@ -110,6 +110,14 @@
         balancer
     }
 
+    /// Other builds read what this one has stored, and the other way round.
+    #[test]
+    fn fields_are_stored_under_their_old_names() {
+        let learned = Learned { servers: vec![LearnedServer::default()], ..Learned::default() };
+        let stored = r#"{"times":[],"gates":[],"usual_work":0.0,"servers":[{"id":0,"slowness":0.0,"silent":0,"heard":null}]}"#;
+        assert_eq!(serde_json::to_string(&learned).unwrap(), stored);
+    }
+
     #[test]
     fn what_was_learned_is_restored_and_invalid_numbers_are_ignored() {
         let mut first = balancer();
--- a/crates/paddlefold/src/setup.rs
+++ b/crates/paddlefold/src/setup.rs
@@ -108,7 +108,7 @@
 }
 
 /// Connection time-out, in microseconds, if the settings state none.
-const DEFAULT_CONNECT_TIMEOUT: Micros = 1_000_000;
+const DEFAULT_CONNECT_TIMEOUT_US: Micros = 1_000_000;
 
 /// The settings could not be used: a class has this unknown effect.
 #[derive(Debug)]
@@ -216,7 +216,7 @@
         let hard_limits = setup.classes.iter().map(|c| micros(c.hard_limit));
         Ok(Setup {
             settings,
-            connect_timeout: limits.connect_timeout.map_or(DEFAULT_CONNECT_TIMEOUT, micros),
+            connect_timeout: limits.connect_timeout.map_or(DEFAULT_CONNECT_TIMEOUT_US, micros),
             longest_deadline: hard_limits.max().unwrap_or(0),
             node_index: setup.me,
             peers_allowed: limits.peers,
--- a/crates/paddlefold/src/state.rs
+++ b/crates/paddlefold/src/state.rs
@@ -231,9 +231,9 @@
         self.in_flight.remove(&entry);
         Some(entry.0)
     }
-    /// Resets it after a restart: in slow start, unless that start is long ago, without a record of slowness
-    /// or failures, and with part of a send saved up.
-    pub fn restart(&mut self, slow_start_since: Option<Micros>, now: Micros, saved: f64) {
+    /// Resets it after a restart of the server: in slow start, unless that start is long ago, without a
+    /// record of slowness or failures, and with part of a send saved up.
+    pub fn reset_after_restart(&mut self, slow_start_since: Option<Micros>, now: Micros, saved: f64) {
         self.slow_start_since = slow_start_since;
         (self.slowness, self.unanswered_attempts, self.peer_slowness) = (1.0, 0, (0.0, 0));
         (self.send_credit, self.begin_credit) = ((saved, now), (saved, now));
