--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -125,13 +125,13 @@
         let member = Member {
             id,
             state,
-            zone: setup.zone(Cow::Borrowed(&entry.zone)),
+            zone: setup.zone_index(Cow::Borrowed(&entry.zone)),
             cell: entry.cell,
-            kind: setup.kind(Cow::Borrowed(&entry.kind)),
+            kind: setup.kind_index(Cow::Borrowed(&entry.kind)),
             weight: entry.weight.unwrap_or(1.0),
             started: Some(entry.started_ms).filter(|&t| t > 0.0).map(micros),
             origin,
-            discards: origin || deduplicates(&entry.kind),
+            deduplicates: origin || deduplicates(&entry.kind),
         };
         if state == MemberState::Removed {
             if let Some(server) = self.servers.remove(&id) {
@@ -350,7 +350,7 @@
     /// The directory of one of `nodes` nodes, with one listed server.
     fn directory(nodes: usize) -> (Directory<Numbered>, ServerId, SocketAddr) {
         let stated = r#"{"Classes":[],"Skus":["m"]}"#;
-        let stated: paddlefold::setup::Stated = serde_json::from_str(stated).expect("settings");
+        let stated: paddlefold::setup::RawSettings = serde_json::from_str(stated).expect("settings");
         let mut setup = Setup::try_from(stated).expect("settings");
         let addr = "127.0.0.1:1".parse().expect("an address");
         let (id, zone, kind, state) = ("s".to_owned(), "a".to_owned(), "m".to_owned(), ServerState::Serving);
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -275,7 +275,7 @@
         driver.directory.take_changes(); // the initial list is not logged as a change
         driver.run_balancer();
         if let Some(learned) = &options.learned {
-            driver.balancer.resume(learned);
+            driver.balancer.restore(learned);
         }
         driver.count_caches();
         let (requests, core) = (
@@ -375,7 +375,8 @@
     fn set_peer_status(&mut self, status: PeerStatus) {
         let left = status.valid_until.saturating_duration_since(Instant::now());
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
-        self.events.push_back(Event::Part { part: f64::from(status.share_thousandths) / 1e3, until });
+        self.events
+            .push_back(Event::CapacityShare { share: f64::from(status.share_thousandths) / 1e3, until });
         self.directory.set_nodes(status.node_count());
         self.book.siblings(status.peer_counts);
         self.peer_status = Some(status);
@@ -411,8 +412,11 @@
         let (mut known, mut avoided, now) = (0, 0, Instant::now());
         for (id, is_serving, last_sent) in self.directory.caches() {
             known += 1;
-            let is_excluded =
-                || self.balancer.server(id).is_some_and(|view| view.cut_off || view.silent.is_some());
+            let is_excluded = || {
+                self.balancer
+                    .server_view(id)
+                    .is_some_and(|view| view.cut_off || view.unanswered_attempts.is_some())
+            };
             let recently_used = last_sent.is_some_and(|last_sent| now < last_sent + AVOIDED_AFTER);
             avoided += usize::from(!is_serving || !recently_used && is_excluded());
         }
@@ -489,7 +493,7 @@
         let listed = self.directory.by_name();
         let events = listed.into_iter().map(|(name, (server, ..))| {
             let slowness = slowness_by_name.get(name).copied();
-            Event::Told {
+            Event::PeerSlowness {
                 server,
                 slowness: slowness.unwrap_or(0.0),
                 until: slowness.map_or(0, |_| now + PEER_SLOWNESS_TTL_US),
@@ -502,9 +506,9 @@
     fn observed_slowness(&self) -> BTreeMap<String, f64> {
         let names = self.directory.names();
         let slowness = |(id, name): (&ServerId, &&str)| {
-            let view = self.balancer.server(*id)?;
-            let silent = view.silent.is_some_and(|tries| tries > 0);
-            Some(((*name).to_owned(), if silent { f64::INFINITY } else { view.seen }))
+            let view = self.balancer.server_view(*id)?;
+            let silent = view.unanswered_attempts.is_some_and(|tries| tries > 0);
+            Some(((*name).to_owned(), if silent { f64::INFINITY } else { view.own_slowness }))
         };
         names.iter().filter_map(slowness).collect()
     }
@@ -581,7 +585,7 @@
             key: Some(call.key.clone()),
             budget: call.client_timeout().saturating_sub(spent),
             write: call.is_write(),
-            keyed: !call.is_write() || call.idempotency_key.is_some(),
+            has_idempotency_key: !call.is_write() || call.idempotency_key.is_some(),
         };
         let effect =
             call.class.and_then(|class| self.setup.settings.classes.get(class)).map(|class| class.effect);
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -5,7 +5,7 @@
 
 use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
 use lilacquay_overrides::Hold;
-use paddlefold::{Micros, RequestId, ServerId, Waiting};
+use paddlefold::{Micros, RequestId, ServerId, WaitReason};
 use tokio::time::Instant;
 
 use super::Driver;
@@ -14,12 +14,12 @@
 use crate::upstream::Upstream;
 
 /// What a request waits for, as observers report it.
-fn to_waits(waiting: Waiting) -> Waits {
+fn to_waits(waiting: WaitReason) -> Waits {
     match waiting {
-        Waiting::Nothing => Waits::Nothing,
-        Waiting::Flight => Waits::Fetch,
-        Waiting::Place => Waits::Place,
-        Waiting::Pause => Waits::Pause,
+        WaitReason::NotWaiting => Waits::Nothing,
+        WaitReason::InFlightFetch => Waits::Fetch,
+        WaitReason::ConcurrencySlot => Waits::Place,
+        WaitReason::Backoff => Waits::Pause,
     }
 }
 
@@ -76,7 +76,7 @@
             observer.keep_servers(|id| names.contains_key(&ServerId(id)));
             let open_request = |id: u32| {
                 let id = RequestId(id);
-                let waits = self.balancer.waiting(id).map_or(Waits::Nothing, to_waits);
+                let waits = self.balancer.wait_reason(id).map_or(Waits::Nothing, to_waits);
                 Some((self.open_requests.get(&id)?.call.key.clone(), waits))
             };
             let server_name = |id: u32| {
@@ -116,7 +116,7 @@
         let to_box = |server: ServerStatus| {
             let id = listed.get(server.name.as_str()).map(|(id, ..)| *id);
             let at_server = id.and_then(|id| in_flight.get(&id)).copied().unwrap_or_default();
-            let view = id.and_then(|id| self.balancer.server(id));
+            let view = id.and_then(|id| self.balancer.server_view(id));
             let order = server.order.map(|held| OrderNow {
                 number: held.number,
                 seconds_left: match held.hold {
@@ -125,7 +125,7 @@
                 },
                 lasting: held.lasting,
             });
-            let left_out = view.and_then(|view| match (view.cut_off, view.silent) {
+            let left_out = view.and_then(|view| match (view.cut_off, view.unanswered_attempts) {
                 (true, _) => Some("its zone gives no connections".to_owned()),
                 (false, Some(0)) => Some("it owes an answer that is long overdue".to_owned()),
                 (false, Some(silent)) => Some(format!("{silent} attempts in a row had no answer")),
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -11,7 +11,7 @@
     Target, Upstream,
 };
 use lilacquay_overrides::{Ask, Done, Kept, Order, Refusal};
-use paddlefold::setup::{Setup, Stated};
+use paddlefold::setup::{RawSettings, Setup};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -65,7 +65,7 @@
     fn new(persisted_orders: Option<Vec<Kept>>) -> TestCore {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
-        let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
+        let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
         let known = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -14,7 +14,7 @@
 use lilacquay_fronts::{Acceptor, Bounds, Input, Malformed, Parting, Protocol, Refusal};
 use lilacquay_lifecycle::{Bearing, Manner};
 use lilacquay_metrics::{Book, Rule, Violations};
-use paddlefold::setup::{Setup, Stated};
+use paddlefold::setup::{RawSettings, Setup};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -126,7 +126,7 @@
     async fn new(connections: usize) -> Stage {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":1}}"#;
-        let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
+        let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let (names, entry) = (setup.names.clone(), |id: &str| ServerEntry {
             id: id.into(),
             addr: (Ipv4Addr::LOCALHOST, 1).into(),
