--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -20,7 +20,7 @@
 
 impl Call {
     /// The word for it.
-    pub fn word(self) -> &'static str {
+    pub fn keyword(self) -> &'static str {
         match self {
             Call::Health => "HEALTH",
             Call::Dump => "DUMP",
@@ -70,7 +70,7 @@
     }
     let word = line.trim_ascii();
     let known = [Call::Health, Call::Dump, Call::Leave, Call::Join];
-    let call = known.into_iter().find(|call| word.eq_ignore_ascii_case(call.word().as_bytes()));
+    let call = known.into_iter().find(|call| word.eq_ignore_ascii_case(call.keyword().as_bytes()));
     call.map(Some).ok_or(NoCall::Unknown)
 }
 
@@ -78,20 +78,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// Yes, or done.
-    Yes,
+    Ack,
     /// No, with the reason in one line.
-    No(String),
+    Nak(String),
     /// Figures, a line each.
-    Figures(String),
+    Metrics(String),
 }
 
 impl Answer {
     /// As it is written.
     pub fn text(&self) -> String {
         match self {
-            Answer::Yes => "ACK\n".into(),
-            Answer::No(why) => format!("NAK {}\n", why.replace(['\r', '\n'], " ")),
-            Answer::Figures(lines) => format!("{lines}--\n"),
+            Answer::Ack => "ACK\n".into(),
+            Answer::Nak(why) => format!("NAK {}\n", why.replace(['\r', '\n'], " ")),
+            Answer::Metrics(lines) => format!("{lines}--\n"),
         }
     }
 }
@@ -103,7 +103,7 @@
     #[test]
     fn a_call_is_known_once_its_line_is_whole() {
         for call in [Call::Health, Call::Dump, Call::Leave, Call::Join] {
-            let whole = format!("{}\r\n", call.word());
+            let whole = format!("{}\r\n", call.keyword());
             for n in 0..whole.len() {
                 assert_eq!(parse(&whole.as_bytes()[..n]), Ok(None));
             }
@@ -125,7 +125,7 @@
         ];
         for (come, why) in cases {
             assert_eq!(parse(come), Err(why));
-            assert!(Answer::No(why.to_string()).text().starts_with("NAK "));
+            assert!(Answer::Nak(why.to_string()).text().starts_with("NAK "));
         }
     }
 
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -24,16 +24,16 @@
 use tracing::warn;
 
 /// Connections at once.
-pub const SEATS: usize = 16;
+pub const MAX_CONNECTIONS: usize = 16;
 /// How long a caller may take for its line, and for reading the answer.
 pub const PATIENCE: Duration = Duration::from_secs(2);
 /// After an accept that failed, for want of descriptors say.
 const PAUSE: Duration = Duration::from_millis(20);
 
 /// Who knows the answers.
-pub trait Host: Send + Sync + 'static {
+pub trait CallHandler: Send + Sync + 'static {
     /// Carries out a call and tells what it comes to, at once.
-    fn answer(&self, call: Call) -> Answer;
+    fn handle(&self, call: Call) -> Answer;
 }
 
 /// A second address that listens.
@@ -51,7 +51,7 @@
     silent: BTreeMap<u64, oneshot::Sender<()>>,
 }
 
-impl<H: Host> Admin<H> {
+impl<H: CallHandler> Admin<H> {
     /// Answers by the host.
     pub fn new(listener: TcpListener, host: H) -> Self {
         Admin { listener, host: Arc::new(host), seats: Seats::default(), callers: JoinSet::new() }
@@ -67,7 +67,7 @@
                         self.seats.silent.remove(&number);
                     }
                 }
-                accepted = self.listener.accept(), if self.callers.len() < SEATS => match accepted {
+                accepted = self.listener.accept(), if self.callers.len() < MAX_CONNECTIONS => match accepted {
                     Ok((stream, _)) => self.seat(stream),
                     Err(error) => {
                         warn!("the second address can't accept: {error}");
@@ -90,13 +90,17 @@
             let _ = attend(stream, &*host, cleared).await; // a caller who leaves is answered no more
             number
         });
-        if self.callers.len() >= SEATS {
+        if self.callers.len() >= MAX_CONNECTIONS {
             self.seats.silent.pop_first(); // its task sees the sender go
         }
     }
 }
 
-async fn attend<H: Host>(stream: TcpStream, host: &H, cleared: oneshot::Receiver<()>) -> io::Result<()> {
+async fn attend<H: CallHandler>(
+    stream: TcpStream,
+    host: &H,
+    cleared: oneshot::Receiver<()>,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = Stream::new(stream);
     let line = tokio::select! {
@@ -105,8 +109,8 @@
         _ = cleared => Err(NoCall::Half),
     };
     let answer = match line {
-        Ok(call) => host.answer(call),
-        Err(why) => Answer::No(why.to_string()),
+        Ok(call) => host.handle(call),
+        Err(why) => Answer::Nak(why.to_string()),
     };
     let written = async {
         stream.write_all(answer.text().as_bytes()).await?;
--- a/crates/fronts/src/accept_policy.rs
+++ b/crates/fronts/src/accept_policy.rs
@@ -12,7 +12,7 @@
 use crate::connection_limiter::{Goes, Micros, goes};
 
 /// No more connections than this wait to be accepted.
-pub const BACKLOG: u32 = 1024;
+pub const ACCEPT_BACKLOG: u32 = 1024;
 /// As a listener closes, those that wait are taken for so long at most.
 const LAST_LOOK: Duration = Duration::from_millis(100);
 
@@ -89,7 +89,8 @@
 
     /// The step, unless a listener that closes has taken as many, or for as long, as can have waited.
     fn unless_over(&self, now: Instant, step: AcceptStep) -> AcceptStep {
-        let over = |(since, taken): (Instant, usize)| taken >= BACKLOG as usize || now >= since + LAST_LOOK;
+        let over =
+            |(since, taken): (Instant, usize)| taken >= ACCEPT_BACKLOG as usize || now >= since + LAST_LOOK;
         if self.closing.is_some_and(over) { AcceptStep::Close } else { step }
     }
 }
--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lilacquay_core::Requests;
-use lilacquay_lifecycle::Bearing;
+use lilacquay_lifecycle::ServiceMode;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::yield_now;
@@ -16,7 +16,7 @@
 use crate::connection_limiter::{Goes, Micros, goes};
 use crate::protocol::Protocol;
 use crate::session::Session;
-use crate::shared::{Bounds, Shared};
+use crate::shared::{ClientLimits, Shared};
 
 /// After an accept that failed, for want of descriptors say.
 const PAUSE: Duration = Duration::from_millis(5);
@@ -27,7 +27,7 @@
 
 impl Acceptor {
     /// An acceptor without connections, of a node with this bearing.
-    pub fn new(requests: Requests, bounds: Bounds, bearing: watch::Receiver<Bearing>) -> Self {
+    pub fn new(requests: Requests, bounds: ClientLimits, bearing: watch::Receiver<ServiceMode>) -> Self {
         Acceptor(Arc::new(Shared::new(requests, bounds, bearing)))
     }
 
@@ -36,17 +36,17 @@
     pub async fn accept<P: Protocol>(self, listener: TcpListener, protocol: impl Fn() -> P) {
         let mut bearing = self.0.bearing.clone();
         // Whoever tells the bearing may have gone: then it stays as it was.
-        if bearing.wait_for(|now| now.accepts || now.ended).await.is_err() {
+        if bearing.wait_for(|now| now.accepts_connections || now.ended).await.is_err() {
             return;
         }
         tokio::select! {
             biased;
-            _ = bearing.wait_for(|now| !now.accepts) => {}
+            _ = bearing.wait_for(|now| !now.accepts_connections) => {}
             () = self.take(&listener, &protocol) => {}
         }
         // Guards against: connections that the kernel has taken already, reset with their requests. Where another
         // process takes them, they are that one's.
-        let shared = bearing.borrow().says_yes;
+        let shared = bearing.borrow().ping_succeeds;
         if !shared {
             self.take_waiting(listener, &protocol).await;
         }
@@ -125,12 +125,12 @@
     }
 
     /// How many connections there are.
-    pub fn guests(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.0.sessions.len()
     }
 
     /// Waits until no connection is left, once none is taken any more.
-    pub async fn emptied(&self) {
+    pub async fn wait_until_empty(&self) {
         self.0.sessions.close();
         self.0.sessions.wait().await;
     }
--- a/crates/fronts/src/close_policy.rs
+++ b/crates/fronts/src/close_policy.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lilacquay_lifecycle::{Bearing, Manner};
+use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use tokio::time::Instant;
 
 use crate::close_reason::CloseReason;
@@ -86,10 +86,10 @@
 
 impl ClosePolicy {
     /// What is done about a connection of a node in that phase.
-    pub fn decide(&mut self, phase: Bearing, facts: &ConnectionFacts) -> CloseDecision {
-        let unwanted = match phase.manner {
-            Manner::Idle => *self.unwanted.get_or_insert(facts.now),
-            Manner::Stay | Manner::BehindAnswer => {
+    pub fn decide(&mut self, phase: ServiceMode, facts: &ConnectionFacts) -> CloseDecision {
+        let unwanted = match phase.close_mode {
+            CloseMode::WhenIdle => *self.unwanted.get_or_insert(facts.now),
+            CloseMode::KeepOpen | CloseMode::AfterAnswer => {
                 self.unwanted = None;
                 facts.now
             }
@@ -103,17 +103,17 @@
         if facts.in_command {
             return CloseDecision::Stay;
         }
-        match phase.manner {
-            Manner::Stay => CloseDecision::Stay,
-            Manner::BehindAnswer if facts.just_answered && facts.asked => CloseDecision::CloseIfNothingCame,
-            Manner::BehindAnswer => CloseDecision::Stay,
-            Manner::Idle if !facts.heard && facts.now < facts.born + NEW => {
+        match phase.close_mode {
+            CloseMode::KeepOpen => CloseDecision::Stay,
+            CloseMode::AfterAnswer if facts.just_answered && facts.asked => CloseDecision::CloseIfNothingCame,
+            CloseMode::AfterAnswer => CloseDecision::Stay,
+            CloseMode::WhenIdle if !facts.heard && facts.now < facts.born + NEW => {
                 CloseDecision::LookAgain(facts.born + NEW)
             }
-            Manner::Idle if phase.accepts && facts.now >= unwanted + LAST_COMMANDS => {
+            CloseMode::WhenIdle if phase.accepts_connections && facts.now >= unwanted + LAST_COMMANDS => {
                 CloseDecision::Close(CloseReason::ShuttingDown)
             }
-            Manner::Idle => CloseDecision::CloseIfNothingCame,
+            CloseMode::WhenIdle => CloseDecision::CloseIfNothingCame,
         }
     }
 }
@@ -132,8 +132,8 @@
 ///
 /// Guards against: a client that always has a command under way and so is never rid of a node that leaves service and runs
 /// on. One that ends answers all that it has read, and reads nothing in its last 0.1 s.
-pub fn may_read(phase: Bearing, facts: &ConnectionFacts) -> bool {
-    let goes_on = phase.manner == Manner::Stay || !phase.accepts;
+pub fn may_read(phase: ServiceMode, facts: &ConnectionFacts) -> bool {
+    let goes_on = phase.close_mode == CloseMode::KeepOpen || !phase.accepts_connections;
     (goes_on || !facts.owes) && !facts.process_ends
 }
 
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -20,4 +20,4 @@
 
 pub use acceptor::Acceptor;
 pub use protocol::{Input, Malformed, Parting, Protocol, Refusal};
-pub use shared::Bounds;
+pub use shared::ClientLimits;
--- a/crates/fronts/src/memcache/command_rules.rs
+++ b/crates/fronts/src/memcache/command_rules.rs
@@ -9,7 +9,7 @@
 
 /// A class as the settings name it, with its index there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Named {
+pub struct NamedIndex {
     /// Its name, as servers are told it.
     pub name: String,
     /// Its index in the settings.
@@ -18,7 +18,7 @@
 
 /// Where a widget says that a write is a repeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Repeats {
+pub enum RepeatMarker {
     /// Nowhere: a write of a keyed class counts as unsafe.
     Unmarked,
     /// Behind the last of these texts in the key; the key that goes on is what stands before it.
@@ -29,7 +29,7 @@
 
 /// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Row {
+pub struct CommandRule {
     /// The listener's name; any if there is none.
     pub listener: Option<String>,
     /// The user that has logged in; any, or none, if there is none here.
@@ -37,35 +37,35 @@
     /// What the key begins with.
     pub prefix: String,
     /// The class of reads.
-    pub read: Option<Named>,
+    pub read: Option<NamedIndex>,
     /// The class of writes.
-    pub write: Option<Named>,
+    pub write: Option<NamedIndex>,
     /// The tenant.
-    pub tenant: Option<Named>,
+    pub tenant: Option<NamedIndex>,
     /// How long the client waits, in microseconds.
-    pub wait: Micros,
+    pub client_timeout_us: Micros,
     /// Where it marks repeats.
-    pub repeats: Repeats,
+    pub repeats: RepeatMarker,
 }
 
 /// The rows, and what a key gets that fits none.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct CommandRules {
     /// In order.
-    pub rows: Vec<Row>,
+    pub rules: Vec<CommandRule>,
     /// For keys that fit no row; without it they are refused.
-    pub others: Option<Row>,
+    pub fallback: Option<CommandRule>,
 }
 
-impl Table {
+impl CommandRules {
     /// The row for a command.
-    pub fn find(&self, listener: &str, user: Option<&str>, key: &str) -> Option<&Row> {
-        let fits = |row: &&Row| {
+    pub fn find(&self, listener: &str, user: Option<&str>, key: &str) -> Option<&CommandRule> {
+        let fits = |row: &&CommandRule| {
             row.listener.as_deref().is_none_or(|name| name == listener)
                 && (row.user.is_none() || row.user.as_deref() == user)
                 && key.starts_with(&row.prefix)
         };
-        self.rows.iter().find(fits).or(self.others.as_ref())
+        self.rules.iter().find(fits).or(self.fallback.as_ref())
     }
 }
 
@@ -84,7 +84,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Compares;
 
-impl Row {
+impl CommandRule {
     /// Reads a command by this row.
     ///
     /// # Errors
@@ -97,17 +97,17 @@
         write: bool,
         terms: Terms,
     ) -> Result<Facts<'a>, Compares> {
-        if cas != 0 && self.repeats != Repeats::Cas {
+        if cas != 0 && self.repeats != RepeatMarker::Cas {
             return Err(Compares);
         }
         let (key, mark) = match &self.repeats {
-            Repeats::Suffix(text) if write => match key.rsplit_once(text.as_str()) {
+            RepeatMarker::Suffix(text) if write => match key.rsplit_once(text.as_str()) {
                 Some((key, mark)) if !key.is_empty() && !mark.is_empty() => {
                     (key, Some(mark.as_bytes().to_vec()))
                 }
                 _ => (key, None),
             },
-            Repeats::Cas if cas != 0 && write => (key, Some(cas.to_be_bytes().to_vec())),
+            RepeatMarker::Cas if cas != 0 && write => (key, Some(cas.to_be_bytes().to_vec())),
             _ => (key, None),
         };
         let idempotency = mark.map(|mark| idempotency(user, key, &mark));
@@ -118,7 +118,7 @@
                 text += &format!("{name}={},", value.name);
             }
         }
-        text += &format!("d={}", self.wait.div_ceil(1000));
+        text += &format!("d={}", self.client_timeout_us.div_ceil(1000));
         if let Some(key) = &idempotency {
             text += &format!(",k={key}");
         }
@@ -146,42 +146,45 @@
 mod tests {
     use super::*;
 
-    fn row(prefix: &str) -> Row {
-        let named = |name: &str, index| Some(Named { name: name.into(), index });
-        Row {
+    fn row(prefix: &str) -> CommandRule {
+        let named = |name: &str, index| Some(NamedIndex { name: name.into(), index });
+        CommandRule {
             listener: None,
             user: None,
             prefix: prefix.into(),
             read: named("lookup", 0),
             write: named("signup", 1),
             tenant: None,
-            wait: 480_500,
-            repeats: Repeats::Unmarked,
+            client_timeout_us: 480_500,
+            repeats: RepeatMarker::Unmarked,
         }
     }
 
     #[test]
     fn the_first_row_that_fits_decides() {
         let rows = vec![
-            Row { user: Some("ann".into()), ..row("a:") },
-            Row { listener: Some("office".into()), ..row("a:") },
+            CommandRule { user: Some("ann".into()), ..row("a:") },
+            CommandRule { listener: Some("office".into()), ..row("a:") },
             row("a:b:"),
             row("a:"),
         ];
-        let table = Table { rows: rows.clone(), others: None };
+        let table = CommandRules { rules: rows.clone(), fallback: None };
         assert_eq!(table.find("office", Some("ann"), "a:b:1"), Some(&rows[0]));
         assert_eq!(table.find("office", Some("bob"), "a:b:1"), Some(&rows[1]));
         assert_eq!(table.find("other", None, "a:b:1"), Some(&rows[2]));
         assert_eq!(table.find("other", None, "a:1"), Some(&rows[3]));
         assert_eq!(table.find("other", None, "b:1"), None);
         let others = Some(row(""));
-        assert_eq!(Table { rows, others: others.clone() }.find("other", None, "b:1"), others.as_ref());
+        assert_eq!(
+            CommandRules { rules: rows, fallback: others.clone() }.find("other", None, "b:1"),
+            others.as_ref()
+        );
     }
 
     #[test]
     fn facts_say_what_servers_are_told() {
-        let tenant = Some(Named { name: "acme".into(), index: 0 });
-        let row = Row { tenant, repeats: Repeats::Suffix("#".into()), ..row("") };
+        let tenant = Some(NamedIndex { name: "acme".into(), index: 0 });
+        let row = CommandRule { tenant, repeats: RepeatMarker::Suffix("#".into()), ..row("") };
         let read = row.facts(None, "a#1", 0, false, Terms::default()).unwrap();
         assert_eq!((read.key, &*read.text), ("a#1", "c=lookup,t=acme,d=481"));
         let write = row.facts(None, "a#1", 0, true, Terms::default()).unwrap();
@@ -193,19 +196,19 @@
         }
         assert_eq!(row.facts(None, "a", 7, true, Terms::default()), Err(Compares));
         let terms = Terms { flags: 3, expiry: 60 };
-        let row = Row { repeats: Repeats::Unmarked, ..row };
+        let row = CommandRule { repeats: RepeatMarker::Unmarked, ..row };
         let kept = row.facts(None, "a", 0, true, terms).unwrap().text;
         assert_eq!(kept, "c=signup,t=acme,d=481,flags=3,expiry=60");
-        let bare = Row { read: None, wait: 1, ..row };
+        let bare = CommandRule { read: None, client_timeout_us: 1, ..row };
         assert_eq!(
-            Row { tenant: None, ..bare }.facts(None, "a", 0, false, Terms::default()).unwrap().text,
+            CommandRule { tenant: None, ..bare }.facts(None, "a", 0, false, Terms::default()).unwrap().text,
             "d=1"
         );
     }
 
     #[test]
     fn a_repeat_has_the_same_key_and_nobody_elses_has() {
-        let row = Row { repeats: Repeats::Cas, ..row("") };
+        let row = CommandRule { repeats: RepeatMarker::Cas, ..row("") };
         let key = |user, key, cas| row.facts(user, key, cas, true, Terms::default()).unwrap().idempotency;
         assert_eq!(key(None, "a", 0), None);
         assert_eq!(key(Some("ann"), "a", 7), key(Some("ann"), "a", 7));
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -1,7 +1,7 @@
 //! memcached's binary protocol, toward clients.
 //!
 //! What a node that keeps nothing can carry is served; the rest is refused with the status for it.
-//! `docs/memcached.md` says why, opcode by opcode. What commands lack in words of the core is told by a [`Table`].
+//! `docs/memcached.md` says why, opcode by opcode. What commands lack in words of the core is told by a [`CommandRules`].
 
 pub mod command_rules;
 pub mod users;
@@ -16,7 +16,7 @@
 use lilacquay_core::{Answer, Call, CallError, Gauges, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
 
 use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
-use command_rules::{Compares, Table};
+use command_rules::{CommandRules, Compares};
 use users::Users;
 
 /// Logins that fail on one connection before it is closed.
@@ -26,7 +26,7 @@
 
 /// What the settings and the servers behind let a front carry.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Abilities {
+pub struct WriteCapabilities {
     /// ADD, REPLACE and DELETE: who takes writes knows them.
     pub conditions: bool,
     /// Flags other than 0: who takes writes keeps them.
@@ -36,13 +36,13 @@
 }
 
 /// A listener's side: what all its connections share.
-pub struct Front {
+pub struct Frontend {
     /// The listener's name.
     name: String,
-    table: Arc<Table>,
+    table: Arc<CommandRules>,
     /// Who may log in; without users nobody needs to.
     users: Option<Arc<Users>>,
-    abilities: Abilities,
+    abilities: WriteCapabilities,
     gauges: Arc<Gauges>,
     started: Instant,
     /// Part of all ids: no two processes give the same.
@@ -50,18 +50,18 @@
     connections: AtomicU64,
 }
 
-impl Front {
+impl Frontend {
     /// The side of a listener of this name; `nonce` is another in each process.
     pub fn new(
         name: String,
-        table: Arc<Table>,
+        table: Arc<CommandRules>,
         users: Option<Arc<Users>>,
-        abilities: Abilities,
+        abilities: WriteCapabilities,
         gauges: Arc<Gauges>,
         nonce: u64,
-    ) -> Arc<Front> {
+    ) -> Arc<Frontend> {
         let (started, connections) = (Instant::now(), AtomicU64::new(0));
-        Arc::new(Front { name, table, users, abilities, gauges, started, nonce, connections })
+        Arc::new(Frontend { name, table, users, abilities, gauges, started, nonce, connections })
     }
 
     /// A new connection's protocol.
@@ -75,7 +75,7 @@
 
 /// A connection that speaks memcached's binary protocol.
 pub struct Memcache {
-    front: Arc<Front>,
+    front: Arc<Frontend>,
     /// What its requests' ids begin with.
     id: String,
     /// Commands so far.
@@ -238,7 +238,8 @@
         let id = format!("{}-{:x}-{:08x}", self.id, self.commands, packet.opaque);
         let value = stores.then(|| packet.value.clone());
         let class = if write { &row.write } else { &row.read };
-        let mut call = Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, row.wait)?;
+        let mut call =
+            Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, row.client_timeout_us)?;
         call.class = class.as_ref().map(|class| class.index);
         call.tenant = row.tenant.as_ref().map(|tenant| tenant.index);
         call.idempotency = facts.idempotency.map(Bytes::from);
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -11,14 +11,14 @@
 use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
 
 /// A connection that speaks RESP2.
-pub struct Resp {
+pub struct RespProtocol {
     names: Arc<Names>,
 }
 
-impl Resp {
+impl RespProtocol {
     /// Reads classes and tenants by these names.
     pub fn new(names: Arc<Names>) -> Self {
-        Resp { names }
+        RespProtocol { names }
     }
 
     fn command(&self, parts: &[Bytes]) -> Result<Input<()>, CommandError> {
@@ -58,7 +58,7 @@
     }
 }
 
-impl Protocol for Resp {
+impl Protocol for RespProtocol {
     type Reply = ();
     const LONGEST: usize = WRITE_LIMIT + VALUE_LIMIT;
 
--- a/crates/fronts/src/session.rs
+++ b/crates/fronts/src/session.rs
@@ -374,7 +374,7 @@
                 }
                 Ok(Some(Input::Asks { yes, no })) => {
                     self.heard = true;
-                    Response::Ready(if self.shared.bearing.borrow().says_yes { yes } else { no })
+                    Response::Ready(if self.shared.bearing.borrow().ping_succeeds { yes } else { no })
                 }
                 Ok(Some(Input::Quit(text))) => {
                     self.quits = true;
--- a/crates/fronts/tests/close_policy.rs
+++ b/crates/fronts/tests/close_policy.rs
@@ -7,7 +7,7 @@
     given_up_at, may_read,
 };
 use lilacquay_fronts::close_reason::CloseReason;
-use lilacquay_lifecycle::{Bearing, Manner};
+use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use tokio::time::Instant;
 
 /// A connection that rests after a request.
@@ -29,19 +29,21 @@
     }
 }
 
-fn phase(manner: Manner, accepts: bool) -> Bearing {
-    Bearing { manner, accepts, ..Bearing::default() }
+fn phase(close_mode: CloseMode, accepts: bool) -> ServiceMode {
+    ServiceMode { close_mode, accepts_connections: accepts, ..ServiceMode::default() }
 }
 
-fn decide(manner: Manner, accepts: bool, facts: ConnectionFacts) -> CloseDecision {
-    ClosePolicy::default().decide(phase(manner, accepts), &facts)
+fn decide(close_mode: CloseMode, accepts: bool, facts: ConnectionFacts) -> CloseDecision {
+    ClosePolicy::default().decide(phase(close_mode, accepts), &facts)
 }
 
 #[test]
 fn what_is_owed_or_half_read_is_never_closed_on() {
     let now = Instant::now();
-    let all = [Manner::Stay, Manner::BehindAnswer, Manner::Idle];
-    for (manner, accepts) in all.into_iter().flat_map(|manner| [(manner, true), (manner, false)]) {
+    let all = [CloseMode::KeepOpen, CloseMode::AfterAnswer, CloseMode::WhenIdle];
+    for (close_mode, accepts) in
+        all.into_iter().flat_map(|close_mode| [(close_mode, true), (close_mode, false)])
+    {
         let owes = ConnectionFacts {
             owes: true,
             quits: true,
@@ -50,9 +52,9 @@
             just_answered: true,
             ..resting(now)
         };
-        assert_eq!(decide(manner, accepts, owes), CloseDecision::Stay);
+        assert_eq!(decide(close_mode, accepts, owes), CloseDecision::Stay);
         let in_command = ConnectionFacts { in_command: true, just_answered: true, ..resting(now) };
-        assert_eq!(decide(manner, accepts, in_command), CloseDecision::Stay);
+        assert_eq!(decide(close_mode, accepts, in_command), CloseDecision::Stay);
     }
 }
 
@@ -64,20 +66,20 @@
         (ConnectionFacts { quits: true, ..facts }, CloseReason::Quit),
         (ConnectionFacts { process_ends: true, in_command: true, ..facts }, CloseReason::ProcessEnds),
     ] {
-        assert_eq!(decide(Manner::Stay, true, facts), CloseDecision::Close(reason));
+        assert_eq!(decide(CloseMode::KeepOpen, true, facts), CloseDecision::Close(reason));
     }
-    assert_eq!(decide(Manner::Stay, true, facts), CloseDecision::Stay);
+    assert_eq!(decide(CloseMode::KeepOpen, true, facts), CloseDecision::Stay);
 }
 
 #[test]
 fn a_node_that_goes_looks_for_what_has_come_before_it_closes() {
     let facts = resting(Instant::now());
     let answered = ConnectionFacts { just_answered: true, ..facts };
-    assert_eq!(decide(Manner::BehindAnswer, false, facts), CloseDecision::Stay);
-    assert_eq!(decide(Manner::BehindAnswer, false, answered), CloseDecision::CloseIfNothingCame);
-    assert_eq!(decide(Manner::Idle, false, facts), CloseDecision::CloseIfNothingCame);
+    assert_eq!(decide(CloseMode::AfterAnswer, false, facts), CloseDecision::Stay);
+    assert_eq!(decide(CloseMode::AfterAnswer, false, answered), CloseDecision::CloseIfNothingCame);
+    assert_eq!(decide(CloseMode::WhenIdle, false, facts), CloseDecision::CloseIfNothingCame);
     let new = ConnectionFacts { heard: false, asked: false, born: facts.now, ..facts };
-    assert_eq!(decide(Manner::Idle, false, new), CloseDecision::LookAgain(new.born + NEW));
+    assert_eq!(decide(CloseMode::WhenIdle, false, new), CloseDecision::LookAgain(new.born + NEW));
 }
 
 #[test]
@@ -88,7 +90,7 @@
         let (mut policy, facts) = (ClosePolicy::default(), resting(Instant::now()));
         let mut decide = |time| {
             let facts = ConnectionFacts { now: facts.now + time, ..facts };
-            policy.decide(phase(Manner::Idle, accepts), &facts)
+            policy.decide(phase(CloseMode::WhenIdle, accepts), &facts)
         };
         assert_eq!(decide(Duration::ZERO), CloseDecision::CloseIfNothingCame);
         assert_eq!(decide(LAST_COMMANDS - Duration::from_millis(1)), CloseDecision::CloseIfNothingCame);
@@ -99,11 +101,11 @@
 #[test]
 fn a_process_that_ends_reads_behind_what_is_owed_until_its_end_and_one_that_leaves_does_not() {
     let facts = ConnectionFacts { owes: true, ..resting(Instant::now()) };
-    assert!(may_read(phase(Manner::Stay, true), &facts));
-    assert!(may_read(phase(Manner::Idle, false), &facts));
-    assert!(!may_read(phase(Manner::Idle, true), &facts));
-    assert!(may_read(phase(Manner::Idle, true), &resting(facts.now)));
-    assert!(!may_read(phase(Manner::Idle, false), &ConnectionFacts { process_ends: true, ..facts }));
+    assert!(may_read(phase(CloseMode::KeepOpen, true), &facts));
+    assert!(may_read(phase(CloseMode::WhenIdle, false), &facts));
+    assert!(!may_read(phase(CloseMode::WhenIdle, true), &facts));
+    assert!(may_read(phase(CloseMode::WhenIdle, true), &resting(facts.now)));
+    assert!(!may_read(phase(CloseMode::WhenIdle, false), &ConnectionFacts { process_ends: true, ..facts }));
 }
 
 #[test]
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -10,9 +10,9 @@
     Answer, Call, Connection, Driver, Entry, Gauges, Handles, IdleState, List, Made, Options, Outcome,
     Portion, Reply, State, Target, Upstream,
 };
-use lilacquay_fronts::resp::Resp;
-use lilacquay_fronts::{Acceptor, Bounds, Input, Malformed, Parting, Protocol, Refusal};
-use lilacquay_lifecycle::{Bearing, Manner};
+use lilacquay_fronts::resp::RespProtocol;
+use lilacquay_fronts::{Acceptor, ClientLimits, Input, Malformed, Parting, Protocol, Refusal};
+use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use lilacquay_metrics::{Book, Rule, Violations};
 use paddlefold::setup::{Setup, Stated};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -118,7 +118,7 @@
     asked: mpsc::UnboundedReceiver<Asked>,
     gauges: Arc<Gauges>,
     acceptor: Acceptor,
-    bearing: watch::Sender<Bearing>,
+    bearing: watch::Sender<ServiceMode>,
     violations: Violations,
 }
 
@@ -158,9 +158,18 @@
         let (driver, Handles { requests, members, .. }) = Driver::new(options, Scripted(to));
         let gauges = driver.gauges();
         let portion = Portion::default();
-        let bounds =
-            Bounds { connections, with_servers: 0, gauges: gauges.clone(), memory: 8 << 20, portion };
-        let (bearing, told) = watch::channel(Bearing { accepts: true, says_yes: true, ..Bearing::default() });
+        let bounds = ClientLimits {
+            connections,
+            total_connections: 0,
+            gauges: gauges.clone(),
+            buffer_bytes: 8 << 20,
+            portion,
+        };
+        let (bearing, told) = watch::channel(ServiceMode {
+            accepts_connections: true,
+            ping_succeeds: true,
+            ..ServiceMode::default()
+        });
         let acceptor = Acceptor::new(requests, bounds, told);
         tokio::spawn(async move {
             driver.run().await;
@@ -170,7 +179,7 @@
         let (first, second) = (listen().await.unwrap(), listen().await.unwrap());
         let (lines, resp) = (first.local_addr().unwrap(), second.local_addr().unwrap());
         tokio::spawn(acceptor.clone().accept(first, || Lines));
-        tokio::spawn(acceptor.clone().accept(second, move || Resp::new(names.clone())));
+        tokio::spawn(acceptor.clone().accept(second, move || RespProtocol::new(names.clone())));
         Stage { lines, resp, asked, gauges, acceptor, bearing, violations }
     }
 
@@ -349,8 +358,8 @@
     assert_eq!((bad.hear().await, bad.hear().await), ("Malformed".into(), String::new()));
     let mut silent = Client::new(stage.lines).await;
     assert_eq!((silent.hear().await, silent.hear().await), ("Silent".into(), String::new()));
-    stage.bearing.send_modify(|now| (now.accepts, now.manner) = (false, Manner::Idle));
-    stage.acceptor.emptied().await;
+    stage.bearing.send_modify(|now| (now.accepts_connections, now.close_mode) = (false, CloseMode::WhenIdle));
+    stage.acceptor.wait_until_empty().await;
 }
 
 #[test]
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node's life: what it answers to those who ask for it, whether it takes connections, and when it closes them.
 //!
-//! [`Life`] is told what happens, by whatever way it came: a signal, a call on the second address, an operator's
-//! order. What follows at a time stands in its [`Bearing`], a level rather than a series of orders, so that nothing
+//! [`Lifecycle`] is told what happens, by whatever way it came: a signal, a call on the second address, an operator's
+//! order. What follows at a time stands in its [`ServiceMode`], a level rather than a series of orders, so that nothing
 //! is lost between two who act on it. No I/O, no clock, no thread: the time is handed in, in microseconds.
 //!
 //! ```text
@@ -22,18 +22,18 @@
 
 /// How long each step takes, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct PhaseTimings {
     /// After word to stop, connections that are on their way are still taken for so long, where no other process
     /// takes them.
-    pub accept_on: Micros,
+    pub accept_grace: Micros,
     /// While it leaves, connections are closed behind their answers from here on ...
-    pub leave_softly: Micros,
+    pub leave_close_after_answer: Micros,
     /// ... and those without a request from here on.
-    pub leave_idle: Micros,
+    pub leave_close_idle: Micros,
     /// After word to stop, connections without a request are closed from here on.
-    pub finish_idle: Micros,
+    pub shutdown_close_idle: Micros,
     /// After word to stop, it ends by then, whatever is open.
-    pub finish: Micros,
+    pub shutdown_timeout: Micros,
 }
 
 /// What has become of a node.
@@ -46,11 +46,11 @@
     /// Told to leave, since then; it may be told to join again.
     Leaving(Micros),
     /// Told to stop, since then: it answers what it has taken.
-    Finishing {
+    ShuttingDown {
         /// When it was told.
         since: Micros,
         /// Whether another process takes connections at the same address.
-        shared: bool,
+        address_shared: bool,
     },
     /// Over.
     Ended,
@@ -65,78 +65,78 @@
     Leave,
     /// It is to be in service again.
     Join,
-    /// It is to end. `shared`: another process takes connections at the same address.
+    /// It is to end. `address_shared`: another process takes connections at the same address.
     Stop {
         /// Whether connections still to come are another's.
-        shared: bool,
+        address_shared: bool,
     },
     /// No connection is left, and none is taken any more.
-    Empty,
+    ConnectionsClosed,
     /// What it serves with has failed.
-    Fail,
+    Failed,
 }
 
 /// What is done about a client's connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Manner {
+pub enum CloseMode {
     /// It stays.
     #[default]
-    Stay,
+    KeepOpen,
     /// It is closed behind the next answer, when its client is least likely to send.
-    BehindAnswer,
+    AfterAnswer,
     /// It is closed as soon as nothing is owed on it and nothing of a command has come.
-    Idle,
+    WhenIdle,
 }
 
 /// What a node does at a time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Bearing {
+pub struct ServiceMode {
     /// It takes connections.
-    pub accepts: bool,
+    pub accepts_connections: bool,
     /// It says yes to clients and fronts that ask for it (`PING`).
-    pub says_yes: bool,
+    pub ping_succeeds: bool,
     /// It says yes on the second address.
     pub healthy: bool,
     /// What is done about connections.
-    pub manner: Manner,
+    pub close_mode: CloseMode,
     /// It is over.
     pub ended: bool,
 }
 
 /// Why an event changes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum EventRefused {
     /// It is not ready yet.
     Starting,
     /// It is ending and can't be called back.
     Ending,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for EventRefused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refused::Starting => "it is still starting; ask again once it is ready",
-            Refused::Ending => "it is ending and takes nobody back; start it anew",
+            EventRefused::Starting => "it is still starting; ask again once it is ready",
+            EventRefused::Ending => "it is ending and takes nobody back; start it anew",
         })
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for EventRefused {}
 
 /// A node's life.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct Lifecycle {
     state: State,
-    terms: Terms,
+    timings: PhaseTimings,
 }
 
-impl Life {
+impl Lifecycle {
     /// One that starts.
-    pub fn new(terms: Terms) -> Life {
-        Life { state: State::Starting, terms }
+    pub fn new(timings: PhaseTimings) -> Lifecycle {
+        Lifecycle { state: State::Starting, timings }
     }
 
-    /// What has become of it. Time alone ends it; see [`Life::bearing`].
+    /// What has become of it. Time alone ends it; see [`Lifecycle::service_mode`].
     pub fn state(&self) -> State {
         self.state
     }
@@ -146,70 +146,100 @@
     ///
     /// # Errors
     /// If it can't be done in this state; nothing has changed then.
-    pub fn on(&mut self, now: Micros, event: Event) -> Result<(), Refused> {
+    pub fn handle(&mut self, now: Micros, event: Event) -> Result<(), EventRefused> {
         self.state = match (self.state, event) {
-            (_, Event::Fail) => State::Ended,
+            (_, Event::Failed) => State::Ended,
             (State::Starting, Event::Ready) => State::Serving,
-            (State::Starting, Event::Leave | Event::Join) => return Err(Refused::Starting),
+            (State::Starting, Event::Leave | Event::Join) => return Err(EventRefused::Starting),
             (State::Starting, Event::Stop { .. }) => State::Ended,
             (State::Serving, Event::Leave) => State::Leaving(now),
             (State::Leaving(_), Event::Join) => State::Serving,
-            (State::Serving | State::Leaving(_), Event::Stop { shared }) => {
-                State::Finishing { since: now, shared }
+            (State::Serving | State::Leaving(_), Event::Stop { address_shared }) => {
+                State::ShuttingDown { since: now, address_shared }
             }
-            (State::Finishing { .. } | State::Ended, Event::Leave | Event::Join) => {
-                return Err(Refused::Ending);
+            (State::ShuttingDown { .. } | State::Ended, Event::Leave | Event::Join) => {
+                return Err(EventRefused::Ending);
+            }
+            (State::ShuttingDown { .. }, Event::ConnectionsClosed)
+                if !self.service_mode(now).accepts_connections =>
+            {
+                State::Ended
             }
-            (State::Finishing { .. }, Event::Empty) if !self.bearing(now).accepts => State::Ended,
             (state, _) => state,
         };
         Ok(())
     }
 
     /// What it does at a time.
-    pub fn bearing(&self, now: Micros) -> Bearing {
-        let Terms { accept_on, leave_softly, leave_idle, finish_idle, finish } = self.terms;
+    pub fn service_mode(&self, now: Micros) -> ServiceMode {
+        let PhaseTimings {
+            accept_grace,
+            leave_close_after_answer,
+            leave_close_idle,
+            shutdown_close_idle,
+            shutdown_timeout,
+        } = self.timings;
         let past = |since: Micros, term: Micros| now >= since.saturating_add(term);
         match self.state {
-            State::Starting => Bearing::default(),
-            State::Serving => Bearing { accepts: true, says_yes: true, healthy: true, ..Bearing::default() },
+            State::Starting => ServiceMode::default(),
+            State::Serving => ServiceMode {
+                accepts_connections: true,
+                ping_succeeds: true,
+                healthy: true,
+                ..ServiceMode::default()
+            },
             // It listens on: fronts ask for it, and it may join again.
             State::Leaving(since) => {
-                let manner = match (past(since, leave_softly), past(since, leave_idle)) {
-                    (_, true) => Manner::Idle,
-                    (true, _) => Manner::BehindAnswer,
-                    _ => Manner::Stay,
+                let close_mode = match (past(since, leave_close_after_answer), past(since, leave_close_idle))
+                {
+                    (_, true) => CloseMode::WhenIdle,
+                    (true, _) => CloseMode::AfterAnswer,
+                    _ => CloseMode::KeepOpen,
                 };
-                Bearing { accepts: true, manner, ..Bearing::default() }
+                ServiceMode { accepts_connections: true, close_mode, ..ServiceMode::default() }
             }
-            State::Finishing { since, .. } if past(since, finish) => {
-                Bearing { ended: true, manner: Manner::Idle, ..Bearing::default() }
+            State::ShuttingDown { since, .. } if past(since, shutdown_timeout) => {
+                ServiceMode { ended: true, close_mode: CloseMode::WhenIdle, ..ServiceMode::default() }
             }
-            State::Finishing { since, shared } => Bearing {
-                accepts: !shared && !past(since, accept_on),
+            State::ShuttingDown { since, address_shared } => ServiceMode {
+                accepts_connections: !address_shared && !past(since, accept_grace),
                 // Who asks the pair on an old connection is told of the pair.
-                says_yes: shared,
-                manner: if past(since, finish_idle) { Manner::Idle } else { Manner::BehindAnswer },
-                ..Bearing::default()
+                ping_succeeds: address_shared,
+                close_mode: if past(since, shutdown_close_idle) {
+                    CloseMode::WhenIdle
+                } else {
+                    CloseMode::AfterAnswer
+                },
+                ..ServiceMode::default()
             },
-            State::Ended => Bearing { ended: true, manner: Manner::Idle, ..Bearing::default() },
+            State::Ended => {
+                ServiceMode { ended: true, close_mode: CloseMode::WhenIdle, ..ServiceMode::default() }
+            }
         }
     }
 
     /// When it ends at the latest, once it was told to.
-    pub fn ends(&self) -> Option<Micros> {
+    pub fn shutdown_deadline(&self) -> Option<Micros> {
         match self.state {
-            State::Finishing { since, .. } => Some(since.saturating_add(self.terms.finish)),
+            State::ShuttingDown { since, .. } => Some(since.saturating_add(self.timings.shutdown_timeout)),
             State::Starting | State::Serving | State::Leaving(_) | State::Ended => None,
         }
     }
 
     /// When its bearing next changes by time alone.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
-        let Terms { accept_on, leave_softly, leave_idle, finish_idle, finish } = self.terms;
+    pub fn next_change(&self, now: Micros) -> Option<Micros> {
+        let PhaseTimings {
+            accept_grace,
+            leave_close_after_answer,
+            leave_close_idle,
+            shutdown_close_idle,
+            shutdown_timeout,
+        } = self.timings;
         let (since, terms) = match self.state {
-            State::Leaving(since) => (since, [leave_softly, leave_idle, leave_idle]),
-            State::Finishing { since, .. } => (since, [accept_on, finish_idle, finish]),
+            State::Leaving(since) => (since, [leave_close_after_answer, leave_close_idle, leave_close_idle]),
+            State::ShuttingDown { since, .. } => {
+                (since, [accept_grace, shutdown_close_idle, shutdown_timeout])
+            }
             State::Starting | State::Serving | State::Ended => return None,
         };
         terms.into_iter().map(|term| since.saturating_add(term)).filter(|&at| at > now).min()
@@ -223,8 +253,8 @@
             State::Starting => "starting",
             State::Serving => "in service",
             State::Leaving(_) => "leaving",
-            State::Finishing { shared: false, .. } => "finishing",
-            State::Finishing { shared: true, .. } => "finishing, another process serves",
+            State::ShuttingDown { address_shared: false, .. } => "finishing",
+            State::ShuttingDown { address_shared: true, .. } => "finishing, another process serves",
             State::Ended => "over",
         })
     }
--- a/crates/lifecycle/tests/lifecycle.rs
+++ b/crates/lifecycle/tests/lifecycle.rs
@@ -1,24 +1,26 @@
 //! All orders of events and times to a stated depth, by a model checker: what may never be, is not.
 
-use lilacquay_lifecycle::{Bearing, Event, Life, Manner, Micros, Refused, State, Terms};
+use lilacquay_lifecycle::{
+    CloseMode, Event, EventRefused, Lifecycle, Micros, PhaseTimings, ServiceMode, State,
+};
 use stateright::{Checker, Model, Property};
 
 const MS: Micros = 1_000;
-const TERMS: Terms = Terms {
-    accept_on: 500 * MS,
-    leave_softly: 300 * MS,
-    leave_idle: 1_500 * MS,
-    finish_idle: 500 * MS,
-    finish: 3_600 * MS,
+const TERMS: PhaseTimings = PhaseTimings {
+    accept_grace: 500 * MS,
+    leave_close_after_answer: 300 * MS,
+    leave_close_idle: 1_500 * MS,
+    shutdown_close_idle: 500 * MS,
+    shutdown_timeout: 3_600 * MS,
 };
 const EVENTS: [Event; 7] = [
     Event::Ready,
     Event::Leave,
     Event::Join,
-    Event::Stop { shared: false },
-    Event::Stop { shared: true },
-    Event::Empty,
-    Event::Fail,
+    Event::Stop { address_shared: false },
+    Event::Stop { address_shared: true },
+    Event::ConnectionsClosed,
+    Event::Failed,
 ];
 /// What passes before an event.
 const STEPS: [Micros; 5] = [0, 299 * MS, 500 * MS, 1_500 * MS, 3_600 * MS];
@@ -32,38 +34,49 @@
     ended: bool,
 }
 
-fn check(life: &Life, now: Micros, seen: Seen) {
-    let bearing = life.bearing(now);
+fn check(life: &Lifecycle, now: Micros, seen: Seen) {
+    let bearing = life.service_mode(now);
     if !seen.ready || seen.ended {
-        assert!(!bearing.accepts && !bearing.says_yes && !bearing.healthy, "{life:?} at {now}");
+        assert!(
+            !bearing.accepts_connections && !bearing.ping_succeeds && !bearing.healthy,
+            "{life:?} at {now}"
+        );
     }
     if seen.ready && !seen.ended && seen.left.is_none() && seen.stopped.is_none() {
-        let whole = Bearing { accepts: true, says_yes: true, healthy: true, ..Bearing::default() };
+        let whole = ServiceMode {
+            accepts_connections: true,
+            ping_succeeds: true,
+            healthy: true,
+            ..ServiceMode::default()
+        };
         assert_eq!(bearing, whole, "in service");
     }
     if let (Some(left), None, false) = (seen.left, seen.stopped, seen.ended) {
-        assert!(!bearing.says_yes && bearing.accepts, "a front that asks is told no");
+        assert!(!bearing.ping_succeeds && bearing.accepts_connections, "a front that asks is told no");
         // What the operators hold to be idle 4 s after the call was closed long before.
-        assert!(now < left + 1_500 * MS || bearing.manner == Manner::Idle);
+        assert!(now < left + 1_500 * MS || bearing.close_mode == CloseMode::WhenIdle);
     }
     if let Some(stopped) = seen.stopped {
-        assert!(!bearing.accepts || now < stopped + 500 * MS, "none is taken beyond the bound");
+        assert!(!bearing.accepts_connections || now < stopped + 500 * MS, "none is taken beyond the bound");
         assert!(now < stopped + 3_600 * MS || bearing.ended, "it ends by its time");
-        assert!(bearing.ended || bearing.manner > Manner::Stay, "nobody stays on at one that ends");
+        assert!(
+            bearing.ended || bearing.close_mode > CloseMode::KeepOpen,
+            "nobody stays on at one that ends"
+        );
     }
     // Between now and the next change by time nothing changes.
-    if let Some(next) = life.next(now) {
+    if let Some(next) = life.next_change(now) {
         assert!(next > now);
-        assert_eq!(life.bearing(next - 1), bearing, "{life:?}: nothing changes before {next}");
+        assert_eq!(life.service_mode(next - 1), bearing, "{life:?}: nothing changes before {next}");
     } else {
-        assert_eq!(life.bearing(now + 3_600_000 * MS), bearing, "{life:?}: nothing more changes");
+        assert_eq!(life.service_mode(now + 3_600_000 * MS), bearing, "{life:?}: nothing more changes");
     }
 }
 
 /// A life with what it was told, at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Told {
-    life: Life,
+    life: Lifecycle,
     now: Micros,
     seen: Seen,
 }
@@ -75,7 +88,7 @@
     type Action = (Micros, Event);
 
     fn init_states(&self) -> Vec<Told> {
-        vec![Told { life: Life::new(TERMS), now: 7 * MS, seen: Seen::default() }]
+        vec![Told { life: Lifecycle::new(TERMS), now: 7 * MS, seen: Seen::default() }]
     }
 
     fn actions(&self, _: &Told, actions: &mut Vec<(Micros, Event)>) {
@@ -85,11 +98,11 @@
     fn next_state(&self, told: &Told, (step, event): (Micros, Event)) -> Option<Told> {
         let Told { mut life, now, mut seen } = told.clone();
         let now = now + step;
-        let (before, over) = (life.clone(), life.bearing(now).ended);
-        let answer = life.on(now, event);
+        let (before, over) = (life.clone(), life.service_mode(now).ended);
+        let answer = life.handle(now, event);
         match event {
             Event::Ready => seen.ready = true,
-            Event::Fail => seen.ended = true,
+            Event::Failed => seen.ended = true,
             Event::Leave if answer.is_ok() && seen.left.is_none() => seen.left = Some(now),
             Event::Join if answer.is_ok() => seen.left = None,
             Event::Stop { .. } if !seen.ready => seen.ended = true,
@@ -100,7 +113,7 @@
             assert_eq!(life, before, "what is refused changes nothing");
             assert!(matches!(event, Event::Leave | Event::Join));
         }
-        assert!(!over || life.bearing(now).ended, "what is over stays so");
+        assert!(!over || life.service_mode(now).ended, "what is over stays so");
         Some(Told { life, now, seen })
     }
 
@@ -126,29 +139,29 @@
 
 #[test]
 fn the_answers_that_are_stated() {
-    let mut life = Life::new(TERMS);
-    assert_eq!(life.on(0, Event::Leave), Err(Refused::Starting));
-    life.on(0, Event::Ready).unwrap();
-    life.on(10, Event::Leave).unwrap();
-    life.on(1_000_000, Event::Leave).unwrap();
+    let mut life = Lifecycle::new(TERMS);
+    assert_eq!(life.handle(0, Event::Leave), Err(EventRefused::Starting));
+    life.handle(0, Event::Ready).unwrap();
+    life.handle(10, Event::Leave).unwrap();
+    life.handle(1_000_000, Event::Leave).unwrap();
     assert_eq!(life.state(), State::Leaving(10), "to leave twice does not begin anew");
-    life.on(2_000_000, Event::Join).unwrap();
+    life.handle(2_000_000, Event::Join).unwrap();
     assert_eq!(life.state(), State::Serving);
-    life.on(3_000_000, Event::Stop { shared: true }).unwrap();
-    assert!(!life.bearing(3_000_000).accepts, "the other process takes connections");
-    assert!(life.bearing(3_000_000).says_yes, "the pair is in service");
-    assert_eq!(life.on(3_000_001, Event::Join), Err(Refused::Ending));
-    life.on(3_000_001, Event::Empty).unwrap();
+    life.handle(3_000_000, Event::Stop { address_shared: true }).unwrap();
+    assert!(!life.service_mode(3_000_000).accepts_connections, "the other process takes connections");
+    assert!(life.service_mode(3_000_000).ping_succeeds, "the pair is in service");
+    assert_eq!(life.handle(3_000_001, Event::Join), Err(EventRefused::Ending));
+    life.handle(3_000_001, Event::ConnectionsClosed).unwrap();
     assert_eq!(life.state(), State::Ended);
 }
 
 #[test]
 fn one_that_stops_alone_ends_only_once_it_takes_none() {
-    let mut life = Life::new(TERMS);
-    life.on(0, Event::Ready).unwrap();
-    life.on(0, Event::Stop { shared: false }).unwrap();
-    life.on(499 * MS, Event::Empty).unwrap();
-    assert!(!life.bearing(499 * MS).ended, "somebody may be on the way");
-    life.on(500 * MS, Event::Empty).unwrap();
-    assert!(life.bearing(500 * MS).ended);
+    let mut life = Lifecycle::new(TERMS);
+    life.handle(0, Event::Ready).unwrap();
+    life.handle(0, Event::Stop { address_shared: false }).unwrap();
+    life.handle(499 * MS, Event::ConnectionsClosed).unwrap();
+    assert!(!life.service_mode(499 * MS).ended, "somebody may be on the way");
+    life.handle(500 * MS, Event::ConnectionsClosed).unwrap();
+    assert!(life.service_mode(500 * MS).ended);
 }
--- a/crates/lilacquay/src/admin.rs
+++ b/crates/lilacquay/src/admin.rs
@@ -1,6 +1,6 @@
 //! What the second address answers: the node's life and its figures.
 
-use lilacquay_admin::Host;
+use lilacquay_admin::CallHandler;
 use lilacquay_admin::call::{Answer, Call};
 use lilacquay_control::{Folder, Verb};
 use lilacquay_lifecycle::Event;
@@ -19,13 +19,13 @@
     pub audit: Option<Folder>,
 }
 
-impl Host for Desk {
-    fn answer(&self, call: Call) -> Answer {
+impl CallHandler for Desk {
+    fn handle(&self, call: Call) -> Answer {
         match call {
-            Call::Health if self.keeper.bearing().borrow().healthy => Answer::Yes,
-            Call::Health => Answer::No(format!("the node is {}", self.keeper.state())),
-            Call::Dump if self.prometheus => Answer::Figures(self.book.prometheus()),
-            Call::Dump => Answer::Figures(self.book.lines()),
+            Call::Health if self.keeper.bearing().borrow().healthy => Answer::Ack,
+            Call::Health => Answer::Nak(format!("the node is {}", self.keeper.state())),
+            Call::Dump if self.prometheus => Answer::Metrics(self.book.prometheus()),
+            Call::Dump => Answer::Metrics(self.book.lines()),
             Call::Leave => self.order(call, Verb::Leave, Event::Leave),
             Call::Join => self.order(call, Verb::Join, Event::Join),
         }
@@ -36,11 +36,11 @@
     fn order(&self, call: Call, verb: Verb, event: Event) -> Answer {
         let told = self.keeper.tell(event);
         let outcome = told.map_or_else(|why| why.to_string(), |()| "obeyed".into());
-        info!("{} on the second address: {outcome}", call.word());
+        info!("{} on the second address: {outcome}", call.keyword());
         let record = |folder: &Folder| folder.audit(&verb, &outcome);
         if let Some(Err(error)) = self.audit.as_ref().map(record) {
             warn!("an order is not recorded: {error}; make room in the state folder");
         }
-        told.map_or_else(|_| Answer::No(outcome), |()| Answer::Yes)
+        told.map_or_else(|_| Answer::Nak(outcome), |()| Answer::Ack)
     }
 }
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -15,7 +15,7 @@
 use lilacquay_core::{Heritage, Learned, List, Orders, Portion, State};
 use lilacquay_handover::messages::{self, Come, Message};
 use lilacquay_handover::resource_split::{Above, Action, Event, Tie};
-use lilacquay_lifecycle::Bearing;
+use lilacquay_lifecycle::ServiceMode;
 use lilacquay_members::discovery::Told;
 use rustix::fs::{FlockOperation, flock};
 use serde_json::{Value, json};
@@ -213,7 +213,7 @@
         orders: Orders,
         copy: Option<Holder>,
         holds: impl Fn() -> u32 + Send,
-        mut bearing: watch::Receiver<Bearing>,
+        mut bearing: watch::Receiver<ServiceMode>,
     ) {
         let (mut stopping, mut looks) = (false, interval(LOOK));
         looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -241,7 +241,7 @@
                 Ok(()) = bearing.changed() => {
                     let now = *bearing.borrow();
                     // Life says of a process that finishes that it takes nobody, while the pair does.
-                    if !stopping && !now.accepts {
+                    if !stopping && !now.accepts_connections {
                         stopping = true;
                         self.on(Event::Stop).await;
                     }
--- a/crates/lilacquay/src/lifecycle.rs
+++ b/crates/lilacquay/src/lifecycle.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lilacquay_core::Clock;
-use lilacquay_lifecycle::{Bearing, Event, Life, Refused, State, Terms};
+use lilacquay_lifecycle::{Event, EventRefused, Lifecycle, PhaseTimings, ServiceMode, State};
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep_until};
 use tracing::info;
@@ -29,10 +29,10 @@
 pub struct Keeper(Arc<Inner>);
 
 struct Inner {
-    life: Mutex<Life>,
+    life: Mutex<Lifecycle>,
     clock: Clock,
     shared: bool,
-    bearing: watch::Sender<Bearing>,
+    bearing: watch::Sender<ServiceMode>,
     told: Notify,
 }
 
@@ -41,24 +41,24 @@
     /// socket, so that another process takes over what comes once this one ends.
     pub fn new(longest: Duration, shared: bool) -> Keeper {
         let micros = |time: Duration| time.as_micros() as u64;
-        let terms = Terms {
-            accept_on: micros(STILL_ACCEPTING),
-            leave_softly: micros(LEAVE_SOFTLY),
-            leave_idle: micros(LEAVE_IDLE),
-            finish_idle: micros(if shared { FINISH_IDLE_SHARED } else { STILL_ACCEPTING }),
-            finish: micros(longest.min(LONGEST_GRANTED) + LAST_WRITES),
+        let terms = PhaseTimings {
+            accept_grace: micros(STILL_ACCEPTING),
+            leave_close_after_answer: micros(LEAVE_SOFTLY),
+            leave_close_idle: micros(LEAVE_IDLE),
+            shutdown_close_idle: micros(if shared { FINISH_IDLE_SHARED } else { STILL_ACCEPTING }),
+            shutdown_timeout: micros(longest.min(LONGEST_GRANTED) + LAST_WRITES),
         };
-        let life = Mutex::new(Life::new(terms));
-        let (bearing, told) = (watch::Sender::new(Bearing::default()), Notify::new());
+        let life = Mutex::new(Lifecycle::new(terms));
+        let (bearing, told) = (watch::Sender::new(ServiceMode::default()), Notify::new());
         Keeper(Arc::new(Inner { life, clock: Clock::new(), shared, bearing, told }))
     }
 
-    fn life(&self) -> MutexGuard<'_, Life> {
+    fn life(&self) -> MutexGuard<'_, Lifecycle> {
         self.0.life.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// How the node bears itself, now and from now on.
-    pub fn bearing(&self) -> watch::Receiver<Bearing> {
+    pub fn bearing(&self) -> watch::Receiver<ServiceMode> {
         self.0.bearing.subscribe()
     }
 
@@ -69,16 +69,16 @@
 
     /// When the process ends at the latest, once it was told to.
     pub fn ends(&self) -> Option<Instant> {
-        self.life().ends().map(|at| self.0.clock.instant(at))
+        self.life().shutdown_deadline().map(|at| self.0.clock.instant(at))
     }
 
     /// Tells what happens.
     ///
     /// # Errors
     /// If it can't be done as things are; nothing has changed then.
-    pub fn tell(&self, event: Event) -> Result<(), Refused> {
+    pub fn tell(&self, event: Event) -> Result<(), EventRefused> {
         let before = self.state();
-        self.life().on(self.0.clock.now(), event)?;
+        self.life().handle(self.0.clock.now(), event)?;
         let after = self.state();
         if before != after {
             info!("the node is {after}");
@@ -90,7 +90,7 @@
 
     /// Tells that the node is to end.
     pub fn stop(&self) {
-        let _ = self.tell(Event::Stop { shared: self.0.shared }); // never refused
+        let _ = self.tell(Event::Stop { address_shared: self.0.shared }); // never refused
     }
 
     /// Tells what time alone changes, until the node is over.
@@ -100,7 +100,7 @@
             if bearing.ended {
                 return;
             }
-            let next = self.life().next(self.0.clock.now());
+            let next = self.life().next_change(self.0.clock.now());
             let changes = async {
                 match next {
                     // A microsecond more: the runtime's timers end no earlier than theirs.
@@ -115,8 +115,8 @@
         }
     }
 
-    fn publish(&self) -> Bearing {
-        let bearing = self.life().bearing(self.0.clock.now());
+    fn publish(&self) -> ServiceMode {
+        let bearing = self.life().service_mode(self.0.clock.now());
         self.0.bearing.send_if_modified(|told| {
             let changes = *told != bearing;
             *told = bearing;
--- a/crates/lilacquay/src/memcached.rs
+++ b/crates/lilacquay/src/memcached.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use lilacquay_core::Gauges;
-use lilacquay_fronts::memcache::command_rules::{Named, Repeats, Row, Table};
+use lilacquay_fronts::memcache::command_rules::{CommandRule, CommandRules, NamedIndex, RepeatMarker};
 use lilacquay_fronts::memcache::users::Users;
-use lilacquay_fronts::memcache::{Abilities, Front};
+use lilacquay_fronts::memcache::{Frontend, WriteCapabilities};
 use paddlefold::setup::Names;
 
 use crate::config_error::{Mistake, Mistakes, unreadable};
@@ -58,7 +58,7 @@
     write: Option<Word>,
     tenant: Option<Word>,
     wait_ms: usize,
-    repeats: Repeats,
+    repeats: RepeatMarker,
 }
 
 /// What a node needs of it.
@@ -75,16 +75,16 @@
     pub name: String,
     /// Its address.
     pub address: SocketAddr,
-    table: Arc<Table>,
+    table: Arc<CommandRules>,
     users: Option<Arc<Users>>,
-    abilities: Abilities,
+    abilities: WriteCapabilities,
 }
 
 impl Listener {
     /// Its front.
-    pub fn front(&self, gauges: Arc<Gauges>, nonce: u64) -> Arc<Front> {
+    pub fn front(&self, gauges: Arc<Gauges>, nonce: u64) -> Arc<Frontend> {
         let (table, users) = (self.table.clone(), self.users.clone());
-        Front::new(self.name.clone(), table, users, self.abilities, gauges, nonce)
+        Frontend::new(self.name.clone(), table, users, self.abilities, gauges, nonce)
     }
 }
 
@@ -156,7 +156,8 @@
     /// All names that are not there, and files that can't be read.
     pub fn ready(&self, names: &Names) -> Result<Ready, Vec<Mistake>> {
         let mut mistakes = Mistakes::new(&self.file, &self.text);
-        let rows: Vec<Row> = self.rows.iter().map(|row| self.row(row, names, &mut mistakes)).collect();
+        let rows: Vec<CommandRule> =
+            self.rows.iter().map(|row| self.row(row, names, &mut mistakes)).collect();
         let others = self.others.as_ref().map(|others| self.row(others, names, &mut mistakes));
         let mut found = mistakes.into_found();
         let mut users = Vec::new();
@@ -169,8 +170,10 @@
         if !found.is_empty() {
             return Err(found);
         }
-        let (table, users) = (Arc::new(Table { rows, others }), Arc::new(Users::new(users)));
-        let abilities = Abilities { conditions: self.conditions, flags: self.flags, expiry: self.expiry };
+        let (table, users) =
+            (Arc::new(CommandRules { rules: rows, fallback: others }), Arc::new(Users::new(users)));
+        let abilities =
+            WriteCapabilities { conditions: self.conditions, flags: self.flags, expiry: self.expiry };
         let listener = |lines: &ListenerLines| Listener {
             name: lines.name.clone(),
             address: lines.address,
@@ -181,7 +184,7 @@
         Ok(Ready { listeners: self.listeners.iter().map(listener).collect(), kinds: self.kinds.clone() })
     }
 
-    fn row(&self, row: &RowLines, names: &Names, mistakes: &mut Mistakes) -> Row {
+    fn row(&self, row: &RowLines, names: &Names, mistakes: &mut Mistakes) -> CommandRule {
         let mut look_up =
             |word: &Option<Word>, what: &str, find: &dyn Fn(&str) -> Option<usize>, mend: &str| {
                 let word = word.as_ref()?;
@@ -189,13 +192,13 @@
                 if index.is_none() {
                     mistakes.at(word.place, &word.field, format!("no {what} {:?}", word.text), mend);
                 }
-                Some(Named { name: word.text.clone(), index: index? })
+                Some(NamedIndex { name: word.text.clone(), index: index? })
             };
         let class = |name: &str| names.class(name);
         let listener = |name: &str| self.listeners.iter().position(|listener| listener.name == name);
         let user = |name: &str| self.users.iter().position(|(user, _)| user == name);
         let in_settings = "name one of the platform's settings";
-        Row {
+        CommandRule {
             listener: look_up(&row.listener, "listener", &listener, "name one of [[listener]]")
                 .map(|l| l.name),
             user: look_up(&row.user, "user", &user, "name one of [[user]]").map(|u| u.name),
@@ -203,7 +206,7 @@
             read: look_up(&row.read, "class", &class, in_settings),
             write: look_up(&row.write, "class", &class, in_settings),
             tenant: look_up(&row.tenant, "tenant", &|name| names.tenant(name), in_settings),
-            wait: row.wait_ms as u64 * 1000,
+            client_timeout_us: row.wait_ms as u64 * 1000,
             repeats: row.repeats.clone(),
         }
     }
@@ -248,10 +251,10 @@
     let prefix = row.text("prefix").unwrap_or("").to_owned();
     let wait_ms = row.number("wait_ms", 1..=LONGEST_WAIT_MS).unwrap_or(WAIT_MS);
     let repeats = match row.text("repeats") {
-        None | Some("none") => Repeats::Unmarked,
-        Some("cas") => Repeats::Cas,
+        None | Some("none") => RepeatMarker::Unmarked,
+        Some("cas") => RepeatMarker::Cas,
         Some(text) => match text.strip_prefix("suffix:").filter(|suffix| !suffix.is_empty()) {
-            Some(suffix) => Repeats::Suffix(suffix.to_owned()),
+            Some(suffix) => RepeatMarker::Suffix(suffix.to_owned()),
             None => {
                 let place = row.place("repeats");
                 row.note(
@@ -298,12 +301,12 @@
         assert_eq!(ready.kinds.len(), 1);
         let [office, kiosk] = &ready.listeners[..] else { panic!("two listeners") };
         assert!(office.users.is_none() && kiosk.users.is_some());
-        let rows = &office.table.rows;
+        let rows = &office.table.rules;
         assert!(rows.iter().any(|row| row.user.is_some()) && rows.iter().any(|row| row.listener.is_some()));
-        assert!(rows.iter().any(|row| row.repeats == Repeats::Cas));
-        assert!(rows.iter().any(|row| matches!(row.repeats, Repeats::Suffix(_))));
+        assert!(rows.iter().any(|row| row.repeats == RepeatMarker::Cas));
+        assert!(rows.iter().any(|row| matches!(row.repeats, RepeatMarker::Suffix(_))));
         assert!(rows.iter().any(|row| row.tenant.is_some() && row.write.is_some()));
-        assert!(office.table.others.is_some());
+        assert!(office.table.fallback.is_some());
     }
 
     #[test]
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -223,7 +223,7 @@
                     Vec::new()
                 }
                 Ok(()) = bearing.changed() => match ties.keeper.state() {
-                    Life::Finishing { shared: false, .. } if !leaving => {
+                    Life::ShuttingDown { address_shared: false, .. } if !leaving => {
                         leaving = true;
                         self.siblings.leave(self.clock.now())
                     }
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -18,14 +18,14 @@
 
 /// Caches over RESP2 or memcached's binary protocol, the origin over HTTP/1.1.
 #[derive(Clone, Default)]
-pub struct Servers {
+pub struct ServerConnector {
     memcached: Arc<BTreeSet<String>>,
 }
 
-impl Servers {
+impl ServerConnector {
     /// Caches of these kinds of machine speak memcached, all others RESP2.
     pub fn new(memcached: BTreeSet<String>) -> Self {
-        Servers { memcached: Arc::new(memcached) }
+        ServerConnector { memcached: Arc::new(memcached) }
     }
 }
 
@@ -39,7 +39,7 @@
     Origin(http::Origin),
 }
 
-impl Upstream for Servers {
+impl Upstream for ServerConnector {
     type Connection = Link;
 
     /// A cache that speaks memcached knows no idempotency keys.
