--- a/crates/fronts/src/accept_policy.rs
+++ b/crates/fronts/src/accept_policy.rs
@@ -1,7 +1,9 @@
-//! What follows an accept, in service and as a listener closes. No I/O, no clock: times are handed in.
+//! Decides how a listener goes on after each `accept`, both in service and while it closes. No I/O and no clock: the
+//! caller passes the times in.
 //!
-//! Guards against: an exit, or a busy loop, when descriptors run out; clients closed on for want of what is there again a
-//! moment later; and connections behind one that fails, reset with their requests as the listener closes.
+//! Prevents three failures: the process exiting or spinning when file descriptors run out; clients being disconnected
+//! over a shortage that is gone a moment later; and connections queued behind one that fails being reset, together with
+//! their requests, as the listener closes.
 
 use std::io;
 use std::time::Duration;
@@ -9,88 +11,89 @@
 use lilacquay_core::is_own_shortage;
 use tokio::time::Instant;
 
-use crate::connection_limiter::{Goes, Micros, goes};
+use crate::connection_limiter::{EvictionScope, Micros, eviction_scope};
 
-/// No more connections than this wait to be accepted.
+/// The listen backlog: the most connections that wait to be accepted.
 pub const ACCEPT_BACKLOG: u32 = 1024;
-/// As a listener closes, those that wait are taken for so long at most.
-const LAST_LOOK: Duration = Duration::from_millis(100);
+/// A closing listener accepts the connections left in its backlog for at most this long.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why an accept gave no connection.
+/// Why an accept returned no connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// None waits.
-    NoneWaits,
-    /// This machine lacks something for it, which may be there again soon.
-    Shortage,
-    /// The one connection has failed: its client has gone, say.
-    OneConnection,
+    /// The backlog is empty.
+    BacklogEmpty,
+    /// This machine is short of a resource, such as descriptors or memory; the shortage may be brief.
+    ResourceShortage,
+    /// This one connection failed, for example because its client has gone.
+    ConnectionFailed,
 }
 
 impl From<&io::Error> for AcceptFailure {
     fn from(error: &io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::WouldBlock => AcceptFailure::NoneWaits,
-            _ if is_own_shortage(error) => AcceptFailure::Shortage,
-            _ => AcceptFailure::OneConnection,
+            io::ErrorKind::WouldBlock => AcceptFailure::BacklogEmpty,
+            _ if is_own_shortage(error) => AcceptFailure::ResourceShortage,
+            _ => AcceptFailure::ConnectionFailed,
         }
     }
 }
 
-/// What is to be done next.
+/// The listener's next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptStep {
     /// Accept again.
-    Again,
-    /// Close a connection that may go, and accept again.
-    MakeRoom(Goes),
+    AcceptAgain,
+    /// Close one connection of this scope, then accept again.
+    EvictThenAccept(EvictionScope),
     /// Close the listener.
-    Close,
+    CloseListener,
 }
 
-/// What a listener's accepts have met so far.
+/// Tracks the outcomes of one listener's accepts.
 #[derive(Debug, Default)]
 pub struct AcceptPolicy {
-    /// Since when this machine lacks something.
-    short_since: Option<Instant>,
-    /// Where the listener closes: since when, and how many connections were taken since.
+    /// Start of the resource shortage that now lasts.
+    shortage_since: Option<Instant>,
+    /// For a closing listener: when it began to close, and the connections accepted since.
     closing: Option<(Instant, usize)>,
 }
 
 impl AcceptPolicy {
-    /// Of a listener that closes: takes who waits, and nobody beyond.
-    pub fn closing(now: Instant) -> Self {
-        AcceptPolicy { short_since: None, closing: Some((now, 0)) }
+    /// The policy of a closing listener, which accepts the connections in its backlog and none after them.
+    pub fn for_closing_listener(now: Instant) -> Self {
+        AcceptPolicy { shortage_since: None, closing: Some((now, 0)) }
     }
 
-    /// A connection was taken.
+    /// Records an accepted connection and returns the next step.
     pub fn accepted(&mut self, now: Instant) -> AcceptStep {
-        self.short_since = None;
-        if let Some((_, taken)) = &mut self.closing {
-            *taken += 1;
+        self.shortage_since = None;
+        if let Some((_, accepted)) = &mut self.closing {
+            *accepted += 1;
         }
-        self.unless_over(now, AcceptStep::Again)
+        self.step_unless_drained(now, AcceptStep::AcceptAgain)
     }
 
-    /// An accept has failed.
+    /// Records a failed accept and returns the next step.
     pub fn failed(&mut self, failure: AcceptFailure, now: Instant) -> AcceptStep {
         match failure {
-            AcceptFailure::NoneWaits if self.closing.is_some() => AcceptStep::Close,
-            AcceptFailure::NoneWaits | AcceptFailure::OneConnection => {
-                self.unless_over(now, AcceptStep::Again)
+            AcceptFailure::BacklogEmpty if self.closing.is_some() => AcceptStep::CloseListener,
+            AcceptFailure::BacklogEmpty | AcceptFailure::ConnectionFailed => {
+                self.step_unless_drained(now, AcceptStep::AcceptAgain)
             }
-            AcceptFailure::Shortage => {
-                let since = *self.short_since.get_or_insert(now);
+            AcceptFailure::ResourceShortage => {
+                let since = *self.shortage_since.get_or_insert(now);
                 let waited = now.saturating_duration_since(since).as_micros() as Micros;
-                self.unless_over(now, AcceptStep::MakeRoom(goes(true, waited)))
+                self.step_unless_drained(now, AcceptStep::EvictThenAccept(eviction_scope(true, waited)))
             }
         }
     }
 
-    /// The step, unless a listener that closes has taken as many, or for as long, as can have waited.
-    fn unless_over(&self, now: Instant, step: AcceptStep) -> AcceptStep {
-        let over =
-            |(since, taken): (Instant, usize)| taken >= ACCEPT_BACKLOG as usize || now >= since + LAST_LOOK;
-        if self.closing.is_some_and(over) { AcceptStep::Close } else { step }
+    /// `step`, or `CloseListener` once a closing listener has accepted a full backlog or reached its time limit.
+    fn step_unless_drained(&self, now: Instant, step: AcceptStep) -> AcceptStep {
+        let drained = |(since, accepted): (Instant, usize)| {
+            accepted >= ACCEPT_BACKLOG as usize || now >= since + BACKLOG_DRAIN_TIMEOUT
+        };
+        if self.closing.is_some_and(drained) { AcceptStep::CloseListener } else { step }
     }
 }
--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! Listeners, and the bounds that hold for the clients of all of them together.
+//! Accepts client connections on any number of listeners, under limits that hold for all of them together.
 
 use std::io;
 use std::sync::Arc;
@@ -13,142 +13,144 @@
 use tracing::warn;
 
 use crate::accept_policy::{AcceptFailure, AcceptPolicy, AcceptStep};
-use crate::connection_limiter::{Goes, Micros, goes};
+use crate::connection_limiter::{EvictionScope, Micros, eviction_scope};
 use crate::protocol::Protocol;
 use crate::session::Session;
-use crate::shared::{ClientLimits, Shared};
+use crate::shared::{ClientLimits, SharedState};
 
-/// After an accept that failed, for want of descriptors say.
-const PAUSE: Duration = Duration::from_millis(5);
+/// How long to wait for an evicted connection to end before the next accept, for example after one that failed for want
+/// of descriptors.
+const EVICTION_WAIT: Duration = Duration::from_millis(5);
 
-/// What the connections of all fronts share. Cheap to clone.
+/// Accepts connections for all frontends and holds the state that their sessions share. Cheap to clone.
 #[derive(Clone)]
-pub struct Acceptor(Arc<Shared>);
+pub struct Acceptor(Arc<SharedState>);
 
 impl Acceptor {
-    /// An acceptor without connections, of a node with this bearing.
-    pub fn new(requests: Requests, bounds: ClientLimits, bearing: watch::Receiver<ServiceMode>) -> Self {
-        Acceptor(Arc::new(Shared::new(requests, bounds, bearing)))
+    /// Creates an acceptor without connections, for a node whose service mode is published on `service_mode`.
+    pub fn new(requests: Requests, limits: ClientLimits, service_mode: watch::Receiver<ServiceMode>) -> Self {
+        Acceptor(Arc::new(SharedState::new(requests, limits, service_mode)))
     }
 
-    /// Takes connections for as long as the node takes any, each with a protocol of its own: from when it is ready
-    /// until it ends. The listener is closed then.
+    /// Accepts connections from when the node is ready until it stops accepting, and closes the listener then. Each
+    /// connection gets its own protocol instance.
     pub async fn accept<P: Protocol>(self, listener: TcpListener, protocol: impl Fn() -> P) {
-        let mut bearing = self.0.bearing.clone();
-        // Whoever tells the bearing may have gone: then it stays as it was.
-        if bearing.wait_for(|now| now.accepts_connections || now.ended).await.is_err() {
+        let mut service_mode = self.0.service_mode.clone();
+        // Without a publisher the mode can no longer change.
+        if service_mode.wait_for(|mode| mode.accepts_connections || mode.ended).await.is_err() {
             return;
         }
         tokio::select! {
             biased;
-            _ = bearing.wait_for(|now| !now.accepts_connections) => {}
-            () = self.take(&listener, &protocol) => {}
+            _ = service_mode.wait_for(|mode| !mode.accepts_connections) => {}
+            () = self.accept_loop(&listener, &protocol) => {}
         }
-        // Guards against: connections that the kernel has taken already, reset with their requests. Where another
-        // process takes them, they are that one's.
-        let shared = bearing.borrow().ping_succeeds;
-        if !shared {
-            self.take_waiting(listener, &protocol).await;
+        // Connections that the kernel has completed would be reset, with their requests, if the listener closed without
+        // accepting them. If another process accepts at the same address, they are left to that process.
+        let address_shared = service_mode.borrow().ping_succeeds;
+        if !address_shared {
+            self.accept_backlog(listener, &protocol).await;
         }
     }
 
-    /// Takes the connections that wait to be accepted, and none beyond. The kernel is asked itself: the runtime, woken by
-    /// a timer or a signal, may not have heard of them.
-    async fn take_waiting<P: Protocol>(&self, listener: TcpListener, protocol: &impl Fn() -> P) {
+    /// Accepts the connections in the backlog and none after them. Uses the blocking-API socket so that the kernel is
+    /// asked directly: the runtime, woken by a timer or a signal, may not have learned of them yet.
+    async fn accept_backlog<P: Protocol>(&self, listener: TcpListener, protocol: &impl Fn() -> P) {
         let Ok(listener) = listener.into_std() else { return };
-        let mut policy = AcceptPolicy::closing(Instant::now());
+        let mut policy = AcceptPolicy::for_closing_listener(Instant::now());
         loop {
             let step = match listener.accept() {
                 Ok((stream, _)) => {
-                    self.attend_accepted(stream, protocol());
+                    self.spawn_std_session(stream, protocol());
                     policy.accepted(Instant::now())
                 }
-                Err(error) => failed(&mut policy, &error),
+                Err(error) => accept_failed(&mut policy, &error),
             };
             match step {
-                AcceptStep::Close => return,
-                step => self.prepare(step).await,
+                AcceptStep::CloseListener => return,
+                step => self.prepare_next_accept(step).await,
             }
         }
     }
 
-    fn attend_accepted<P: Protocol>(&self, stream: std::net::TcpStream, protocol: P) {
+    fn spawn_std_session<P: Protocol>(&self, stream: std::net::TcpStream, protocol: P) {
         match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-            Ok(stream) => self.attend(stream, protocol),
-            Err(error) => warn!("accept: {error}"),
+            Ok(stream) => self.spawn_session(stream, protocol),
+            Err(error) => warn!("failed to register an accepted connection: {error}"),
         }
     }
 
-    fn attend<P: Protocol>(&self, stream: TcpStream, protocol: P) {
+    fn spawn_session<P: Protocol>(&self, stream: TcpStream, protocol: P) {
         let session = Session::new(self.0.clone(), protocol);
         self.0.sessions.spawn(session.run(stream));
     }
 
-    async fn take<P: Protocol>(&self, listener: &TcpListener, protocol: &impl Fn() -> P) {
+    async fn accept_loop<P: Protocol>(&self, listener: &TcpListener, protocol: &impl Fn() -> P) {
         let mut policy = AcceptPolicy::default();
         loop {
-            // Guards against: clients that leave no descriptors for the servers, and crowds of silent ones
-            // that keep the usual ones out. Beyond the limit each newcomer takes the place of another. What
-            // the servers leave free is the clients' too: many have asked once and stay.
-            self.room().await;
+            // The limit keeps clients from using up the descriptors that connections to servers need. Beyond it each new
+            // connection replaces another, so that many silent connections cannot lock out active clients. Descriptors
+            // that servers leave free are available to clients, many of which ask once and stay connected.
+            self.wait_for_capacity().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
                     policy.accepted(Instant::now());
-                    self.attend(stream, protocol());
+                    self.spawn_session(stream, protocol());
                 }
-                Err(error) => self.prepare(failed(&mut policy, &error)).await,
+                Err(error) => self.prepare_next_accept(accept_failed(&mut policy, &error)).await,
             }
         }
     }
 
-    /// Makes what the next accept needs; others have their turn meanwhile.
-    async fn prepare(&self, step: AcceptStep) {
+    /// Carries out the step that precedes the next accept; in either case other tasks get to run.
+    async fn prepare_next_accept(&self, step: AcceptStep) {
         match step {
-            AcceptStep::MakeRoom(goes) => _ = self.make_room(goes).await,
-            AcceptStep::Again | AcceptStep::Close => yield_now().await,
+            AcceptStep::EvictThenAccept(scope) => _ = self.evict_one(scope).await,
+            AcceptStep::AcceptAgain | AcceptStep::CloseListener => yield_now().await,
         }
     }
 
-    /// Waits until there is room for one more.
+    /// Waits until the number of connections is below the limit.
     ///
-    /// In company one goes for one that comes, at most: a part of the bounds that has become smaller than what it holds
-    /// is no reason to close on those who are there.
-    async fn room(&self) {
-        let (start, bounds) = (Instant::now(), &self.0.bounds);
-        while self.0.sessions.len() >= bounds.limit() {
+    /// While another process accepts at the same address, at most one connection is evicted for each new one: if this
+    /// process's portion of the limits shrinks below what it holds, existing clients are not disconnected for that.
+    async fn wait_for_capacity(&self) {
+        let (start, limits) = (Instant::now(), &self.0.limits);
+        while self.0.sessions.len() >= limits.connection_limit() {
             let waited = start.elapsed().as_micros() as Micros;
-            let cleared = self.make_room(goes(bounds.portion.in_company(), waited)).await;
-            if cleared && bounds.portion.in_company() {
+            let evicted = self.evict_one(eviction_scope(limits.portion.in_company(), waited)).await;
+            if evicted && limits.portion.in_company() {
                 return;
             }
         }
     }
 
-    /// How many connections there are.
+    /// The number of open client connections.
     pub fn connection_count(&self) -> usize {
         self.0.sessions.len()
     }
 
-    /// Waits until no connection is left, once none is taken any more.
+    /// Waits until all connections have closed. To be called once no listener accepts any more.
     pub async fn wait_until_empty(&self) {
         self.0.sessions.close();
         self.0.sessions.wait().await;
     }
 
-    /// Has a connection closed, if there is one that may, and waits for its end, or for a while. Tells whether there was.
-    async fn make_room(&self, goes: Goes) -> bool {
-        let left = self.0.left.notified();
-        let cleared = self.0.seats.clear_one(Instant::now(), goes);
-        let _ = timeout(PAUSE, left).await; // looked at again either way
-        cleared
+    /// Tells one evictable connection to close, if there is one, and waits for a session to end or for
+    /// [`EVICTION_WAIT`]. Returns whether a connection was evicted.
+    async fn evict_one(&self, scope: EvictionScope) -> bool {
+        let session_ended = self.0.session_ended.notified();
+        let evicted = self.0.idle_connections.evict_one(Instant::now(), scope);
+        let _ = timeout(EVICTION_WAIT, session_ended).await; // the caller checks again in either case
+        evicted
     }
 }
 
-/// What follows an accept that failed.
-fn failed(policy: &mut AcceptPolicy, error: &io::Error) -> AcceptStep {
+/// Logs a failed accept and returns the next step.
+fn accept_failed(policy: &mut AcceptPolicy, error: &io::Error) -> AcceptStep {
     let failure = AcceptFailure::from(error);
-    if failure != AcceptFailure::NoneWaits {
-        warn!("accept: {error}");
+    if failure != AcceptFailure::BacklogEmpty {
+        warn!("failed to accept a client connection: {error}");
     }
     policy.failed(failure, Instant::now())
 }
--- a/crates/fronts/src/close_policy.rs
+++ b/crates/fronts/src/close_policy.rs
@@ -1,5 +1,5 @@
-//! When a client's connection is closed, read on, or waited for no longer. No I/O, no clock: what is known of the connection
-//! is handed in.
+//! Decides when a client connection is closed, when its commands are read, and when a read times out. No I/O and no clock:
+//! the caller passes in the state of the connection.
 
 use std::time::Duration;
 
@@ -8,149 +8,161 @@
 
 use crate::close_reason::CloseReason;
 
-/// A connection that has had nothing good to say for so long is closed: silent, or in the midst of a command.
-pub const PATIENCE: Duration = Duration::from_millis(2500);
-/// What is on its way on a new connection has come after so long.
-pub const NEW: Duration = Duration::from_millis(300);
-/// Where a node leaves service and runs on, a connection on which there is always something more to read is closed all the
-/// same so long after idle ones. A node that ends reads until its end.
-pub const LAST_COMMANDS: Duration = Duration::from_millis(1800);
-/// After what can't be read, answers that are owed are waited for so long; those still out are given as failed then.
-pub const PARTING: Duration = Duration::from_millis(1500);
-/// A long command that keeps coming may take so much longer: what it has, at so many bytes a second ...
-const SLOWEST: usize = 256 << 10;
-/// ... with no pause longer than this.
-pub const PAUSE: Duration = Duration::from_millis(500);
+/// A connection is closed after this long without progress: if it has sent no valid command, or only part of one.
+pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
+/// After this long, anything in transit on a new connection has arrived.
+pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
+/// If a node leaves service and keeps running, a connection on which there is always more to read is closed this long
+/// after idle ones. A node that shuts down reads until its end.
+pub const LEAVE_CLOSE_TIMEOUT: Duration = Duration::from_millis(1800);
+/// After a malformed command, pending responses are waited for this long; those still missing are then answered as failed.
+pub const MALFORMED_COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
+/// A long command that keeps arriving extends the time limit by its length divided by this rate, at most.
+const MIN_LONG_COMMAND_BYTES_PER_SECOND: usize = 256 << 10;
+/// The longest pause within a long command for which the time limit is extended.
+pub const MAX_LONG_COMMAND_PAUSE: Duration = Duration::from_millis(500);
 
-/// What is known of a connection.
+/// The state of a connection at one time.
 #[derive(Debug, Clone, Copy)]
-pub struct ConnectionFacts {
-    /// The time.
+pub struct ConnectionState {
+    /// The current time.
     pub now: Instant,
-    /// When it came.
-    pub born: Instant,
-    /// Since when nothing good has come: its start, its last answer, or a command's first byte.
-    pub since: Instant,
-    /// When something was read last.
-    pub read_at: Instant,
-    /// Whether an answer is owed.
-    pub owes: bool,
-    /// Whether a part of a command has come.
+    /// When the client connected.
+    pub connected_at: Instant,
+    /// The last progress: the connection's start, its last answer, or the first byte of a command.
+    pub last_progress_at: Instant,
+    /// When something was last read.
+    pub last_read_at: Instant,
+    /// Whether a response is pending.
+    pub has_pending_response: bool,
+    /// Whether part of a command has arrived.
     pub in_command: bool,
-    /// Whether it has ever sent a command that is good.
-    pub heard: bool,
-    /// Whether it has ever had a request.
-    pub asked: bool,
+    /// Whether the client has ever sent a valid command.
+    pub has_sent_valid_command: bool,
+    /// Whether the client has ever sent a request.
+    pub has_sent_request: bool,
     /// Whether an answer has just been written.
     pub just_answered: bool,
-    /// When something came that can't be read.
-    pub malformed: Option<Instant>,
-    /// Whether the client has asked for a close.
-    pub quits: bool,
+    /// When malformed input arrived.
+    pub malformed_at: Option<Instant>,
+    /// Whether the client has asked for the connection to be closed.
+    pub quit_requested: bool,
     /// Whether the process is about to end.
-    pub process_ends: bool,
-    /// The long command that is coming, if one is.
+    pub process_ending: bool,
+    /// The long command that is arriving, if any.
     pub long_command: Option<LongCommand>,
 }
 
-/// A long command that is coming.
+/// A long command that is arriving.
 #[derive(Debug, Clone, Copy)]
 pub struct LongCommand {
-    /// How many bytes it has.
+    /// Its length in bytes.
     pub length: usize,
-    /// Whether it has places in memory, or waits for them.
-    pub has_places: bool,
+    /// Whether it holds buffer permits; it waits for them otherwise.
+    pub has_permits: bool,
 }
 
-/// What is done about a connection.
+/// Whether and when to close a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseDecision {
-    /// It stays.
-    Stay,
-    /// It is closed.
+    /// Keep it open.
+    KeepOpen,
+    /// Close it.
     Close(CloseReason),
-    /// It is closed if nothing more has come by now.
+    /// Close it if there is nothing to read.
     ///
-    /// Guards against: a request that is closed on, unread, though it had come already.
-    CloseIfNothingCame,
-    /// It is looked at again then, when what is on its way from a new client must have come.
-    LookAgain(Instant),
+    /// Closing without that check would discard a request that has arrived but is not read yet.
+    CloseIfNothingToRead,
+    /// Decide again at this time, when anything in transit from a new client must have arrived.
+    RecheckAt(Instant),
 }
 
-/// When a connection is closed.
+/// Decides when one connection is closed.
 #[derive(Debug, Clone, Default)]
 pub struct ClosePolicy {
-    /// Since when connections without a request are to be closed.
-    unwanted: Option<Instant>,
+    /// Since when the node has been closing connections without a request.
+    closing_idle_since: Option<Instant>,
 }
 
 impl ClosePolicy {
-    /// What is done about a connection of a node in that phase.
-    pub fn decide(&mut self, phase: ServiceMode, facts: &ConnectionFacts) -> CloseDecision {
-        let unwanted = match phase.close_mode {
-            CloseMode::WhenIdle => *self.unwanted.get_or_insert(facts.now),
+    /// Decides for a connection of a node in this service mode.
+    pub fn decide(&mut self, mode: ServiceMode, state: &ConnectionState) -> CloseDecision {
+        let closing_idle_since = match mode.close_mode {
+            CloseMode::WhenIdle => *self.closing_idle_since.get_or_insert(state.now),
             CloseMode::KeepOpen | CloseMode::AfterAnswer => {
-                self.unwanted = None;
-                facts.now
+                self.closing_idle_since = None;
+                state.now
             }
         };
-        if facts.owes {
-            return CloseDecision::Stay;
+        if state.has_pending_response {
+            return CloseDecision::KeepOpen;
         }
-        if let Some(reason) = at_its_end(facts) {
+        if let Some(reason) = close_reason(state) {
             return CloseDecision::Close(reason);
         }
-        if facts.in_command {
-            return CloseDecision::Stay;
+        if state.in_command {
+            return CloseDecision::KeepOpen;
         }
-        match phase.close_mode {
-            CloseMode::KeepOpen => CloseDecision::Stay,
-            CloseMode::AfterAnswer if facts.just_answered && facts.asked => CloseDecision::CloseIfNothingCame,
-            CloseMode::AfterAnswer => CloseDecision::Stay,
-            CloseMode::WhenIdle if !facts.heard && facts.now < facts.born + NEW => {
-                CloseDecision::LookAgain(facts.born + NEW)
+        match mode.close_mode {
+            CloseMode::KeepOpen => CloseDecision::KeepOpen,
+            CloseMode::AfterAnswer if state.just_answered && state.has_sent_request => {
+                CloseDecision::CloseIfNothingToRead
             }
-            CloseMode::WhenIdle if phase.accepts_connections && facts.now >= unwanted + LAST_COMMANDS => {
+            CloseMode::AfterAnswer => CloseDecision::KeepOpen,
+            CloseMode::WhenIdle
+                if !state.has_sent_valid_command && state.now < state.connected_at + NEW_CONNECTION_GRACE =>
+            {
+                CloseDecision::RecheckAt(state.connected_at + NEW_CONNECTION_GRACE)
+            }
+            CloseMode::WhenIdle
+                if mode.accepts_connections && state.now >= closing_idle_since + LEAVE_CLOSE_TIMEOUT =>
+            {
                 CloseDecision::Close(CloseReason::ShuttingDown)
             }
-            CloseMode::WhenIdle => CloseDecision::CloseIfNothingCame,
+            CloseMode::WhenIdle => CloseDecision::CloseIfNothingToRead,
         }
     }
 }
 
-/// Why a connection on which nothing is owed has come to its end, if it has.
-fn at_its_end(facts: &ConnectionFacts) -> Option<CloseReason> {
-    match facts {
-        ConnectionFacts { malformed: Some(_), .. } => Some(CloseReason::Malformed),
-        ConnectionFacts { quits: true, .. } => Some(CloseReason::Quit),
-        ConnectionFacts { process_ends: true, .. } => Some(CloseReason::ProcessEnds),
+/// The reason to close a connection without pending responses whatever the node's service mode, if there is one.
+fn close_reason(state: &ConnectionState) -> Option<CloseReason> {
+    match state {
+        ConnectionState { malformed_at: Some(_), .. } => Some(CloseReason::MalformedCommand),
+        ConnectionState { quit_requested: true, .. } => Some(CloseReason::ClientQuit),
+        ConnectionState { process_ending: true, .. } => Some(CloseReason::ProcessEnding),
         _ => None,
     }
 }
 
-/// Whether commands may be read, as far as the node's phase goes.
+/// Whether the node's service mode allows commands to be read.
 ///
-/// Guards against: a client that always has a command under way and so is never rid of a node that leaves service and runs
-/// on. One that ends answers all that it has read, and reads nothing in its last 0.1 s.
-pub fn may_read(phase: ServiceMode, facts: &ConnectionFacts) -> bool {
-    let goes_on = phase.close_mode == CloseMode::KeepOpen || !phase.accepts_connections;
-    (goes_on || !facts.owes) && !facts.process_ends
+/// While a node leaves service and keeps running, nothing is read behind a pending response: a client that always has a
+/// command in flight would otherwise stay connected for ever. A node that shuts down answers everything it has read, and
+/// reads nothing in its last 0.1 s.
+pub fn may_read(mode: ServiceMode, state: &ConnectionState) -> bool {
+    let reads_behind_pending = mode.close_mode == CloseMode::KeepOpen || !mode.accepts_connections;
+    (reads_behind_pending || !state.has_pending_response) && !state.process_ending
 }
 
-/// When the client is waited for no longer, if that is at all.
+/// When the connection times out; `None` if it does not.
 ///
-/// Guards against: silent connections and halves of commands, which would be held for ever, and an error that waits behind
-/// an answer which is long in coming.
-pub fn given_up_at(facts: &ConnectionFacts) -> Option<Instant> {
-    if let Some(at) = facts.malformed {
-        return Some(at + PARTING);
+/// Bounds how long silent connections and partial commands are held, and how long the error for malformed input waits
+/// behind an answer that is slow to come.
+pub fn times_out_at(state: &ConnectionState) -> Option<Instant> {
+    if let Some(at) = state.malformed_at {
+        return Some(at + MALFORMED_COMMAND_TIMEOUT);
     }
-    if facts.owes || facts.heard && !facts.in_command {
+    if state.has_pending_response || state.has_sent_valid_command && !state.in_command {
         return None;
     }
-    let usual = facts.since + PATIENCE;
-    let Some(LongCommand { length, has_places }) = facts.long_command else { return Some(usual) };
-    // Guards against: a long write given up while it comes or waits for places, and one that dribbles and holds its own.
-    let longest = usual + Duration::from_secs_f64(length as f64 / SLOWEST as f64);
-    Some(if has_places { usual.max((facts.read_at + PAUSE).min(longest)) } else { longest })
+    let usual = state.last_progress_at + COMMAND_TIMEOUT;
+    let Some(LongCommand { length, has_permits }) = state.long_command else { return Some(usual) };
+    // A long write must not time out while it keeps arriving or waits for permits, and one that trickles in must not hold
+    // its permits for long.
+    let latest = usual + Duration::from_secs_f64(length as f64 / MIN_LONG_COMMAND_BYTES_PER_SECOND as f64);
+    Some(if has_permits {
+        usual.max((state.last_read_at + MAX_LONG_COMMAND_PAUSE).min(latest))
+    } else {
+        latest
+    })
 }
--- a/crates/fronts/src/close_reason.rs
+++ b/crates/fronts/src/close_reason.rs
@@ -1,45 +1,45 @@
-//! Why a client's connection ends.
+//! Reasons for which a client connection ends.
 
 use std::fmt;
 use std::io;
 
-/// Why a client's connection ends.
+/// Why a client connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed or reset it.
-    ClientLeft,
-    /// The client has taken nothing of its answers for too long.
-    ClientStuck,
-    /// The client asked for the close.
-    Quit,
-    /// A command that can't be read came before.
-    Malformed,
-    /// No whole command came for too long.
-    NoWholeCommand,
-    /// The node is shutting down or leaving, and nothing is owed here.
+    ClientDisconnected,
+    /// The client has read none of its answers for too long.
+    ClientNotReading,
+    /// The client asked for the connection to be closed.
+    ClientQuit,
+    /// The client sent a malformed command.
+    MalformedCommand,
+    /// No complete command arrived in time.
+    CommandTimeout,
+    /// The node is shutting down or leaving service, and no response is pending on the connection.
     ShuttingDown,
     /// The process is about to end.
-    ProcessEnds,
-    /// The connection made room for another.
+    ProcessEnding,
+    /// The connection was closed to make room for another.
     Evicted,
-    /// A large value broke in the middle.
-    ValueBroken,
+    /// A large value ended before its last byte.
+    ValueTruncated,
 }
 
 impl CloseReason {
-    /// Whether the client gave up its answers itself.
-    pub fn is_clients_own(self) -> bool {
-        matches!(self, CloseReason::ClientLeft | CloseReason::ClientStuck)
+    /// Whether the client itself forfeited its remaining answers.
+    pub fn is_client_side(self) -> bool {
+        matches!(self, CloseReason::ClientDisconnected | CloseReason::ClientNotReading)
     }
 }
 
 impl From<io::Error> for CloseReason {
-    /// What a failed read or write of the client's socket means.
+    /// Classifies a failed read or write on the client's socket.
     fn from(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::TimedOut => CloseReason::ClientStuck,
-            io::ErrorKind::UnexpectedEof => CloseReason::ValueBroken,
-            _ => CloseReason::ClientLeft,
+            io::ErrorKind::TimedOut => CloseReason::ClientNotReading,
+            io::ErrorKind::UnexpectedEof => CloseReason::ValueTruncated,
+            _ => CloseReason::ClientDisconnected,
         }
     }
 }
@@ -47,15 +47,15 @@
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CloseReason::ClientLeft => "the client left",
-            CloseReason::ClientStuck => "the client takes nothing",
-            CloseReason::Quit => "the client asked for it",
-            CloseReason::Malformed => "a command can't be read",
-            CloseReason::NoWholeCommand => "no whole command came",
+            CloseReason::ClientDisconnected => "the client left",
+            CloseReason::ClientNotReading => "the client takes nothing",
+            CloseReason::ClientQuit => "the client asked for it",
+            CloseReason::MalformedCommand => "a command can't be read",
+            CloseReason::CommandTimeout => "no whole command came",
             CloseReason::ShuttingDown => "the node shuts down or leaves",
-            CloseReason::ProcessEnds => "the process ends",
+            CloseReason::ProcessEnding => "the process ends",
             CloseReason::Evicted => "it made room for another",
-            CloseReason::ValueBroken => "a large value broke",
+            CloseReason::ValueTruncated => "a large value broke",
         })
     }
 }
--- a/crates/fronts/src/connection_limiter.rs
+++ b/crates/fronts/src/connection_limiter.rs
@@ -1,136 +1,145 @@
-//! Who among the clients' connections has to go when others are to be let in. No I/O, no clock: times are handed in, in
-//! microseconds from any start.
+//! Decides which client connection is evicted to make room for another. No I/O and no clock: the caller passes times in,
+//! in microseconds from any fixed start.
 //!
-//! A connection on which something is owed is not known here and stays. The others are *guests*, of three kinds.
-//! Beyond the most that may rest the one who has rested for longest goes at once. When room is needed, one goes in
-//! this order:
+//! A connection with a pending response is not registered here and is never evicted. The others are *idle* and differ in
+//! their [`Activity`]. A connection that rests between requests is evicted at once if more than a maximum of them rest:
+//! the one that has rested longest. When room is needed, one connection is evicted, in this order of preference:
 //!
-//! 1. who has been silent since it came, once what was on its way must have come;
-//! 2. who rests, once it has been left in peace for a while after its last answer;
-//! 3. who is silent, however new;
-//! 4. who is in the midst of a command: the one who has been at it for longest, since true ones come to an end.
+//! 1. one that has sent no request since it connected, once anything in transit must have arrived;
+//! 2. one that rests between requests, after a grace period since its last answer;
+//! 3. one that has sent no request, however new;
+//! 4. one that has sent part of a command: the one that has been at it longest, since commands of well-behaved clients
+//!    come to an end.
 //!
-//! While another process takes connections at the same address, whoever is at its part of the bounds closes on nobody
-//! who may be about to ask (3 and 4) before the other has had the time to take who comes, and then one goes for one that
-//! comes: a part that has just become smaller is no reason to close what it holds. [`goes`] says which.
+//! While another process accepts connections at the same address, a process that has reached its portion of the limits
+//! evicts no connection that may be about to send a request (3 and 4) before the other process has had time to accept
+//! the newcomer. It then evicts one connection for each new one, since a portion that has just shrunk is no reason to
+//! close the connections it holds. [`eviction_scope`] makes that decision.
 //!
-//! A step costs no more with a hundred thousand guests than with ten but for the depth of a tree.
+//! Each operation takes logarithmic time, so that one with a hundred thousand connections costs little more than with
+//! ten.
 
 use std::collections::BTreeMap;
 
-/// A time, or a length of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// What is on its way from a new client has come after so long.
-pub const NEW: Micros = 300_000;
-/// A connection that has been of use is left in peace for so long.
-pub const IN_USE: Micros = 2_000_000;
+/// After this long, anything in transit on a new connection has arrived.
+pub const NEW_CONNECTION_GRACE_US: Micros = 300_000;
+/// A connection that has had an answer is not evicted for this long after it.
+pub const RECENT_USE_GRACE_US: Micros = 2_000_000;
 
-/// With another process at the same address, who comes is its guest within so long, if it has room.
-pub const COMPANY: Micros = 100_000;
+/// Another process at the same address accepts a new connection within this time, if it has room.
+pub const SHARED_ADDRESS_GRACE_US: Micros = 100_000;
 
-/// Who may be closed for one that wants to come in.
+/// Which connections may be evicted for a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Goes {
-    /// Only who is silent for long, or rests for long.
-    Idle,
-    /// Whoever is next.
-    Anyone,
+pub enum EvictionScope {
+    /// Only those that have sent no request, or have rested, for longer than the grace period.
+    LongIdle,
+    /// Any idle connection, by the order of preference.
+    AnyIdle,
 }
 
-/// Who may be closed for one that has waited for so long.
-pub fn goes(in_company: bool, waited: Micros) -> Goes {
-    if in_company && waited < COMPANY { Goes::Idle } else { Goes::Anyone }
+/// Which connections may be evicted for one that has waited this long.
+pub fn eviction_scope(address_shared: bool, waited: Micros) -> EvictionScope {
+    if address_shared && waited < SHARED_ADDRESS_GRACE_US {
+        EvictionScope::LongIdle
+    } else {
+        EvictionScope::AnyIdle
+    }
 }
 
-/// What a guest does.
+/// What an idle connection has done last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Guest {
-    /// Has had no request yet.
-    Silent,
-    /// Rests between requests.
-    Resting,
-    /// Has sent a part of a command.
-    Sending,
+pub enum Activity {
+    /// It has sent no request yet.
+    NoRequestYet,
+    /// It rests between requests.
+    BetweenRequests,
+    /// It has sent part of a command.
+    InCommand,
 }
 
-/// A guest's place: since when it does so, and its number.
+/// Identifies a registered connection: its activity, since when, and a unique number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
-    guest: Guest,
+pub struct EvictionKey {
+    activity: Activity,
     since: Micros,
     number: u64,
 }
 
-impl Place {
-    /// What the guest does.
-    pub fn guest(&self) -> Guest {
-        self.guest
+impl EvictionKey {
+    /// The activity under which the connection is registered.
+    pub fn activity(&self) -> Activity {
+        self.activity
     }
 }
 
-/// The guests, with something for each by which it is told to go.
+/// The idle connections, each with a handle `T` through which it is told to close.
 #[derive(Debug)]
-pub struct Door<T> {
-    silent: BTreeMap<(Micros, u64), T>,
-    resting: BTreeMap<(Micros, u64), T>,
-    sending: BTreeMap<(Micros, u64), T>,
-    most_resting: usize,
-    last: u64,
+pub struct EvictionQueue<T> {
+    no_request_yet: BTreeMap<(Micros, u64), T>,
+    between_requests: BTreeMap<(Micros, u64), T>,
+    in_command: BTreeMap<(Micros, u64), T>,
+    max_between_requests: usize,
+    last_number: u64,
 }
 
-impl<T> Door<T> {
-    /// For so many who rest, at most.
-    pub fn new(most_resting: usize) -> Self {
-        let (silent, resting, sending) = Default::default();
-        Door { silent, resting, sending, most_resting, last: 0 }
+impl<T> EvictionQueue<T> {
+    /// Creates a queue in which at most this many connections may rest between requests.
+    pub fn new(max_between_requests: usize) -> Self {
+        let (no_request_yet, between_requests, in_command) = Default::default();
+        EvictionQueue { no_request_yet, between_requests, in_command, max_between_requests, last_number: 0 }
     }
 
-    fn of(&mut self, guest: Guest) -> &mut BTreeMap<(Micros, u64), T> {
-        match guest {
-            Guest::Silent => &mut self.silent,
-            Guest::Resting => &mut self.resting,
-            Guest::Sending => &mut self.sending,
+    fn connections_mut(&mut self, activity: Activity) -> &mut BTreeMap<(Micros, u64), T> {
+        match activity {
+            Activity::NoRequestYet => &mut self.no_request_yet,
+            Activity::BetweenRequests => &mut self.between_requests,
+            Activity::InCommand => &mut self.in_command,
         }
     }
 
-    /// A guest takes its place. Tells who has to go for it.
+    /// Registers an idle connection. Returns its key, and the handle of the connection evicted for it, if any.
     ///
-    /// Guards against: clients that ask once on each connection and keep it, until they may open no more. Covers
-    /// pools that never shrink. It hurts clients that keep more connections than that and use all in turn: each
-    /// request then pays for a new one.
-    pub fn enter(&mut self, guest: Guest, since: Micros, told_by: T) -> (Place, Option<T>) {
-        self.last += 1;
-        let number = self.last;
-        let place = Place { guest, since, number };
-        self.of(guest).insert((since, number), told_by);
-        let crowded = guest == Guest::Resting && self.resting.len() > self.most_resting;
-        let goes = if crowded { self.resting.pop_first().map(|(_, told_by)| told_by) } else { None };
-        (place, goes)
+    /// Without the maximum, clients that send one request on each connection and keep it open, such as connection pools
+    /// that never shrink, would take up all connections until no more could be opened. The cost falls on clients that
+    /// keep more connections than the maximum and use all of them in turn: each request then pays for a new connection.
+    pub fn insert(&mut self, activity: Activity, since: Micros, handle: T) -> (EvictionKey, Option<T>) {
+        self.last_number += 1;
+        let number = self.last_number;
+        let key = EvictionKey { activity, since, number };
+        self.connections_mut(activity).insert((since, number), handle);
+        let over_maximum =
+            activity == Activity::BetweenRequests && self.between_requests.len() > self.max_between_requests;
+        let evicted =
+            if over_maximum { self.between_requests.pop_first().map(|(_, handle)| handle) } else { None };
+        (key, evicted)
     }
 
-    /// A guest gives up its place; nothing if it was told to go before.
-    pub fn leave(&mut self, place: Place) -> Option<T> {
-        self.of(place.guest).remove(&(place.since, place.number))
+    /// Removes a connection; `None` if it has been evicted or removed before.
+    pub fn remove(&mut self, key: EvictionKey) -> Option<T> {
+        self.connections_mut(key.activity).remove(&(key.since, key.number))
     }
 
-    /// Who has to go so that another may come in; nobody if there are no such guests.
-    pub fn make_room(&mut self, now: Micros, goes: Goes) -> Option<T> {
-        let waited = |guests: &BTreeMap<(Micros, u64), T>, time: Micros| {
-            guests.first_key_value().is_some_and(|((since, _), _)| now >= since.saturating_add(time))
+    /// Evicts the next connection of this scope and returns its handle; `None` if there is no such connection.
+    pub fn evict(&mut self, now: Micros, scope: EvictionScope) -> Option<T> {
+        let oldest_exceeds = |connections: &BTreeMap<(Micros, u64), T>, grace: Micros| {
+            connections.first_key_value().is_some_and(|((since, _), _)| now >= since.saturating_add(grace))
         };
-        let guest = if waited(&self.silent, NEW) {
-            Guest::Silent
-        } else if waited(&self.resting, IN_USE) {
-            Guest::Resting
-        } else if goes == Goes::Idle {
+        let activity = if oldest_exceeds(&self.no_request_yet, NEW_CONNECTION_GRACE_US) {
+            Activity::NoRequestYet
+        } else if oldest_exceeds(&self.between_requests, RECENT_USE_GRACE_US) {
+            Activity::BetweenRequests
+        } else if scope == EvictionScope::LongIdle {
             return None;
-        } else if !self.silent.is_empty() {
-            Guest::Silent
+        } else if !self.no_request_yet.is_empty() {
+            Activity::NoRequestYet
         } else {
-            Guest::Sending
+            Activity::InCommand
         };
-        self.of(guest).pop_first().map(|(_, told_by)| told_by)
+        self.connections_mut(activity).pop_first().map(|(_, handle)| handle)
     }
 }
 
@@ -138,72 +147,86 @@
 mod tests {
     use super::*;
 
-    /// Guests that come, go and are told to go in any order, held against a plain list of them.
+    /// Compares random insertions, removals and evictions with a model that searches a plain list.
     #[test]
-    fn who_goes_is_who_the_order_says_whatever_has_passed() {
+    fn eviction_follows_the_stated_order_after_any_history() {
         for seed in 0..40 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let most = rng.usize(1..8);
-            let (mut door, mut plain, mut now) = (Door::new(most), Vec::<(Place, u64)>::new(), 0);
+            let max_between_requests = rng.usize(1..8);
+            let (mut queue, mut model, mut now) =
+                (EvictionQueue::new(max_between_requests), Vec::<(EvictionKey, u64)>::new(), 0);
             for n in 0..2_000_u64 {
                 now += rng.u64(0..200_000);
-                let oldest = |plain: &[(Place, u64)], guest| {
-                    plain.iter().filter(|(p, _)| p.guest == guest).min_by_key(|(p, _)| *p).map(|p| p.1)
+                let oldest = |model: &[(EvictionKey, u64)], activity| {
+                    let of_activity = model.iter().filter(|(key, _)| key.activity == activity);
+                    of_activity.min_by_key(|(key, _)| *key).map(|entry| entry.1)
                 };
                 let gone = match rng.u8(0..6) {
-                    0 if !plain.is_empty() => {
-                        let (place, number) = plain[rng.usize(..plain.len())];
-                        assert_eq!(door.leave(place), Some(number));
-                        assert_eq!(door.leave(place), None, "once");
-                        Some(number)
+                    0 if !model.is_empty() => {
+                        let (key, handle) = model[rng.usize(..model.len())];
+                        assert_eq!(queue.remove(key), Some(handle));
+                        assert_eq!(queue.remove(key), None, "a key can be removed only once");
+                        Some(handle)
                     }
                     1 => {
-                        let who = [Goes::Idle, Goes::Anyone][rng.usize(0..2)];
-                        let since = |number| plain.iter().find(|p| p.1 == number).map_or(0, |p| p.0.since);
-                        let (silent, resting) =
-                            (oldest(&plain, Guest::Silent), oldest(&plain, Guest::Resting));
-                        let expected = silent
-                            .filter(|&n| now >= since(n) + NEW)
-                            .or(resting.filter(|&n| now >= since(n) + IN_USE))
-                            .or(silent.filter(|_| who == Goes::Anyone))
-                            .or(oldest(&plain, Guest::Sending).filter(|_| who == Goes::Anyone));
-                        let goes = door.make_room(now, who);
-                        assert_eq!(goes, expected, "seed {seed}");
-                        goes
+                        let scope = [EvictionScope::LongIdle, EvictionScope::AnyIdle][rng.usize(0..2)];
+                        let any_idle = scope == EvictionScope::AnyIdle;
+                        let since = |handle| {
+                            model.iter().find(|entry| entry.1 == handle).map_or(0, |entry| entry.0.since)
+                        };
+                        let (no_request, resting) = (
+                            oldest(&model, Activity::NoRequestYet),
+                            oldest(&model, Activity::BetweenRequests),
+                        );
+                        let expected = no_request
+                            .filter(|&handle| now >= since(handle) + NEW_CONNECTION_GRACE_US)
+                            .or(resting.filter(|&handle| now >= since(handle) + RECENT_USE_GRACE_US))
+                            .or(no_request.filter(|_| any_idle))
+                            .or(oldest(&model, Activity::InCommand).filter(|_| any_idle));
+                        let evicted = queue.evict(now, scope);
+                        assert_eq!(evicted, expected, "seed {seed}");
+                        evicted
                     }
                     _ => {
-                        let guest = [Guest::Silent, Guest::Resting, Guest::Sending][rng.usize(0..3)];
-                        let (place, goes) = door.enter(guest, now, n);
-                        plain.push((place, n));
-                        let resting = plain.iter().filter(|(p, _)| p.guest == Guest::Resting).count();
-                        assert_eq!(goes.is_some(), resting > most, "seed {seed}");
-                        assert!(goes.is_none() || goes == oldest(&plain, Guest::Resting));
-                        goes
+                        let activity =
+                            [Activity::NoRequestYet, Activity::BetweenRequests, Activity::InCommand]
+                                [rng.usize(0..3)];
+                        let (key, evicted) = queue.insert(activity, now, n);
+                        model.push((key, n));
+                        let resting =
+                            model.iter().filter(|(key, _)| key.activity == Activity::BetweenRequests).count();
+                        assert_eq!(evicted.is_some(), resting > max_between_requests, "seed {seed}");
+                        assert!(evicted.is_none() || evicted == oldest(&model, Activity::BetweenRequests));
+                        evicted
                     }
                 };
-                plain.retain(|(_, number)| Some(*number) != gone);
+                model.retain(|(_, handle)| Some(*handle) != gone);
             }
         }
     }
 
+    /// With the address shared, a connection that may be about to send a request must not be evicted before the other
+    /// process has had time to accept the new one.
     #[test]
-    fn in_company_nobody_who_may_ask_goes_before_the_other_process_had_its_time() {
-        assert_eq!([goes(true, 0), goes(true, COMPANY - 1)], [Goes::Idle; 2]);
-        assert_eq!([goes(true, COMPANY), goes(false, 0)], [Goes::Anyone; 2]);
+    fn a_shared_address_limits_eviction_to_long_idle_connections_for_a_while() {
+        let scopes = [eviction_scope(true, 0), eviction_scope(true, SHARED_ADDRESS_GRACE_US - 1)];
+        assert_eq!(scopes, [EvictionScope::LongIdle; 2]);
+        let scopes = [eviction_scope(true, SHARED_ADDRESS_GRACE_US), eviction_scope(false, 0)];
+        assert_eq!(scopes, [EvictionScope::AnyIdle; 2]);
     }
 
     #[test]
-    fn a_step_among_a_hundred_thousand_is_quick() {
-        let mut door = Door::new(100_000);
+    fn operations_on_a_hundred_thousand_connections_are_fast() {
+        let mut queue = EvictionQueue::new(100_000);
         let start = std::time::Instant::now();
         for n in 0..100_000 {
-            let (place, _) = door.enter(Guest::Resting, n, n);
+            let (key, _) = queue.insert(Activity::BetweenRequests, n, n);
             if n % 3 == 0 {
-                door.leave(place);
+                queue.remove(key);
             }
         }
-        while door.make_room(u64::MAX, Goes::Anyone).is_some() {}
-        // A walk over all guests at each step took minutes.
+        while queue.evict(u64::MAX, EvictionScope::AnyIdle).is_some() {}
+        // With a scan of all connections in each operation this took minutes.
         assert!(start.elapsed() < std::time::Duration::from_secs(10), "{:?}", start.elapsed());
     }
 }
--- a/crates/fronts/src/idle_connections.rs
+++ b/crates/fronts/src/idle_connections.rs
@@ -1,5 +1,5 @@
-//! The client connections on which nothing is owed: a [`Door`] that sessions share, and how one of them hears that it
-//! has to go.
+//! Client connections without a pending response: an [`EvictionQueue`] that the sessions share, and the channel through
+//! which a session learns that it is evicted.
 
 use std::future::pending;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,65 +7,67 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-pub use crate::connection_limiter::Guest;
-use crate::connection_limiter::{Door, Goes, Micros, Place};
+pub use crate::connection_limiter::Activity;
+use crate::connection_limiter::{EvictionKey, EvictionQueue, EvictionScope, Micros};
 
-/// Where connections without an open request wait.
-pub struct Seats {
-    door: Mutex<Door<oneshot::Sender<()>>>,
+/// All idle connections of the process.
+pub struct IdleConnections {
+    /// A connection is told to close by dropping its sender.
+    queue: Mutex<EvictionQueue<oneshot::Sender<()>>>,
     start: Instant,
 }
 
-impl Seats {
-    /// Seats for so many who rest between requests, at most.
-    pub fn new(most_resting: usize) -> Self {
-        Seats { door: Mutex::new(Door::new(most_resting)), start: Instant::now() }
+impl IdleConnections {
+    /// Allows at most this many connections to rest between requests.
+    pub fn new(max_between_requests: usize) -> Self {
+        IdleConnections { queue: Mutex::new(EvictionQueue::new(max_between_requests)), start: Instant::now() }
     }
 
-    fn door(&self) -> MutexGuard<'_, Door<oneshot::Sender<()>>> {
-        self.door.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, EvictionQueue<oneshot::Sender<()>>> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn micros(&self, at: Instant) -> Micros {
         at.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    /// A seat, for as long as it is held. Who has to go for it sees its sender go.
-    pub fn take(self: &Arc<Self>, guest: Guest, since: Instant) -> Seat {
-        let (sender, cleared) = oneshot::channel();
-        let (place, _goes) = self.door().enter(guest, self.micros(since), sender);
-        Seat { place, cleared, seats: self.clone() }
+    /// Registers an idle connection until the returned guard is dropped. If that exceeds the maximum, another connection
+    /// is evicted.
+    pub fn register(self: &Arc<Self>, activity: Activity, since: Instant) -> IdleConnection {
+        let (sender, evicted) = oneshot::channel();
+        let (key, _evicted_sender) = self.queue().insert(activity, self.micros(since), sender);
+        IdleConnection { key, evicted, connections: self.clone() }
     }
 
-    /// Has one closed, if there is any such; it sees its sender go.
-    pub fn clear_one(&self, now: Instant, goes: Goes) -> bool {
-        self.door().make_room(self.micros(now), goes).is_some()
+    /// Evicts one connection of this scope. Returns whether there was one.
+    pub fn evict_one(&self, now: Instant, scope: EvictionScope) -> bool {
+        self.queue().evict(self.micros(now), scope).is_some()
     }
 }
 
-/// A connection's place among those that may be closed.
-pub struct Seat {
-    place: Place,
-    cleared: oneshot::Receiver<()>,
-    seats: Arc<Seats>,
+/// Keeps a connection registered as idle; dropping it removes the registration.
+pub struct IdleConnection {
+    key: EvictionKey,
+    evicted: oneshot::Receiver<()>,
+    connections: Arc<IdleConnections>,
 }
 
-impl Seat {
-    pub fn guest(&self) -> Guest {
-        self.place.guest()
+impl IdleConnection {
+    pub fn activity(&self) -> Activity {
+        self.key.activity()
     }
 
-    /// Waits until the seat has to be cleared; for ever without one.
-    pub async fn cleared(seat: &mut Option<Seat>) {
-        match seat {
-            Some(seat) => _ = (&mut seat.cleared).await,
+    /// Waits until the connection is evicted; for ever if it is not registered.
+    pub async fn evicted(registration: &mut Option<IdleConnection>) {
+        match registration {
+            Some(registration) => _ = (&mut registration.evicted).await,
             None => pending().await,
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for IdleConnection {
     fn drop(&mut self) {
-        self.seats.door().leave(self.place);
+        self.connections.queue().remove(self.key);
     }
 }
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -1,8 +1,8 @@
-//! What clients speak.
+//! Client-facing protocols and connections.
 //!
-//! A [`Protocol`] turns bytes into calls and answers into bytes, without I/O. All else is alike for every
-//! front: the [`Acceptor`] takes connections of any number of listeners and bounds them together, and a session
-//! for each connection reads, opens requests at the core, writes the answers in order and knows when to part.
+//! A [`Protocol`] parses bytes into calls and formats answers as bytes, without I/O. Everything else is common to all
+//! frontends: the [`Acceptor`] accepts connections on any number of listeners under common limits, and a session per
+//! connection reads commands, opens requests at the core, writes the answers in order and decides when to close.
 
 pub mod accept_policy;
 mod acceptor;
@@ -19,5 +19,5 @@
 mod socket;
 
 pub use acceptor::Acceptor;
-pub use protocol::{Input, Malformed, Parting, Protocol, Refusal};
+pub use protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 pub use shared::ClientLimits;
--- a/crates/fronts/src/memcache/command_rules.rs
+++ b/crates/fronts/src/memcache/command_rules.rs
@@ -1,117 +1,119 @@
-//! What a memcached command lacks: its class, tenant, wait and idempotency key, by a table. No I/O, no clock.
+//! Rules that give a memcached command what its protocol does not state: class, tenant, client timeout and idempotency
+//! key. No I/O and no clock.
 //!
-//! The first row that fits decides, so that the order of the rows is all that needs to be known.
+//! The first rule that matches applies, so only the order of the rules matters.
 
 use std::str;
 
 use lilacquay_core::{Micros, Terms};
 use xxhash_rust::xxh3::Xxh3;
 
-/// A class as the settings name it, with its index there.
+/// A class or a tenant of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NamedIndex {
-    /// Its name, as servers are told it.
+    /// Its name, as sent to servers.
     pub name: String,
     /// Its index in the settings.
     pub index: usize,
 }
 
-/// Where a widget says that a write is a repeat.
+/// Where a widget marks a write as a repeat of an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RepeatMarker {
-    /// Nowhere: a write of a keyed class counts as unsafe.
+    /// Nowhere: a write of a keyed class counts as unsafe to repeat.
     Unmarked,
-    /// Behind the last of these texts in the key; the key that goes on is what stands before it.
+    /// In the key, after the last occurrence of this text; servers get the part before it as the key.
     Suffix(String),
-    /// In the CAS field, where that is not 0.
+    /// In the CAS field, if that is not 0.
     Cas,
 }
 
-/// A row of the table.
+/// A rule: which commands it matches, and what it gives them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandRule {
-    /// The listener's name; any if there is none.
+    /// The listener's name; `None` matches any.
     pub listener: Option<String>,
-    /// The user that has logged in; any, or none, if there is none here.
+    /// The user who has logged in; `None` matches any user, and no user.
     pub user: Option<String>,
-    /// What the key begins with.
+    /// The beginning of the key.
     pub prefix: String,
     /// The class of reads.
-    pub read: Option<NamedIndex>,
+    pub read_class: Option<NamedIndex>,
     /// The class of writes.
-    pub write: Option<NamedIndex>,
+    pub write_class: Option<NamedIndex>,
     /// The tenant.
     pub tenant: Option<NamedIndex>,
     /// How long the client waits, in microseconds.
     pub client_timeout_us: Micros,
-    /// Where it marks repeats.
+    /// Where the widget marks repeats.
     pub repeats: RepeatMarker,
 }
 
-/// The rows, and what a key gets that fits none.
+/// All rules, in order, and the fallback.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CommandRules {
-    /// In order.
+    /// The rules, in the order in which they are tried.
     pub rules: Vec<CommandRule>,
-    /// For keys that fit no row; without it they are refused.
+    /// Applies if no rule matches; without it such commands are refused.
     pub fallback: Option<CommandRule>,
 }
 
 impl CommandRules {
-    /// The row for a command.
+    /// The rule that applies to a command.
     pub fn find(&self, listener: &str, user: Option<&str>, key: &str) -> Option<&CommandRule> {
-        let fits = |row: &&CommandRule| {
-            row.listener.as_deref().is_none_or(|name| name == listener)
-                && (row.user.is_none() || row.user.as_deref() == user)
-                && key.starts_with(&row.prefix)
+        let matches = |rule: &&CommandRule| {
+            rule.listener.as_deref().is_none_or(|name| name == listener)
+                && (rule.user.is_none() || rule.user.as_deref() == user)
+                && key.starts_with(&rule.prefix)
         };
-        self.rules.iter().find(fits).or(self.fallback.as_ref())
+        self.rules.iter().find(matches).or(self.fallback.as_ref())
     }
 }
 
-/// What a row makes of a command.
+/// What a rule derives from a command.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Facts<'a> {
-    /// The key that goes on.
+pub struct CommandFacts<'a> {
+    /// The key, as sent to servers.
     pub key: &'a str,
-    /// By which servers know the write's repeats.
-    pub idempotency: Option<String>,
-    /// Names and values, as the project's own protocol has them.
+    /// The key by which servers recognise repeats of a write.
+    pub idempotency_key: Option<String>,
+    /// A comma-separated list of `name=value`, in the form that the RESP2 protocol's `FACTS` argument has.
     pub text: String,
 }
 
-/// The CAS field asks for a comparison with the value kept, which no row here reads otherwise.
+/// The CAS field asks for a comparison with the stored value, which is not supported, and the rule does not use the field
+/// to mark repeats.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Compares;
+pub struct UnsupportedCas;
 
 impl CommandRule {
-    /// Reads a command by this row.
+    /// Derives the facts of a command by this rule.
     ///
     /// # Errors
-    /// If the CAS field is set and does not mark repeats here.
-    pub fn facts<'a>(
+    /// If the CAS field is set, and this rule does not use it to mark repeats.
+    pub fn command_facts<'a>(
         &self,
         user: Option<&str>,
         key: &'a str,
         cas: u64,
-        write: bool,
+        is_write: bool,
         terms: Terms,
-    ) -> Result<Facts<'a>, Compares> {
+    ) -> Result<CommandFacts<'a>, UnsupportedCas> {
         if cas != 0 && self.repeats != RepeatMarker::Cas {
-            return Err(Compares);
+            return Err(UnsupportedCas);
         }
-        let (key, mark) = match &self.repeats {
-            RepeatMarker::Suffix(text) if write => match key.rsplit_once(text.as_str()) {
-                Some((key, mark)) if !key.is_empty() && !mark.is_empty() => {
-                    (key, Some(mark.as_bytes().to_vec()))
+        let (key, marker) = match &self.repeats {
+            RepeatMarker::Suffix(text) if is_write => match key.rsplit_once(text.as_str()) {
+                Some((key, marker)) if !key.is_empty() && !marker.is_empty() => {
+                    (key, Some(marker.as_bytes().to_vec()))
                 }
                 _ => (key, None),
             },
-            RepeatMarker::Cas if cas != 0 && write => (key, Some(cas.to_be_bytes().to_vec())),
+            RepeatMarker::Cas if cas != 0 && is_write => (key, Some(cas.to_be_bytes().to_vec())),
             _ => (key, None),
         };
-        let idempotency = mark.map(|mark| idempotency(user, key, &mark));
-        let class = if write { &self.write } else { &self.read };
+        let idempotency_key = marker.map(|marker| hash_idempotency_key(user, key, &marker));
+        let class = if is_write { &self.write_class } else { &self.read_class };
         let mut text = String::new();
         for (name, value) in [("c", class), ("t", &self.tenant)] {
             if let Some(value) = value {
@@ -119,7 +121,7 @@
             }
         }
         text += &format!("d={}", self.client_timeout_us.div_ceil(1000));
-        if let Some(key) = &idempotency {
+        if let Some(key) = &idempotency_key {
             text += &format!(",k={key}");
         }
         for (name, value) in [("flags", terms.flags), ("expiry", terms.expiry)] {
@@ -127,15 +129,17 @@
                 text += &format!(",{name}={value}");
             }
         }
-        Ok(Facts { key, idempotency, text })
+        Ok(CommandFacts { key, idempotency_key, text })
     }
 }
 
-/// Guards against: two widgets that both count from 1, one of whose writes would be dropped as a repeat of the
-/// other's. What servers are told holds the user and the key too, and no comma.
-fn idempotency(user: Option<&str>, key: &str, mark: &[u8]) -> String {
+/// The idempotency key of a write with this repeat marker.
+///
+/// The hash covers the user and the key as well: with the marker alone, of two widgets that both count from 1, one's
+/// writes would be dropped as repeats of the other's. Being hexadecimal, it contains no comma.
+fn hash_idempotency_key(user: Option<&str>, key: &str, marker: &[u8]) -> String {
     let mut hash = Xxh3::new();
-    for part in [user.unwrap_or("").as_bytes(), key.as_bytes(), mark] {
+    for part in [user.unwrap_or("").as_bytes(), key.as_bytes(), marker] {
         hash.update(&(part.len() as u64).to_le_bytes());
         hash.update(part);
     }
@@ -146,14 +150,14 @@
 mod tests {
     use super::*;
 
-    fn row(prefix: &str) -> CommandRule {
+    fn rule(prefix: &str) -> CommandRule {
         let named = |name: &str, index| Some(NamedIndex { name: name.into(), index });
         CommandRule {
             listener: None,
             user: None,
             prefix: prefix.into(),
-            read: named("lookup", 0),
-            write: named("signup", 1),
+            read_class: named("lookup", 0),
+            write_class: named("signup", 1),
             tenant: None,
             client_timeout_us: 480_500,
             repeats: RepeatMarker::Unmarked,
@@ -161,61 +165,66 @@
     }
 
     #[test]
-    fn the_first_row_that_fits_decides() {
-        let rows = vec![
-            CommandRule { user: Some("ann".into()), ..row("a:") },
-            CommandRule { listener: Some("office".into()), ..row("a:") },
-            row("a:b:"),
-            row("a:"),
+    fn the_first_matching_rule_applies() {
+        let rules = vec![
+            CommandRule { user: Some("ann".into()), ..rule("a:") },
+            CommandRule { listener: Some("office".into()), ..rule("a:") },
+            rule("a:b:"),
+            rule("a:"),
         ];
-        let table = CommandRules { rules: rows.clone(), fallback: None };
-        assert_eq!(table.find("office", Some("ann"), "a:b:1"), Some(&rows[0]));
-        assert_eq!(table.find("office", Some("bob"), "a:b:1"), Some(&rows[1]));
-        assert_eq!(table.find("other", None, "a:b:1"), Some(&rows[2]));
-        assert_eq!(table.find("other", None, "a:1"), Some(&rows[3]));
-        assert_eq!(table.find("other", None, "b:1"), None);
-        let others = Some(row(""));
+        let command_rules = CommandRules { rules: rules.clone(), fallback: None };
+        assert_eq!(command_rules.find("office", Some("ann"), "a:b:1"), Some(&rules[0]));
+        assert_eq!(command_rules.find("office", Some("bob"), "a:b:1"), Some(&rules[1]));
+        assert_eq!(command_rules.find("other", None, "a:b:1"), Some(&rules[2]));
+        assert_eq!(command_rules.find("other", None, "a:1"), Some(&rules[3]));
+        assert_eq!(command_rules.find("other", None, "b:1"), None);
+        let fallback = Some(rule(""));
         assert_eq!(
-            CommandRules { rules: rows, fallback: others.clone() }.find("other", None, "b:1"),
-            others.as_ref()
+            CommandRules { rules, fallback: fallback.clone() }.find("other", None, "b:1"),
+            fallback.as_ref()
         );
     }
 
     #[test]
-    fn facts_say_what_servers_are_told() {
+    fn a_rule_derives_the_facts_that_servers_are_sent() {
         let tenant = Some(NamedIndex { name: "acme".into(), index: 0 });
-        let row = CommandRule { tenant, repeats: RepeatMarker::Suffix("#".into()), ..row("") };
-        let read = row.facts(None, "a#1", 0, false, Terms::default()).unwrap();
+        let rule = CommandRule { tenant, repeats: RepeatMarker::Suffix("#".into()), ..rule("") };
+        let read = rule.command_facts(None, "a#1", 0, false, Terms::default()).unwrap();
         assert_eq!((read.key, &*read.text), ("a#1", "c=lookup,t=acme,d=481"));
-        let write = row.facts(None, "a#1", 0, true, Terms::default()).unwrap();
-        let key = write.idempotency.clone().unwrap();
+        let write = rule.command_facts(None, "a#1", 0, true, Terms::default()).unwrap();
+        let key = write.idempotency_key.clone().unwrap();
         assert_eq!((write.key, write.text), ("a", format!("c=signup,t=acme,d=481,k={key}")));
         for unmarked in ["a", "a#", "#1"] {
-            let facts = row.facts(None, unmarked, 0, true, Terms::default()).unwrap();
-            assert_eq!((facts.key, facts.idempotency), (unmarked, None));
+            let facts = rule.command_facts(None, unmarked, 0, true, Terms::default()).unwrap();
+            assert_eq!((facts.key, facts.idempotency_key), (unmarked, None));
         }
-        assert_eq!(row.facts(None, "a", 7, true, Terms::default()), Err(Compares));
+        assert_eq!(rule.command_facts(None, "a", 7, true, Terms::default()), Err(UnsupportedCas));
         let terms = Terms { flags: 3, expiry: 60 };
-        let row = CommandRule { repeats: RepeatMarker::Unmarked, ..row };
-        let kept = row.facts(None, "a", 0, true, terms).unwrap().text;
-        assert_eq!(kept, "c=signup,t=acme,d=481,flags=3,expiry=60");
-        let bare = CommandRule { read: None, client_timeout_us: 1, ..row };
+        let rule = CommandRule { repeats: RepeatMarker::Unmarked, ..rule };
+        let facts = rule.command_facts(None, "a", 0, true, terms).unwrap().text;
+        assert_eq!(facts, "c=signup,t=acme,d=481,flags=3,expiry=60");
+        let rule = CommandRule { read_class: None, client_timeout_us: 1, ..rule };
         assert_eq!(
-            CommandRule { tenant: None, ..bare }.facts(None, "a", 0, false, Terms::default()).unwrap().text,
+            CommandRule { tenant: None, ..rule }
+                .command_facts(None, "a", 0, false, Terms::default())
+                .unwrap()
+                .text,
             "d=1"
         );
     }
 
     #[test]
-    fn a_repeat_has_the_same_key_and_nobody_elses_has() {
-        let row = CommandRule { repeats: RepeatMarker::Cas, ..row("") };
-        let key = |user, key, cas| row.facts(user, key, cas, true, Terms::default()).unwrap().idempotency;
+    fn a_repeat_has_the_same_idempotency_key_and_no_other_write_has_it() {
+        let rule = CommandRule { repeats: RepeatMarker::Cas, ..rule("") };
+        let key = |user, key, cas| {
+            rule.command_facts(user, key, cas, true, Terms::default()).unwrap().idempotency_key
+        };
         assert_eq!(key(None, "a", 0), None);
         assert_eq!(key(Some("ann"), "a", 7), key(Some("ann"), "a", 7));
         let others =
             [key(Some("bob"), "a", 7), key(None, "a", 7), key(Some("ann"), "b", 7), key(Some("ann"), "a", 8)];
         assert!(others.iter().all(|other| other.is_some() && *other != key(Some("ann"), "a", 7)));
-        // Where the user ends and the key begins is part of it.
+        // The boundary between user and key is hashed as well.
         assert_ne!(key(Some("an"), "na", 7), key(Some("ann"), "a", 7));
     }
 }
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -1,7 +1,8 @@
-//! memcached's binary protocol, toward clients.
+//! The client-facing memcached binary protocol.
 //!
-//! What a node that keeps nothing can carry is served; the rest is refused with the status for it.
-//! `docs/memcached.md` says why, opcode by opcode. What commands lack in words of the core is told by a [`CommandRules`].
+//! Commands that a node without storage can relay are served; the others are refused with the appropriate status.
+//! `docs/memcached.md` gives the reason for each opcode. What the core needs and a command does not state, such as its
+//! class and timeout, comes from [`CommandRules`].
 
 pub mod command_rules;
 pub mod users;
@@ -15,119 +16,129 @@
 use lilacquay_codec::memcache::{self, KEY_LIMIT, Opcode, Packet, Status, next_request};
 use lilacquay_core::{Answer, Call, CallError, Gauges, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
 
-use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
-use command_rules::{CommandRules, Compares};
+use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
+use command_rules::{CommandRules, UnsupportedCas};
 use users::Users;
 
-/// Logins that fail on one connection before it is closed.
-const LOGINS: u32 = 3;
-/// The one mechanism of SASL.
-const PLAIN: &[u8] = b"PLAIN";
+/// Failed logins on one connection after which it is closed.
+const MAX_FAILED_LOGINS: u32 = 3;
+/// The one supported SASL mechanism.
+const SASL_MECHANISM: &[u8] = b"PLAIN";
 
-/// What the settings and the servers behind let a front carry.
+/// Features of writes that the settings declare the servers behind this node to support.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct WriteCapabilities {
-    /// ADD, REPLACE and DELETE: who takes writes knows them.
+    /// ADD, REPLACE and DELETE: servers that take writes support them.
     pub conditions: bool,
-    /// Flags other than 0: who takes writes keeps them.
+    /// Flags other than 0: servers that take writes store them.
     pub flags: bool,
-    /// An expiry other than 0: who takes writes heeds it.
+    /// An expiry other than 0: servers that take writes honour it.
     pub expiry: bool,
 }
 
-/// A listener's side: what all its connections share.
+/// What all connections of one listener share.
 pub struct Frontend {
     /// The listener's name.
     name: String,
-    table: Arc<CommandRules>,
-    /// Who may log in; without users nobody needs to.
+    rules: Arc<CommandRules>,
+    /// The users who may log in; if `None`, no login is needed.
     users: Option<Arc<Users>>,
-    abilities: WriteCapabilities,
+    capabilities: WriteCapabilities,
     gauges: Arc<Gauges>,
-    started: Instant,
-    /// Part of all ids: no two processes give the same.
+    started_at: Instant,
+    /// Part of all request ids; differs between processes.
     nonce: u64,
-    connections: AtomicU64,
+    connection_count: AtomicU64,
 }
 
 impl Frontend {
-    /// The side of a listener of this name; `nonce` is another in each process.
+    /// Creates the state of a listener of this name; `nonce` must differ between processes.
     pub fn new(
         name: String,
-        table: Arc<CommandRules>,
+        rules: Arc<CommandRules>,
         users: Option<Arc<Users>>,
-        abilities: WriteCapabilities,
+        capabilities: WriteCapabilities,
         gauges: Arc<Gauges>,
         nonce: u64,
     ) -> Arc<Frontend> {
-        let (started, connections) = (Instant::now(), AtomicU64::new(0));
-        Arc::new(Frontend { name, table, users, abilities, gauges, started, nonce, connections })
+        let (started_at, connection_count) = (Instant::now(), AtomicU64::new(0));
+        Arc::new(Frontend { name, rules, users, capabilities, gauges, started_at, nonce, connection_count })
     }
 
-    /// A new connection's protocol.
-    pub fn connection(self: &Arc<Self>) -> Memcache {
-        let number = self.connections.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{:016x}-{number:x}", self.nonce);
-        let (user, unread) = Default::default();
-        Memcache { front: self.clone(), id, commands: 0, user, failed: 0, unread }
+    /// Creates the protocol of a new connection.
+    pub fn connection(self: &Arc<Self>) -> MemcacheProtocol {
+        let number = self.connection_count.fetch_add(1, Ordering::Relaxed);
+        let id_prefix = format!("{:016x}-{number:x}", self.nonce);
+        let (user, malformed) = Default::default();
+        MemcacheProtocol {
+            frontend: self.clone(),
+            id_prefix,
+            command_count: 0,
+            user,
+            failed_logins: 0,
+            malformed,
+        }
     }
 }
 
 /// A connection that speaks memcached's binary protocol.
-pub struct Memcache {
-    front: Arc<Frontend>,
-    /// What its requests' ids begin with.
-    id: String,
-    /// Commands so far.
-    commands: u64,
-    /// Who has logged in.
+pub struct MemcacheProtocol {
+    frontend: Arc<Frontend>,
+    /// The beginning of its requests' ids.
+    id_prefix: String,
+    /// The number of commands so far.
+    command_count: u64,
+    /// The user who has logged in.
     user: Option<String>,
-    /// Logins that have failed.
-    failed: u32,
-    /// What could not be read, with the header's opcode and opaque.
-    unread: Option<(memcache::Malformed, u8, u32)>,
+    failed_logins: u32,
+    /// Why the input is malformed, with the opcode and opaque of its header.
+    malformed: Option<(memcache::Malformed, u8, u32)>,
 }
 
-/// What is kept of a command to word its answer.
-pub struct Asked {
+/// What is kept of a command to format its answer.
+pub struct ReplyContext {
     opcode: Opcode,
     opaque: u32,
-    /// The key, where the answer has it.
+    /// The key, if the answer repeats it; empty otherwise.
     key: Bytes,
 }
 
-impl Protocol for Memcache {
-    type Reply = Asked;
-    const LONGEST: usize = WRITE_LIMIT + VALUE_LIMIT;
-    /// A run of quiet commands is one's own way to ask for many keys at once. More than these wait unread.
-    const AT_ONCE: usize = usize::MAX;
+impl Protocol for MemcacheProtocol {
+    type ReplyContext = ReplyContext;
+    const MAX_COMMAND_BYTES: usize = WRITE_LIMIT + VALUE_LIMIT;
+    /// A series of quiet commands is the protocol's own way to ask for many keys at once. Beyond the session's limit on
+    /// pending responses, further commands stay unread.
+    const MAX_OPEN_REQUESTS: usize = usize::MAX;
 
-    fn expected(&self, buffer: &[u8]) -> usize {
+    fn expected_length(&self, buffer: &[u8]) -> usize {
         memcache::expected(buffer)
     }
 
-    fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<Asked>>, Malformed> {
-        let header = |at: usize| buffer.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
-        let (opcode, opaque) = (buffer.get(1).copied(), header(12).map(u32::from_be_bytes));
-        let packet = match next_request(buffer, Self::LONGEST) {
+    fn next_command(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Option<ParsedCommand<ReplyContext>>, Malformed> {
+        let header_field = |at: usize| buffer.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
+        let (opcode, opaque) = (buffer.get(1).copied(), header_field(12).map(u32::from_be_bytes));
+        let packet = match next_request(buffer, Self::MAX_COMMAND_BYTES) {
             Ok(Some(packet)) => packet,
             Ok(None) => return Ok(None),
-            Err(why) => {
-                self.unread = Some((why, opcode.unwrap_or(0), opaque.unwrap_or(0)));
+            Err(error) => {
+                self.malformed = Some((error, opcode.unwrap_or(0), opaque.unwrap_or(0)));
                 return Err(Malformed);
             }
         };
-        self.commands += 1;
+        self.command_count += 1;
         Ok(Some(match Opcode::of(packet.opcode) {
-            Some(opcode) => self.command(opcode, &packet).unwrap_or_else(|why| refused(&packet, why)),
-            None => refused(&packet, CommandError(Status::UNKNOWN_COMMAND, "unknown command")),
+            Some(opcode) => self.command(opcode, &packet).unwrap_or_else(|error| rejected(&packet, error)),
+            None => rejected(&packet, CommandError(Status::UNKNOWN_COMMAND, "unknown command")),
         }))
     }
 
-    fn answer(&mut self, asked: Asked, answer: Answer, out: &mut BytesMut) {
-        let Asked { opcode, opaque, key } = asked;
+    fn write_answer(&mut self, context: ReplyContext, answer: Answer, out: &mut BytesMut) {
+        let ReplyContext { opcode, opaque, key } = context;
         let (verb, quiet) = verb(opcode).unwrap_or((Verb::Get, false));
-        let with = |status: Status, text: String| Packet {
+        let with_status = |status: Status, text: String| Packet {
             status: status.0,
             value: text.into(),
             ..Packet::new(opcode, opaque)
@@ -137,89 +148,100 @@
                 let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
                 Packet { extras, key, value: bytes, ..Packet::new(opcode, opaque) }
             }
-            // What is not seen of quiet commands (sections "Get" and "Set"): a miss, and a write's success.
+            // Quiet commands get no answer to a miss, nor to a write that succeeds (see the protocol's sections "Get"
+            // and "Set").
             Answer::Served(Made::Absent) if verb == Verb::Get && quiet => return,
             Answer::Served(Made::Value { .. }) if quiet => return,
             Answer::Served(Made::Value { .. }) => Packet::new(opcode, opaque),
             Answer::Served(Made::Absent) if !key.is_empty() => {
                 Packet { status: Status::KEY_NOT_FOUND.0, key, ..Packet::new(opcode, opaque) }
             }
-            Answer::Served(Made::Absent) => with(Status::KEY_NOT_FOUND, "Not found".into()),
-            Answer::Served(Made::Exists) => with(Status::KEY_EXISTS, "Data exists for key".into()),
-            Answer::Busy(0) => with(Status::BUSY, "BUSY".into()),
-            Answer::Busy(wait) => with(Status::BUSY, format!("BUSY {}", wait.div_ceil(1000))),
-            Answer::Failed | Answer::Begun(_) => with(Status::INTERNAL_ERROR, "failed".into()),
+            Answer::Served(Made::Absent) => with_status(Status::KEY_NOT_FOUND, "Not found".into()),
+            Answer::Served(Made::Exists) => with_status(Status::KEY_EXISTS, "Data exists for key".into()),
+            Answer::Busy(0) => with_status(Status::BUSY, "BUSY".into()),
+            Answer::Busy(retry_after) => {
+                with_status(Status::BUSY, format!("BUSY {}", retry_after.div_ceil(1000)))
+            }
+            Answer::Failed | Answer::Begun(_) => with_status(Status::INTERNAL_ERROR, "failed".into()),
         };
         packet.put_response(out);
     }
 
-    fn begin(&mut self, asked: Asked, length: usize, flags: u32, out: &mut BytesMut) {
-        let Asked { opcode, opaque, key } = asked;
+    fn write_value_header(&mut self, context: ReplyContext, length: usize, flags: u32, out: &mut BytesMut) {
+        let ReplyContext { opcode, opaque, key } = context;
         let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
         Packet { extras, key, ..Packet::new(opcode, opaque) }.put_response_head(length, out);
     }
 
-    fn refuse(&mut self, asked: Asked, why: Refusal, out: &mut BytesMut) {
-        let text = match why {
-            Refusal::InUse => "id in use",
-            Refusal::TooMany => "too many commands at once",
+    fn write_refusal(&mut self, context: ReplyContext, refusal: Refusal, out: &mut BytesMut) {
+        let text = match refusal {
+            Refusal::IdInUse => "id in use",
+            Refusal::TooManyRequests => "too many commands at once",
         };
-        let packet = Packet::new(asked.opcode, asked.opaque);
+        let packet = Packet::new(context.opcode, context.opaque);
         Packet { status: Status::TEMPORARY_FAILURE.0, value: text.into(), ..packet }.put_response(out);
     }
 
-    fn part(&mut self, why: Parting, out: &mut BytesMut) {
-        // To one that is silent nothing is said: it could take that for the answer to its next command.
-        let (Parting::Malformed, Some((why, opcode, opaque))) = (why, self.unread.take()) else { return };
-        match why {
-            // It speaks in lines, as RESP2 and memcached's text protocol do: told so that it can be read there.
+    fn write_close_notice(&mut self, notice: CloseNotice, out: &mut BytesMut) {
+        // A client that timed out is sent nothing: it could take that for the answer to its next command.
+        let (CloseNotice::Malformed, Some((error, opcode, opaque))) = (notice, self.malformed.take()) else {
+            return;
+        };
+        match error {
+            // The client speaks a line protocol, such as RESP2 or memcached's text protocol: answer in a form that it
+            // can read.
             memcache::Malformed::Magic(byte) if byte.is_ascii_graphic() => {
                 out.extend_from_slice(b"-ERR this port speaks memcached's binary protocol\r\n");
             }
-            why => {
-                let status = match why {
+            error => {
+                let status = match error {
                     memcache::Malformed::TooLong(_) => Status::VALUE_TOO_LARGE,
                     _ => Status::INVALID_ARGUMENTS,
                 };
-                let value = Bytes::from(why.to_string());
+                let value = Bytes::from(error.to_string());
                 Packet { opcode, opaque, status: status.0, value, ..Packet::default() }.put_response(out);
             }
         }
     }
 }
 
-impl Memcache {
-    fn command(&mut self, opcode: Opcode, packet: &Packet) -> Result<Input<Asked>, CommandError> {
+impl MemcacheProtocol {
+    fn command(
+        &mut self,
+        opcode: Opcode,
+        packet: &Packet,
+    ) -> Result<ParsedCommand<ReplyContext>, CommandError> {
         use Opcode::*;
-        let open = matches!(opcode, SaslList | SaslAuth | SaslStep | Version | Quit | QuitQ);
-        if !open && self.front.users.is_some() && self.user.is_none() {
+        let allowed_before_login = matches!(opcode, SaslList | SaslAuth | SaslStep | Version | Quit | QuitQ);
+        if !allowed_before_login && self.frontend.users.is_some() && self.user.is_none() {
             return Err(CommandError(Status::AUTHENTICATION, "log in first"));
         }
         match opcode {
             Get | GetQ | GetK | GetKQ | Set | SetQ | Add | AddQ | Replace | ReplaceQ | Delete | DeleteQ => {
                 self.call(opcode, packet)
             }
-            NoOp => said(&[answer(packet, "")]),
-            Version => said(&[answer(packet, env!("CARGO_PKG_VERSION"))]),
+            NoOp => answered(&[success(packet, "")]),
+            Version => answered(&[success(packet, env!("CARGO_PKG_VERSION"))]),
             Stat => self.stat(packet),
             Quit => {
                 let mut text = BytesMut::new();
-                answer(packet, "").put_response(&mut text);
-                Ok(Input::Quit(text))
+                success(packet, "").put_response(&mut text);
+                Ok(ParsedCommand::Quit(text))
             }
-            QuitQ => Ok(Input::Quit(BytesMut::new())),
-            SaslList if self.front.users.is_some() => said(&[answer(packet, "PLAIN")]),
-            SaslAuth if self.front.users.is_some() => self.login(packet),
-            // As memcached without SASL answers.
+            QuitQ => Ok(ParsedCommand::Quit(BytesMut::new())),
+            SaslList if self.frontend.users.is_some() => answered(&[success(packet, "PLAIN")]),
+            SaslAuth if self.frontend.users.is_some() => self.login(packet),
+            // The answer of a memcached without SASL.
             SaslList | SaslAuth | SaslStep => Err(CommandError(Status::UNKNOWN_COMMAND, "no SASL here")),
             _ => Err(CommandError(Status::NOT_SUPPORTED, "not kept by a node that stores nothing")),
         }
     }
 
-    fn call(&mut self, opcode: Opcode, packet: &Packet) -> Result<Input<Asked>, CommandError> {
+    fn call(&mut self, opcode: Opcode, packet: &Packet) -> Result<ParsedCommand<ReplyContext>, CommandError> {
         let (verb, _) = verb(opcode).ok_or(CommandError(Status::UNKNOWN_COMMAND, "unknown command"))?;
-        let (stores, write) = (matches!(verb, Verb::Set | Verb::Add | Verb::Replace), verb != Verb::Get);
-        if packet.extras.len() != if stores { 8 } else { 0 } || !stores && !packet.value.is_empty() {
+        let has_value = matches!(verb, Verb::Set | Verb::Add | Verb::Replace);
+        let is_write = verb != Verb::Get;
+        if packet.extras.len() != if has_value { 8 } else { 0 } || !has_value && !packet.value.is_empty() {
             return Err(CommandError(Status::INVALID_ARGUMENTS, "wrong extras or value"));
         }
         if packet.key.is_empty() || packet.key.len() > KEY_LIMIT {
@@ -229,90 +251,91 @@
             .map_err(|_| CommandError(Status::INVALID_ARGUMENTS, "a key is UTF-8"))?;
         let terms = self.terms(verb, &packet.extras)?;
         let user = self.user.as_deref();
-        let row = self
-            .front
-            .table
-            .find(&self.front.name, user, key)
+        let rule = self
+            .frontend
+            .rules
+            .find(&self.frontend.name, user, key)
             .ok_or(CommandError(Status::INVALID_ARGUMENTS, "no row of the table fits this key"))?;
-        let facts = row.facts(user, key, packet.cas, write, terms)?;
-        let id = format!("{}-{:x}-{:08x}", self.id, self.commands, packet.opaque);
-        let value = stores.then(|| packet.value.clone());
-        let class = if write { &row.write } else { &row.read };
+        let facts = rule.command_facts(user, key, packet.cas, is_write, terms)?;
+        let id = format!("{}-{:x}-{:08x}", self.id_prefix, self.command_count, packet.opaque);
+        let value = has_value.then(|| packet.value.clone());
+        let class = if is_write { &rule.write_class } else { &rule.read_class };
         let mut call =
-            Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, row.client_timeout_us)?;
+            Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, rule.client_timeout_us)?;
         call.class = class.as_ref().map(|class| class.index);
-        call.tenant = row.tenant.as_ref().map(|tenant| tenant.index);
-        call.idempotency = facts.idempotency.map(Bytes::from);
+        call.tenant = rule.tenant.as_ref().map(|tenant| tenant.index);
+        call.idempotency = facts.idempotency_key.map(Bytes::from);
         (call.verb, call.terms) = (verb, terms);
         let key = match opcode {
             Opcode::GetK | Opcode::GetKQ => Bytes::copy_from_slice(&packet.key),
             _ => Bytes::new(),
         };
-        Ok(Input::Call(Box::new(call), Asked { opcode, opaque: packet.opaque, key }))
+        Ok(ParsedCommand::Call(Box::new(call), ReplyContext { opcode, opaque: packet.opaque, key }))
     }
 
-    /// How a value is to be stored, if that can be kept.
+    /// The flags and expiry of a write; an error if the servers do not support what the command asks for.
     fn terms(&self, verb: Verb, extras: &[u8]) -> Result<Terms, CommandError> {
-        let able = self.front.abilities;
-        if matches!(verb, Verb::Add | Verb::Replace | Verb::Delete) && !able.conditions {
+        let capabilities = self.frontend.capabilities;
+        if matches!(verb, Verb::Add | Verb::Replace | Verb::Delete) && !capabilities.conditions {
             return Err(CommandError(Status::NOT_SUPPORTED, "who takes writes here knows no conditions"));
         }
-        let number = |at: usize| extras.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
-        let number = |at: usize| number(at).map_or(0, u32::from_be_bytes);
+        let field = |at: usize| extras.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
+        let number = |at: usize| field(at).map_or(0, u32::from_be_bytes);
         let terms = Terms { flags: number(0), expiry: number(4) };
-        if terms.flags != 0 && !able.flags {
+        if terms.flags != 0 && !capabilities.flags {
             return Err(CommandError(Status::NOT_SUPPORTED, "flags are not kept here; send 0"));
         }
-        if terms.expiry != 0 && !able.expiry {
+        if terms.expiry != 0 && !capabilities.expiry {
             return Err(CommandError(Status::NOT_SUPPORTED, "an expiry is not kept here; send 0"));
         }
         Ok(terms)
     }
 
-    /// What the node knows of itself, by names that memcached gives the same, or with a name of its own before.
-    fn stat(&self, packet: &Packet) -> Result<Input<Asked>, CommandError> {
+    /// Statistics of the node: under memcached's names where it has the same ones, otherwise with the prefix
+    /// `lilacquay_`.
+    fn stat(&self, packet: &Packet) -> Result<ParsedCommand<ReplyContext>, CommandError> {
         if !packet.key.is_empty() {
             return Err(CommandError(Status::KEY_NOT_FOUND, "no such group"));
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        let all = [
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+        let statistics = [
             ("pid", process::id().to_string()),
-            ("uptime", self.front.started.elapsed().as_secs().to_string()),
-            ("time", unix.to_string()),
+            ("uptime", self.frontend.started_at.elapsed().as_secs().to_string()),
+            ("time", unix_time.to_string()),
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
-            ("total_connections", self.front.connections.load(Ordering::Relaxed).to_string()),
-            ("lilacquay_requests_open", self.front.gauges.open().to_string()),
-            ("lilacquay_server_connections", self.front.gauges.connections().to_string()),
+            ("total_connections", self.frontend.connection_count.load(Ordering::Relaxed).to_string()),
+            ("lilacquay_requests_open", self.frontend.gauges.open().to_string()),
+            ("lilacquay_server_connections", self.frontend.gauges.connections().to_string()),
         ];
-        let one = |(name, value): (&str, String)| Packet {
+        let statistic_packet = |(name, value): (&str, String)| Packet {
             key: Bytes::copy_from_slice(name.as_bytes()),
-            ..answer(packet, value)
+            ..success(packet, value)
         };
-        let mut packets: Vec<Packet> = all.into_iter().map(one).collect();
-        packets.push(answer(packet, "")); // an empty one ends them
-        said(&packets)
+        let mut packets: Vec<Packet> = statistics.into_iter().map(statistic_packet).collect();
+        packets.push(success(packet, "")); // an empty packet ends the list
+        answered(&packets)
     }
 
-    fn login(&mut self, packet: &Packet) -> Result<Input<Asked>, CommandError> {
-        let users = self.front.users.as_ref().filter(|_| packet.key == PLAIN);
-        // One that fails is nobody, whoever it was before.
-        self.user = users.and_then(|users| users.check(&packet.value)).map(str::to_owned);
+    fn login(&mut self, packet: &Packet) -> Result<ParsedCommand<ReplyContext>, CommandError> {
+        let users = self.frontend.users.as_ref().filter(|_| packet.key == SASL_MECHANISM);
+        // A failed login also ends an earlier one.
+        self.user = users.and_then(|users| users.authenticate(&packet.value)).map(str::to_owned);
         if self.user.is_some() {
-            return said(&[answer(packet, "Authenticated")]);
+            return answered(&[success(packet, "Authenticated")]);
         }
-        self.failed += 1;
-        let wrong = CommandError(Status::AUTHENTICATION, "Auth failure");
-        // Guards against: passwords tried one after another at the speed of one connection.
-        if self.failed >= LOGINS {
+        self.failed_logins += 1;
+        let failure = CommandError(Status::AUTHENTICATION, "Auth failure");
+        // Slows down password guessing: without a limit, one connection could try passwords as fast as it can send.
+        if self.failed_logins >= MAX_FAILED_LOGINS {
             let mut text = BytesMut::new();
-            wrong.packet(packet).put_response(&mut text);
-            return Ok(Input::Quit(text));
+            failure.packet(packet).put_response(&mut text);
+            return Ok(ParsedCommand::Quit(text));
         }
-        Err(wrong)
+        Err(failure)
     }
 }
 
-/// What a command asks of the core, and whether it is quiet.
+/// The verb of a command at the core, and whether the command is quiet.
 fn verb(opcode: Opcode) -> Option<(Verb, bool)> {
     use Opcode::*;
     Some(match opcode {
@@ -330,38 +353,38 @@
     })
 }
 
-/// A command's good answer, with this value.
-fn answer(packet: &Packet, value: impl Into<Bytes>) -> Packet {
+/// The successful answer to a command, with this value.
+fn success(packet: &Packet, value: impl Into<Bytes>) -> Packet {
     let Packet { opcode, opaque, .. } = *packet;
     Packet { opcode, opaque, value: value.into(), ..Packet::default() }
 }
 
-/// Answers in the command's turn.
-fn said(packets: &[Packet]) -> Result<Input<Asked>, CommandError> {
+/// Answers a command without the core, in its turn.
+fn answered(packets: &[Packet]) -> Result<ParsedCommand<ReplyContext>, CommandError> {
     let mut text = BytesMut::new();
     packets.iter().for_each(|packet| packet.put_response(&mut text));
-    Ok(Input::Said { text, good: true })
+    Ok(ParsedCommand::Answered { text, valid: true })
 }
 
-/// Says why a command is not carried out, also of a quiet one: errors are seen.
-fn refused(packet: &Packet, why: CommandError) -> Input<Asked> {
+/// Answers why a command is not carried out; quiet commands get error answers too.
+fn rejected(packet: &Packet, error: CommandError) -> ParsedCommand<ReplyContext> {
     let mut text = BytesMut::new();
-    why.packet(packet).put_response(&mut text);
-    Input::Said { text, good: false }
+    error.packet(packet).put_response(&mut text);
+    ParsedCommand::Answered { text, valid: false }
 }
 
-/// Why a whole command is not carried out: the status, and a text for people.
+/// Why a complete command is not carried out: the status, and a text for people.
 #[derive(Debug)]
 struct CommandError(Status, &'static str);
 
 impl CommandError {
-    fn packet(&self, asked: &Packet) -> Packet {
-        Packet { status: self.0.0, ..answer(asked, self.1) }
+    fn packet(&self, request: &Packet) -> Packet {
+        Packet { status: self.0.0, ..success(request, self.1) }
     }
 }
 
-impl From<Compares> for CommandError {
-    fn from(_: Compares) -> Self {
+impl From<UnsupportedCas> for CommandError {
+    fn from(UnsupportedCas: UnsupportedCas) -> Self {
         CommandError(Status::NOT_SUPPORTED, "a version is not kept here; send CAS 0")
     }
 }
--- a/crates/fronts/src/protocol.rs
+++ b/crates/fronts/src/protocol.rs
@@ -1,86 +1,96 @@
-//! The interface of a protocol that clients speak.
+//! The interface that every client-facing protocol implements.
 
 use bytes::BytesMut;
 use lilacquay_core::{Answer, Call};
 
-/// One connection's side of a protocol: a state machine without I/O.
+/// One connection's protocol state machine, without I/O.
 pub trait Protocol: Send + 'static {
-    /// What is kept of a command to word its answer.
-    type Reply: Send + 'static;
+    /// What is kept of a command to format its answer.
+    type ReplyContext: Send + 'static;
 
-    /// The longest command that is read to its end, if only to say that it is too long, in bytes.
-    const LONGEST: usize;
+    /// The longest command that is read to its end, if only to answer that it is too long, in bytes.
+    const MAX_COMMAND_BYTES: usize;
 
-    /// Requests that one connection may have open; those beyond are refused. Without a bound of the protocol's own,
-    /// those beyond the answers that may be owed wait unread.
-    const AT_ONCE: usize = 64;
+    /// The most requests that one connection may have open; further ones are refused. A protocol without a limit of its
+    /// own sets `usize::MAX`: once the session's limit on pending responses is reached, further commands stay unread.
+    const MAX_OPEN_REQUESTS: usize = 64;
 
-    /// How many bytes the first command has at least, by what has come of it: no more than [`Protocol::LONGEST`] if it
-    /// can be one.
-    fn expected(&self, buffer: &[u8]) -> usize;
+    /// The least length of the first command in bytes, judged by the part that has arrived. At most
+    /// [`Protocol::MAX_COMMAND_BYTES`] for anything that can be a command.
+    fn expected_length(&self, buffer: &[u8]) -> usize;
 
-    /// Takes the first command out of the buffer, once it is whole.
+    /// Takes the first command out of the buffer, once it is complete.
     ///
     /// # Errors
-    /// If what has come can't be the beginning of a command. Nothing more is read then.
-    fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<Self::Reply>>, Malformed>;
+    /// If the bytes in the buffer cannot be the beginning of a command. Nothing more is read then.
+    fn next_command(
+        &mut self,
+        buffer: &mut BytesMut,
+    ) -> Result<Option<ParsedCommand<Self::ReplyContext>>, Malformed>;
 
-    /// Words the final answer to a call, unless it is a large value's beginning: see [`Protocol::begin`].
-    fn answer(&mut self, reply: Self::Reply, answer: Answer, out: &mut BytesMut);
+    /// Writes the final answer to a call. For a large value that is sent as it arrives, [`Protocol::write_value_header`]
+    /// is called instead.
+    fn write_answer(&mut self, context: Self::ReplyContext, answer: Answer, out: &mut BytesMut);
 
-    /// Words what stands before a large value of so many bytes, and the flags beside it: a read's answer.
-    fn begin(&mut self, reply: Self::Reply, length: usize, flags: u32, out: &mut BytesMut);
+    /// Writes what precedes a large value of `length` bytes with these flags, in the answer to a read.
+    fn write_value_header(
+        &mut self,
+        context: Self::ReplyContext,
+        length: usize,
+        flags: u32,
+        out: &mut BytesMut,
+    );
 
-    /// Words what stands behind a large value.
-    fn finish(&mut self, _out: &mut BytesMut) {}
+    /// Writes what follows a large value.
+    fn write_value_trailer(&mut self, _out: &mut BytesMut) {}
 
-    /// Words why a call was not begun.
-    fn refuse(&mut self, reply: Self::Reply, why: Refusal, out: &mut BytesMut);
+    /// Writes why a call was not started.
+    fn write_refusal(&mut self, context: Self::ReplyContext, refusal: Refusal, out: &mut BytesMut);
 
-    /// The last words before the connection closes.
-    fn part(&mut self, why: Parting, out: &mut BytesMut);
+    /// Writes the final message before the connection closes.
+    fn write_close_notice(&mut self, notice: CloseNotice, out: &mut BytesMut);
 }
 
-/// A whole command.
-pub enum Input<R> {
+/// A complete command.
+pub enum ParsedCommand<R> {
     /// A request for the core.
     Call(Box<Call>, R),
-    /// Answered here with this text, in its turn. A `good` one is a sign of an honest client.
-    Said {
-        /// What is written; nothing may be.
+    /// A command answered by the protocol itself, in its turn.
+    Answered {
+        /// The answer; may be empty.
         text: BytesMut,
-        /// Whether the command was one that the protocol knows, used as it should be.
-        good: bool,
+        /// Whether the protocol knows the command and it was used correctly, which marks a well-behaved client.
+        valid: bool,
     },
-    /// Asks whether the node takes clients; answered in its turn with one of these texts.
-    Asks {
-        /// If it does.
-        yes: BytesMut,
-        /// If it does not, or not for long.
-        no: BytesMut,
+    /// Asks whether the node serves clients; answered in its turn with one of these texts.
+    Ping {
+        /// The answer if it does.
+        in_service: BytesMut,
+        /// The answer if it does not, or will not for long.
+        leaving: BytesMut,
     },
-    /// The client asks for a close once all before it is answered and this text is written.
+    /// Asks for the connection to be closed once all earlier commands are answered and this text is written.
     Quit(BytesMut),
 }
 
-/// Not the protocol.
+/// The input violates the protocol.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Why a call was not begun.
+/// Why a call was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// A request with its id is open.
-    InUse,
+    /// Another request with its id is open.
+    IdInUse,
     /// Too many requests are open on its connection.
-    TooMany,
+    TooManyRequests,
 }
 
-/// Why a connection closes.
+/// Why the server closes a connection, as told to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Parting {
-    /// It sent what can't be read.
+pub enum CloseNotice {
+    /// The client sent malformed input.
     Malformed,
-    /// It sent no whole command for too long.
-    Silent,
+    /// The client sent no complete command in time.
+    CommandTimeout,
 }
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -1,4 +1,7 @@
-//! RESP2, as the project's protocol words it: `CACHE.GET KEY ID FACTS` and `CACHE.SET KEY ID FACTS VALUE`.
+//! The client-facing RESP2 protocol, with the commands `CACHE.GET KEY ID FACTS` and `CACHE.SET KEY ID FACTS VALUE`.
+//!
+//! `FACTS` is a comma-separated list of `name=value`: class `c`, tenant `t`, client timeout in milliseconds `d` and
+//! idempotency key `k`.
 
 use std::sync::Arc;
 use std::{fmt, str};
@@ -8,7 +11,7 @@
 use lilacquay_core::{Answer, Call, CallError, Made, Micros, VALUE_LIMIT, WRITE_LIMIT};
 use paddlefold::setup::Names;
 
-use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
+use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 
 /// A connection that speaks RESP2.
 pub struct RespProtocol {
@@ -16,41 +19,42 @@
 }
 
 impl RespProtocol {
-    /// Reads classes and tenants by these names.
+    /// Creates the protocol; commands refer to classes and tenants by these names.
     pub fn new(names: Arc<Names>) -> Self {
         RespProtocol { names }
     }
 
-    fn command(&self, parts: &[Bytes]) -> Result<Input<()>, CommandError> {
-        let Some((name, rest)) = parts.split_first() else { return Err(CommandError::Unknown) };
+    fn command(&self, parts: &[Bytes]) -> Result<ParsedCommand<()>, CommandError> {
+        let Some((name, rest)) = parts.split_first() else { return Err(CommandError::UnknownCommand) };
         let (get, set) = (name.eq_ignore_ascii_case(b"CACHE.GET"), name.eq_ignore_ascii_case(b"CACHE.SET"));
         let (key, id, facts, value) = match rest {
             [] if name.eq_ignore_ascii_case(b"PING") => {
-                let (mut yes, mut no) = (BytesMut::new(), BytesMut::new());
-                put_simple(&mut yes, "PONG");
-                put_error(&mut no, format_args!("ERR leaving"));
-                return Ok(Input::Asks { yes, no });
+                let (mut in_service, mut leaving) = (BytesMut::new(), BytesMut::new());
+                put_simple(&mut in_service, "PONG");
+                put_error(&mut leaving, format_args!("ERR leaving"));
+                return Ok(ParsedCommand::Ping { in_service, leaving });
             }
             [key, id, facts] if get => (key, id, facts, None),
             [key, id, facts, value] if set => (key, id, facts, Some(value.clone())),
-            _ if get || set => return Err(CommandError::Arguments),
-            _ => return Err(CommandError::Unknown),
+            _ if get || set => return Err(CommandError::WrongArguments),
+            _ => return Err(CommandError::UnknownCommand),
         };
-        let key = str::from_utf8(key).map_err(|_| CommandError::Arguments)?;
-        // Copied, so that they don't hold on to the whole of what was read with them.
+        let key = str::from_utf8(key).map_err(|_| CommandError::WrongArguments)?;
+        // Copied, since slices would keep the whole buffer alive that was read with them.
         let (key, [id, facts]) = (key.to_owned(), [id, facts].map(|text| Bytes::copy_from_slice(text)));
-        let wait = fact(&facts, "d").and_then(wait).ok_or(CommandError::Wait)?;
-        let mut call = Call::new(key, id, facts, value, wait)?;
-        self.read_names(&mut call)?;
-        Ok(Input::Call(Box::new(call), ()))
+        let timeout = fact(&facts, "d").and_then(parse_timeout).ok_or(CommandError::Timeout)?;
+        let mut call = Call::new(key, id, facts, value, timeout)?;
+        self.resolve_names(&mut call)?;
+        Ok(ParsedCommand::Call(Box::new(call), ()))
     }
 
-    fn read_names(&self, call: &mut Call) -> Result<(), CommandError> {
+    /// Resolves the class and the tenant in the call's facts, and takes over the idempotency key.
+    fn resolve_names(&self, call: &mut Call) -> Result<(), CommandError> {
         let facts = call.facts.clone();
-        // Guards against: requests that name a class which the settings lack, sent on to servers that turn
-        // them away. One that names none is served.
+        // A request with a class that the settings lack is refused here: servers would reject it. One without a class
+        // is served.
         if let Some(class) = fact(&facts, "c") {
-            call.class = Some(self.names.class(class).ok_or(CommandError::Class)?);
+            call.class = Some(self.names.class(class).ok_or(CommandError::UnknownClass)?);
         }
         call.tenant = fact(&facts, "t").and_then(|name| self.names.tenant(name));
         call.idempotency = fact(&facts, "k").map(|key| Bytes::copy_from_slice(key.as_bytes()));
@@ -59,76 +63,79 @@
 }
 
 impl Protocol for RespProtocol {
-    type Reply = ();
-    const LONGEST: usize = WRITE_LIMIT + VALUE_LIMIT;
+    type ReplyContext = ();
+    const MAX_COMMAND_BYTES: usize = WRITE_LIMIT + VALUE_LIMIT;
 
-    fn expected(&self, buffer: &[u8]) -> usize {
-        resp::expected(buffer, Self::LONGEST)
+    fn expected_length(&self, buffer: &[u8]) -> usize {
+        resp::expected(buffer, Self::MAX_COMMAND_BYTES)
     }
 
-    fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<()>>, Malformed> {
-        let Some(frame) = next_frame(buffer, Self::LONGEST).map_err(|_| Malformed)? else { return Ok(None) };
-        let parts = arguments(frame)?;
-        let input = self.command(&parts);
-        Ok(Some(input.unwrap_or_else(|why| said(false, |text| put_error(text, format_args!("ERR {why}"))))))
+    fn next_command(&mut self, buffer: &mut BytesMut) -> Result<Option<ParsedCommand<()>>, Malformed> {
+        let Some(frame) = next_frame(buffer, Self::MAX_COMMAND_BYTES).map_err(|_| Malformed)? else {
+            return Ok(None);
+        };
+        let parts = words(frame)?;
+        let command = self.command(&parts);
+        Ok(Some(command.unwrap_or_else(rejected)))
     }
 
-    fn answer(&mut self, (): (), answer: Answer, out: &mut BytesMut) {
+    fn write_answer(&mut self, (): (), answer: Answer, out: &mut BytesMut) {
         match answer {
             Answer::Served(Made::Value { bytes, .. }) => put_bulk(out, &bytes),
             // The origin has no such key.
             Answer::Served(Made::Absent | Made::Exists) => out.extend_from_slice(b"$-1\r\n"),
             Answer::Busy(0) => put_error(out, format_args!("BUSY")),
-            Answer::Busy(wait) => put_error(out, format_args!("BUSY {}", wait.div_ceil(1000))),
+            Answer::Busy(retry_after) => put_error(out, format_args!("BUSY {}", retry_after.div_ceil(1000))),
             Answer::Failed | Answer::Begun(_) => put_error(out, format_args!("ERR failed")),
         }
     }
 
-    fn begin(&mut self, (): (), length: usize, _flags: u32, out: &mut BytesMut) {
+    fn write_value_header(&mut self, (): (), length: usize, _flags: u32, out: &mut BytesMut) {
         put_bulk_header(out, length);
     }
 
-    fn finish(&mut self, out: &mut BytesMut) {
+    fn write_value_trailer(&mut self, out: &mut BytesMut) {
         out.extend_from_slice(b"\r\n");
     }
 
-    fn refuse(&mut self, (): (), why: Refusal, out: &mut BytesMut) {
-        let why = match why {
-            Refusal::InUse => "id in use",
-            Refusal::TooMany => "too many commands at once",
+    fn write_refusal(&mut self, (): (), refusal: Refusal, out: &mut BytesMut) {
+        let reason = match refusal {
+            Refusal::IdInUse => "id in use",
+            Refusal::TooManyRequests => "too many commands at once",
         };
-        put_error(out, format_args!("ERR {why}"));
+        put_error(out, format_args!("ERR {reason}"));
     }
 
-    fn part(&mut self, why: Parting, out: &mut BytesMut) {
-        let why = match why {
-            Parting::Malformed => "malformed command",
-            Parting::Silent => "no whole command",
+    fn write_close_notice(&mut self, notice: CloseNotice, out: &mut BytesMut) {
+        let reason = match notice {
+            CloseNotice::Malformed => "malformed command",
+            CloseNotice::CommandTimeout => "no whole command",
         };
-        put_error(out, format_args!("ERR {why}"));
+        put_error(out, format_args!("ERR {reason}"));
     }
 }
 
-fn said(good: bool, put: impl FnOnce(&mut BytesMut)) -> Input<()> {
+/// The error answer to a command that cannot be carried out.
+fn rejected(error: CommandError) -> ParsedCommand<()> {
     let mut text = BytesMut::new();
-    put(&mut text);
-    Input::Said { text, good }
+    put_error(&mut text, format_args!("ERR {error}"));
+    ParsedCommand::Answered { text, valid: false }
 }
 
-/// A value by its name.
+/// The value of this name in the list.
 fn fact<'a>(facts: &'a [u8], name: &str) -> Option<&'a str> {
     let facts = str::from_utf8(facts).ok()?;
     facts.split(',').find_map(|fact| fact.split_once('=').filter(|f| f.0 == name).map(|f| f.1))
 }
 
-/// A wait in milliseconds.
-fn wait(text: &str) -> Option<Micros> {
+/// Parses a timeout in milliseconds, which may have a fraction.
+fn parse_timeout(text: &str) -> Option<Micros> {
     let ms = text.parse::<f64>().ok().filter(|ms| ms.is_finite() && *ms >= 0.0)?;
     Some((ms * 1000.0) as Micros)
 }
 
-/// A command's words: an array of bulk strings.
-fn arguments(frame: Frame) -> Result<Vec<Bytes>, Malformed> {
+/// The words of a command, which is an array of bulk strings.
+fn words(frame: Frame) -> Result<Vec<Bytes>, Malformed> {
     let Frame::Array(parts) = frame else { return Err(Malformed) };
     let words = parts.into_iter().map(|part| match part {
         Frame::BulkString(text) => Ok(text),
@@ -137,13 +144,13 @@
     words.collect()
 }
 
-/// Why a whole command can't be carried out.
+/// Why a complete command cannot be carried out.
 #[derive(Debug)]
 enum CommandError {
-    Unknown,
-    Arguments,
-    Wait,
-    Class,
+    UnknownCommand,
+    WrongArguments,
+    Timeout,
+    UnknownClass,
     Call(CallError),
 }
 
@@ -156,10 +163,10 @@
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CommandError::Unknown => f.write_str("unknown command"),
-            CommandError::Arguments => f.write_str("wrong arguments"),
-            CommandError::Wait => f.write_str("bad or missing d"),
-            CommandError::Class => f.write_str("unknown class"),
+            CommandError::UnknownCommand => f.write_str("unknown command"),
+            CommandError::WrongArguments => f.write_str("wrong arguments"),
+            CommandError::Timeout => f.write_str("bad or missing d"),
+            CommandError::UnknownClass => f.write_str("unknown class"),
             CommandError::Call(error) => error.fmt(f),
         }
     }
--- a/crates/fronts/src/responses.rs
+++ b/crates/fronts/src/responses.rs
@@ -1,4 +1,4 @@
-//! The answers that a connection owes, in the order of its commands.
+//! The pending responses of one connection, in the order of its commands.
 
 use std::collections::VecDeque;
 use std::future::pending;
@@ -9,100 +9,99 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout};
 
-/// A large value before other answers is collected for so long; then it is passed on as it comes, since a client may not wait
-/// 2 s for the rest of what its server gives.
-const COLLECTING: Duration = Duration::from_secs(1);
-/// Meanwhile it is looked so often whether the process is about to end.
-const LOOK_FOR_END: Duration = Duration::from_millis(20);
+/// How long a large value ahead of other responses is buffered; from then on it is forwarded as it arrives. Its client may
+/// not wait 2 s for the rest of what the server has sent.
+const VALUE_BUFFERING_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often buffering checks whether the process is about to end.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An answer that is owed.
+/// A pending response.
 pub(crate) enum Response<R> {
-    /// It is known.
+    /// Its text is known.
     Ready(BytesMut),
-    /// The core owes it.
-    Waiting(Waiting<R>),
-    /// Its value comes, and other answers wait behind it.
-    Collecting(Collecting<R>),
+    /// The core has not answered yet.
+    Waiting(WaitingRequest<R>),
+    /// Its large value is arriving, and further responses wait behind it.
+    Buffering(BufferedValue<R>),
 }
 
 /// A request that waits for its answer.
-pub(crate) struct Waiting<R> {
+pub(crate) struct WaitingRequest<R> {
     pub pending: Pending,
-    /// What is kept of the command to word its answer.
-    pub reply: R,
-    /// Of a long command, which are free again when it is answered.
-    pub _places: Option<OwnedSemaphorePermit>,
+    /// What is kept of the command to format its answer.
+    pub context: R,
+    /// The buffer permits of a long command, released once it is answered.
+    pub _permits: Option<OwnedSemaphorePermit>,
 }
 
-/// A large value, as far as it has come.
+/// A large value, as far as it has arrived.
 pub(crate) struct LargeValue<R> {
-    pub reply: R,
+    pub context: R,
     pub flow: Flow,
-    /// What has come of it and was not passed on.
-    pub come: BytesMut,
+    /// The bytes that have arrived and are not forwarded yet.
+    pub buffered: BytesMut,
 }
 
-/// A large value that is collected before it is passed on.
+/// A large value that is buffered before it is forwarded.
 ///
-/// Guards against: a value that breaks in the middle and takes the answers behind it along.
-pub(crate) struct Collecting<R> {
+/// Without this, a value cut off in the middle would end the connection, and the responses behind it would be lost.
+pub(crate) struct BufferedValue<R> {
     pending: Pending,
     value: LargeValue<R>,
     until: Instant,
-    _places: OwnedSemaphorePermit,
+    _permits: OwnedSemaphorePermit,
 }
 
-impl<R> Collecting<R> {
-    /// Collects a value from now on, in these places.
-    pub fn new(pending: Pending, reply: R, flow: Flow, places: OwnedSemaphorePermit) -> Self {
-        let value = LargeValue { reply, flow, come: BytesMut::new() };
-        Collecting { pending, value, until: Instant::now() + COLLECTING, _places: places }
+impl<R> BufferedValue<R> {
+    /// Starts to buffer a value under these permits.
+    pub fn new(pending: Pending, context: R, flow: Flow, permits: OwnedSemaphorePermit) -> Self {
+        let value = LargeValue { context, flow, buffered: BytesMut::new() };
+        BufferedValue { pending, value, until: Instant::now() + VALUE_BUFFERING_TIMEOUT, _permits: permits }
     }
 
-    /// Waits until the value is to be passed on, or tells that it never will be. Cancelled between, it loses nothing.
-    async fn collect(&mut self, requests: &Requests) -> Collected {
-        let LargeValue { flow, come, .. } = &mut self.value;
-        while come.len() < flow.length() {
-            match timeout(LOOK_FOR_END, flow.next()).await {
-                Ok(Some(piece)) => come.extend_from_slice(&piece.bytes),
-                Ok(None) => return Collected::Broken,
-                // What is owed behind it has no more time than the process.
-                Err(_) if requests.are_over() => return Collected::Broken,
-                // One that has stopped breaks in its time: nothing of it is passed on then.
+    /// Waits until the value is to be forwarded or has failed. Cancel safe.
+    async fn fill(&mut self, requests: &Requests) -> BufferingResult {
+        let LargeValue { flow, buffered, .. } = &mut self.value;
+        while buffered.len() < flow.length() {
+            match timeout(SHUTDOWN_CHECK_INTERVAL, flow.next()).await {
+                Ok(Some(piece)) => buffered.extend_from_slice(&piece.bytes),
+                Ok(None) => return BufferingResult::Truncated,
+                // The responses behind it have no more time than the process has.
+                Err(_) if requests.are_over() => return BufferingResult::Truncated,
+                // A value that has stalled fails in time by itself; until then nothing of it is forwarded.
                 Err(_) => continue,
             }
             if Instant::now() >= self.until {
                 break;
             }
         }
-        Collected::PassedOn
+        BufferingResult::Forward
     }
 }
 
-/// What became of a value that is collected.
+/// How the buffering of a value ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Collected {
-    /// What has come is passed on, and the rest as it comes.
-    PassedOn,
-    /// It will not be whole.
-    Broken,
+enum BufferingResult {
+    /// The buffered bytes are forwarded, and the rest as it arrives.
+    Forward,
+    /// The value will not be complete.
+    Truncated,
 }
 
-/// An answer whose turn has come.
-pub(crate) enum Due<R> {
+/// The response whose turn has come.
+pub(crate) enum NextResponse<R> {
     Ready(BytesMut),
-    Answer(Waiting<R>, Answer),
-    /// A large value, as far as it was collected.
+    Answer(WaitingRequest<R>, Answer),
+    /// A large value, as far as it was buffered.
     Value(LargeValue<R>),
-    /// A large value that will not be whole.
-    Broken(R),
+    /// A large value that will not be complete.
+    Truncated(R),
 }
 
-/// The answers that are owed, the next one first.
+/// A queue of pending responses, the next one first.
 pub(crate) struct Responses<R>(VecDeque<Response<R>>);
 
 impl<R> Responses<R> {
-    /// None.
     pub fn new() -> Self {
         Responses(VecDeque::new())
     }
@@ -115,79 +114,80 @@
         self.0.is_empty()
     }
 
-    /// One more, behind all others.
-    pub fn push(&mut self, response: Response<R>) {
+    /// Appends a response behind all others.
+    pub fn push_back(&mut self, response: Response<R>) {
         self.0.push_back(response);
     }
 
-    /// One that is owed before all others.
-    pub fn push_first(&mut self, response: Response<R>) {
+    /// Inserts a response before all others.
+    pub fn push_front(&mut self, response: Response<R>) {
         self.0.push_front(response);
     }
 
-    /// Forgets all.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// Takes all.
-    pub fn take(&mut self) -> impl Iterator<Item = Response<R>> + use<R> {
+    /// Removes and returns all responses.
+    pub fn take_all(&mut self) -> impl Iterator<Item = Response<R>> + use<R> {
         std::mem::take(&mut self.0).into_iter()
     }
 
-    /// The requests among them.
+    /// The pending requests among the responses.
     pub fn requests(&self) -> impl Iterator<Item = &Pending> {
         self.0.iter().filter_map(|response| match response {
             Response::Ready(_) => None,
-            Response::Waiting(waiting) => Some(&waiting.pending),
-            Response::Collecting(collecting) => Some(&collecting.pending),
+            Response::Waiting(request) => Some(&request.pending),
+            Response::Buffering(value) => Some(&value.pending),
         })
     }
 
-    /// The next one, once it can be written. Cancelled between, it loses nothing.
-    pub async fn next(&mut self, requests: &Requests) -> Due<R> {
+    /// Waits for the next response that can be written. Cancel safe.
+    pub async fn next(&mut self, requests: &Requests) -> NextResponse<R> {
         let answer = match self.0.front_mut() {
             Some(Response::Ready(_)) => None,
-            Some(Response::Waiting(waiting)) => Some((&mut waiting.pending).await),
-            Some(Response::Collecting(collecting)) => match collecting.collect(requests).await {
-                Collected::PassedOn => None,
-                Collected::Broken => Some(Answer::Failed),
+            Some(Response::Waiting(request)) => Some((&mut request.pending).await),
+            Some(Response::Buffering(value)) => match value.fill(requests).await {
+                BufferingResult::Forward => None,
+                BufferingResult::Truncated => Some(Answer::Failed),
             },
             None => pending().await,
         };
         self.pop(answer)
     }
 
-    /// The next one, if it can be written now.
-    pub fn try_next(&mut self) -> Option<Due<R>> {
+    /// Returns the next response if it can be written now.
+    pub fn try_next(&mut self) -> Option<NextResponse<R>> {
         let answer = match self.0.front_mut()? {
             Response::Ready(_) => None,
-            Response::Waiting(waiting) => Some(waiting.pending.try_answer()?),
-            Response::Collecting(_) => return None,
+            Response::Waiting(request) => Some(request.pending.try_answer()?),
+            Response::Buffering(_) => return None,
         };
         Some(self.pop(answer))
     }
 
-    fn pop(&mut self, answer: Option<Answer>) -> Due<R> {
-        match (self.0.pop_front().expect("looked at before"), answer) {
-            (Response::Ready(text), _) => Due::Ready(text),
-            (Response::Waiting(waiting), answer) => Due::Answer(waiting, answer.unwrap_or(Answer::Failed)),
-            (Response::Collecting(collecting), None) => Due::Value(collecting.value),
-            (Response::Collecting(collecting), Some(_)) => Due::Broken(collecting.value.reply),
+    fn pop(&mut self, answer: Option<Answer>) -> NextResponse<R> {
+        match (self.0.pop_front().expect("the callers have checked that a response is pending"), answer) {
+            (Response::Ready(text), _) => NextResponse::Ready(text),
+            (Response::Waiting(request), answer) => {
+                NextResponse::Answer(request, answer.unwrap_or(Answer::Failed))
+            }
+            (Response::Buffering(value), None) => NextResponse::Value(value.value),
+            (Response::Buffering(value), Some(_)) => NextResponse::Truncated(value.value.context),
         }
     }
 }
 
 impl<R> Response<R> {
-    /// What is kept to word the answer, and the answer as it stands; or the text.
+    /// The context and the answer as it stands now, failed if there is none; `Err` holds a response that is text already.
     pub fn into_answer(self) -> Result<(R, Answer), BytesMut> {
         match self {
             Response::Ready(text) => Err(text),
-            Response::Waiting(mut waiting) => {
-                let answer = waiting.pending.try_answer().unwrap_or(Answer::Failed);
-                Ok((waiting.reply, answer))
+            Response::Waiting(mut request) => {
+                let answer = request.pending.try_answer().unwrap_or(Answer::Failed);
+                Ok((request.context, answer))
             }
-            Response::Collecting(collecting) => Ok((collecting.value.reply, Answer::Failed)),
+            Response::Buffering(value) => Ok((value.value.context, Answer::Failed)),
         }
     }
 }
--- a/crates/fronts/src/session.rs
+++ b/crates/fronts/src/session.rs
@@ -1,4 +1,4 @@
-//! One client's connection: reads commands, opens requests, writes the answers in the order of the commands.
+//! One client connection: reads commands, opens requests at the core and writes the answers in the order of the commands.
 
 use std::future::pending;
 use std::io;
@@ -14,89 +14,90 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
 
-use crate::close_policy::{CloseDecision, ClosePolicy, ConnectionFacts, LongCommand, given_up_at, may_read};
+use crate::close_policy::{CloseDecision, ClosePolicy, ConnectionState, LongCommand, may_read, times_out_at};
 use crate::close_reason::CloseReason;
-use crate::idle_connections::{Guest, Seat};
-use crate::protocol::{Input, Malformed, Parting, Protocol, Refusal};
-use crate::responses::{Collecting, Due, LargeValue, Response, Responses, Waiting};
-use crate::shared::{LARGE, Shared};
+use crate::idle_connections::{Activity, IdleConnection};
+use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
+use crate::responses::{BufferedValue, LargeValue, NextResponse, Response, Responses, WaitingRequest};
+use crate::shared::{BYTES_PER_PERMIT, SharedState};
 use crate::socket::{Received, read_or_wait_for_close, wait_for_close, write_all};
 
-/// Answers owed on one connection, errors among them; beyond that it is not read.
-const OWED: usize = 1024;
-/// Commands begun, and bytes of answers written, before others have their turn.
-const TURN: usize = 32;
-const WRITTEN: usize = 16 << 10;
-/// A buffer of up to this size is any connection's; larger ones are for a few at a time.
-const SMALL: usize = 8 << 10;
+/// The most pending responses on one connection, errors included; beyond that nothing more is read.
+const MAX_PENDING_RESPONSES: usize = 1024;
+/// The most commands started before other tasks get to run.
+const COMMANDS_PER_TURN: usize = 32;
+/// The most bytes of answers written before other tasks get to run.
+const ANSWER_BYTES_PER_TURN: usize = 16 << 10;
+/// Any connection may have a buffer of up to this size; larger ones need permits, of which there are few.
+const SMALL_BUFFER_BYTES: usize = 8 << 10;
 
-/// What becomes of a large value that has begun to come.
-enum Begun<R> {
-    PassedOn(LargeValue<R>),
-    Collected,
-    /// There is no room for it.
+/// How a large value that has begun to arrive is handled.
+enum LargeValueStart<R> {
+    Forward(LargeValue<R>),
+    Buffer,
+    /// There are no buffer permits for it.
     Failed,
 }
 
 pub(crate) struct Session<P: Protocol> {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     protocol: P,
     buffer: BytesMut,
-    /// The places of a buffer that is not small.
-    large: Option<OwnedSemaphorePermit>,
-    /// How many bytes the command has that is coming, as far as it is known of one that is not small.
-    expected: usize,
-    read_at: Instant,
-    /// When what was read last had come.
-    came_at: Instant,
-    owed: Responses<P::Reply>,
-    /// How many of those owed are requests.
-    open: usize,
-    /// Whether it has ever sent a command that is good.
-    heard: bool,
-    /// Whether it has ever had a request. Guards against: crowds that ask whether the node is there, and stay.
-    asked: bool,
-    /// When it came.
-    born: Instant,
+    /// The permits of a buffer that is not small.
+    buffer_permits: Option<OwnedSemaphorePermit>,
+    /// The length of the arriving command in bytes, as far as it is known; 0 while the buffer is small.
+    expected_length: usize,
+    last_read_at: Instant,
+    /// When the bytes read last arrived.
+    arrived_at: Instant,
+    responses: Responses<P::ReplyContext>,
+    /// The number of requests among the pending responses.
+    open_requests: usize,
+    /// Whether the client has ever sent a valid command.
+    has_sent_valid_command: bool,
+    /// Whether the client has ever sent a request. Many clients that only ask whether the node is in service, and stay
+    /// connected, must not count as clients that rest between requests.
+    has_sent_request: bool,
+    connected_at: Instant,
     close_policy: ClosePolicy,
-    /// Since when nothing good has come: its start, its last answer, or a command's first byte.
-    since: Instant,
-    /// Whether the buffer may hold another whole command.
-    more: bool,
-    /// When something came that can't be read: nothing more is.
-    broken: Option<Instant>,
-    /// Whether the client has asked for a close: nothing more is read.
-    quits: bool,
+    /// The last progress: the connection's start, its last answer, or the first byte of a command.
+    last_progress_at: Instant,
+    /// Whether the buffer may hold another complete command.
+    may_have_command: bool,
+    /// When malformed input arrived; nothing more is read after it.
+    malformed_at: Option<Instant>,
+    /// Whether the client has asked for the connection to be closed; nothing more is read then.
+    quit_requested: bool,
 }
 
 impl<P: Protocol> Drop for Session<P> {
-    /// One that has not run to its end takes with it what its client is owed.
+    /// Reports the requests of a session that has not run to its end as left without an answer.
     fn drop(&mut self) {
-        self.owed.requests().for_each(|pending| self.shared.requests.left_unanswered(pending));
+        self.responses.requests().for_each(|pending| self.shared.requests.left_unanswered(pending));
     }
 }
 
 impl<P: Protocol> Session<P> {
-    pub fn new(shared: Arc<Shared>, protocol: P) -> Self {
+    pub fn new(shared: Arc<SharedState>, protocol: P) -> Self {
         let now = Instant::now();
         Session {
             shared,
             protocol,
             buffer: BytesMut::new(),
-            large: None,
-            expected: 0,
-            read_at: now,
-            came_at: now,
-            owed: Responses::new(),
-            open: 0,
-            heard: false,
-            asked: false,
-            born: now,
+            buffer_permits: None,
+            expected_length: 0,
+            last_read_at: now,
+            arrived_at: now,
+            responses: Responses::new(),
+            open_requests: 0,
+            has_sent_valid_command: false,
+            has_sent_request: false,
+            connected_at: now,
             close_policy: ClosePolicy::default(),
-            since: now,
-            more: false,
-            broken: None,
-            quits: false,
+            last_progress_at: now,
+            may_have_command: false,
+            malformed_at: None,
+            quit_requested: false,
         }
     }
 
@@ -104,326 +105,361 @@
         let peer = stream.peer_addr().ok();
         let stream = Stream::new(stream);
         let reason = self.serve(&stream).await.unwrap_or_else(CloseReason::from);
-        let (owed, unread) = (self.owed.len(), self.buffer.len());
-        debug!(?peer, owed, unread, "a client's connection closes: {reason}");
-        if reason.is_clients_own() {
-            self.owed.clear(); // nobody waits for these
+        let (owed, unread) = (self.responses.len(), self.buffer.len());
+        debug!(?peer, owed, unread, "client connection closed: {reason}");
+        if reason.is_client_side() {
+            self.responses.clear(); // the client has given up these answers itself
         }
         drop(stream);
-        self.shared.left.notify_waiters();
+        self.shared.session_ended.notify_waiters();
     }
 
-    /// Serves the connection to its end; tells why it ends. An error is the client's, or [`CloseReason`] has its kind.
+    /// Serves the connection to its end and returns the reason for that. I/O errors are those of the client's socket;
+    /// [`CloseReason`] converts them.
     async fn serve(&mut self, stream: &Stream) -> io::Result<CloseReason> {
         stream.socket().set_nodelay(true)?;
         let (mut reader, mut writer) = (stream.clone(), stream.clone());
-        let (mut bearing, large) = (self.shared.bearing.clone(), self.shared.large.clone());
-        let (mut seat, mut just_answered) = (None, false);
-        // Since when something lies unread, as far as it is known.
-        let mut unread = None;
+        let (mut service_mode, buffer_permits) =
+            (self.shared.service_mode.clone(), self.shared.buffer_permits.clone());
+        let (mut idle_registration, mut just_answered) = (None, false);
+        // Since when input has been waiting to be read, as far as that is known.
+        let mut unread_since = None;
         loop {
-            let unowed = self.owed.is_empty();
-            let phase = *bearing.borrow_and_update();
-            let places = self.places();
-            let roomy = self.buffer.len() < SMALL || self.held() >= places;
-            if !roomy {
-                self.large = None; // nobody waits for places and holds some
+            let nothing_pending = self.responses.is_empty();
+            let mode = *service_mode.borrow_and_update();
+            let permits_needed = self.permits_needed();
+            let may_grow = self.buffer.len() < SMALL_BUFFER_BYTES || self.permits_held() >= permits_needed;
+            if !may_grow {
+                self.buffer_permits = None; // never hold some permits while waiting for more
             }
-            let facts = self.facts(just_answered);
-            let closing = self.close_policy.decide(phase, &facts);
-            if let CloseDecision::Close(reason) = closing {
+            let state = self.connection_state(just_answered);
+            let close_decision = self.close_policy.decide(mode, &state);
+            if let CloseDecision::Close(reason) = close_decision {
                 return writer.shutdown().await.map(|()| reason);
             }
             just_answered = false;
-            let guest = unowed.then(|| self.guest());
-            if guest != seat.as_ref().map(Seat::guest) {
-                seat = guest.map(|guest| self.shared.seats.take(guest, self.since));
+            let activity = nothing_pending.then(|| self.activity());
+            if activity != idle_registration.as_ref().map(IdleConnection::activity) {
+                idle_registration = activity
+                    .map(|activity| self.shared.idle_connections.register(activity, self.last_progress_at));
             }
-            let reading = self.may_begin() && !self.more && may_read(phase, &facts);
-            let wanted = (!roomy).then_some(places);
-            let given_up_at = given_up_at(&facts);
+            let reading = self.may_start_command() && !self.may_have_command && may_read(mode, &state);
+            let permits_wanted = (!may_grow).then_some(permits_needed);
+            let times_out_at = times_out_at(&state);
             tokio::select! {
                 biased;
-                received = read_or_wait_for_close(&mut reader, &mut self.buffer, self.expected, wanted, &large, reading, &mut unread) => {
+                received = read_or_wait_for_close(&mut reader, &mut self.buffer, self.expected_length, permits_wanted, &buffer_permits, reading, &mut unread_since) => {
                     match received? {
-                        Received::Bytes(0) => return Ok(CloseReason::ClientLeft),
-                        Received::Bytes(read) => self.received(read, &mut unread),
-                        Received::Places(held, readable) => {
-                            self.large = Some(held);
-                            unread.get_or_insert(readable);
-                            self.read_at = Instant::now(); // its time goes on from here
+                        Received::Bytes(0) => return Ok(CloseReason::ClientDisconnected),
+                        Received::Bytes(read) => self.received(read, &mut unread_since),
+                        Received::Permits(acquired, readable_since) => {
+                            self.buffer_permits = Some(acquired);
+                            unread_since.get_or_insert(readable_since);
+                            self.last_read_at = Instant::now(); // the pause limit counts from here
                         }
                     }
                 }
-                due = self.owed.next(&self.shared.requests), if !unowed => {
-                    let (text, large) = self.answers(due);
-                    // Guards against: attempts that begin for a client which has left while its answers are written.
+                response = self.responses.next(&self.shared.requests), if !nothing_pending => {
+                    let (text, large_value) = self.collect_answers(response);
+                    // Watches for a close meanwhile, so that no attempts begin for a client that has disconnected while
+                    // its answers are written.
                     tokio::select! {
                         biased;
-                        written = self.write_answers(&mut writer, text, large) => written?,
-                        seen = wait_for_close(&reader, &mut unread) => return seen.map(|()| CloseReason::ClientLeft),
+                        written = self.write_answers(&mut writer, text, large_value) => written?,
+                        closed = wait_for_close(&reader, &mut unread_since) => return closed.map(|()| CloseReason::ClientDisconnected),
                     }
-                    self.since = Instant::now();
+                    self.last_progress_at = Instant::now();
                     just_answered = true;
                 }
-                () = yield_now(), if self.more => {}
-                // Only once nothing has come: what has is read first.
-                () = yield_now(), if closing == CloseDecision::CloseIfNothingCame => {
+                () = yield_now(), if self.may_have_command => {}
+                // Placed after the read: available input is read first.
+                () = yield_now(), if close_decision == CloseDecision::CloseIfNothingToRead => {
                     return writer.shutdown().await.map(|()| CloseReason::ShuttingDown);
                 }
-                () = look_again(closing) => {}
-                Ok(()) = bearing.changed() => {}
-                () = sleep_until_some(given_up_at) => {
-                    let text = self.last_answers();
+                () = recheck_due(close_decision) => {}
+                Ok(()) = service_mode.changed() => {}
+                () = sleep_until_or_forever(times_out_at) => {
+                    let text = self.final_answers();
                     write_all(&mut writer, &text).await?;
-                    return writer.shutdown().await.map(|()| self.gave_up());
+                    return writer.shutdown().await.map(|()| self.timeout_reason());
                 }
-                () = Seat::cleared(&mut seat) => return writer.shutdown().await.map(|()| CloseReason::Evicted),
+                () = IdleConnection::evicted(&mut idle_registration) => return writer.shutdown().await.map(|()| CloseReason::Evicted),
             }
-            self.begin();
+            self.start_commands();
         }
     }
 
-    /// What is known of the connection now.
-    fn facts(&self, just_answered: bool) -> ConnectionFacts {
-        let long = (self.expected > LARGE)
-            .then_some(LongCommand { length: self.expected, has_places: self.large.is_some() });
-        ConnectionFacts {
+    /// The state of the connection for the close policy.
+    fn connection_state(&self, just_answered: bool) -> ConnectionState {
+        let long_command = (self.expected_length > BYTES_PER_PERMIT).then_some(LongCommand {
+            length: self.expected_length,
+            has_permits: self.buffer_permits.is_some(),
+        });
+        ConnectionState {
             now: Instant::now(),
-            born: self.born,
-            since: self.since,
-            read_at: self.read_at,
-            owes: !self.owed.is_empty(),
+            connected_at: self.connected_at,
+            last_progress_at: self.last_progress_at,
+            last_read_at: self.last_read_at,
+            has_pending_response: !self.responses.is_empty(),
             in_command: !self.buffer.is_empty(),
-            heard: self.heard,
-            asked: self.asked,
+            has_sent_valid_command: self.has_sent_valid_command,
+            has_sent_request: self.has_sent_request,
             just_answered,
-            malformed: self.broken,
-            quits: self.quits,
-            process_ends: self.shared.requests.are_over(),
-            long_command: long,
+            malformed_at: self.malformed_at,
+            quit_requested: self.quit_requested,
+            process_ending: self.shared.requests.are_over(),
+            long_command,
         }
     }
 
-    /// What is said to a client that is waited for no longer: nothing that was read stays without its answer.
-    fn last_answers(&mut self) -> BytesMut {
+    /// What is written to a client on a timeout: every command that was read is answered, if need be as failed.
+    fn final_answers(&mut self) -> BytesMut {
         let mut text = BytesMut::new();
-        if self.broken.is_none() {
-            self.protocol.part(Parting::Silent, &mut text);
+        if self.malformed_at.is_none() {
+            self.protocol.write_close_notice(CloseNotice::CommandTimeout, &mut text);
         }
-        for owed in self.owed.take() {
-            match owed.into_answer() {
+        for response in self.responses.take_all() {
+            match response.into_answer() {
                 Err(ready) => text.extend_from_slice(&ready),
-                Ok((reply, answer)) => self.protocol.answer(reply, answer, &mut text),
+                Ok((context, answer)) => self.protocol.write_answer(context, answer, &mut text),
             }
         }
         text
     }
 
-    /// Why a client is waited for no longer.
-    fn gave_up(&self) -> CloseReason {
-        if self.broken.is_some() { CloseReason::Malformed } else { CloseReason::NoWholeCommand }
+    /// Why a client that has timed out is disconnected.
+    fn timeout_reason(&self) -> CloseReason {
+        if self.malformed_at.is_some() { CloseReason::MalformedCommand } else { CloseReason::CommandTimeout }
     }
 
-    /// Bytes have come. Those that lay unread for a while count from when they were first seen.
-    fn received(&mut self, read: usize, unread: &mut Option<Instant>) {
-        self.read_at = Instant::now();
+    /// Records that bytes were read. Bytes that lay unread for a while count as arrived when they were first noticed.
+    fn received(&mut self, read: usize, unread_since: &mut Option<Instant>) {
+        self.last_read_at = Instant::now();
         stall::mark(None);
-        self.came_at = unread.unwrap_or(stall::arrival(self.read_at));
+        self.arrived_at = unread_since.unwrap_or(stall::arrival(self.last_read_at));
         if self.buffer.len() < self.buffer.capacity() {
-            *unread = None; // there was room for more, and no more
+            *unread_since = None; // the read left spare capacity, so nothing is left to read
         }
-        if self.heard && read == self.buffer.len() {
-            self.since = self.read_at; // a command's first byte
+        if self.has_sent_valid_command && read == self.buffer.len() {
+            self.last_progress_at = self.last_read_at; // the first byte of a command
         }
     }
 
-    /// Writes answers, and the large value behind them as it comes.
+    /// Writes answers, then the large value behind them as it arrives.
     async fn write_answers(
         &mut self,
         writer: &mut Stream,
         mut text: BytesMut,
-        large: Option<LargeValue<P::Reply>>,
+        large_value: Option<LargeValue<P::ReplyContext>>,
     ) -> io::Result<()> {
-        let Some(LargeValue { reply, flow, come }) = large else { return write_all(writer, &text).await };
-        self.protocol.begin(reply, flow.length(), flow.flags(), &mut text);
+        let Some(LargeValue { context, flow, buffered }) = large_value else {
+            return write_all(writer, &text).await;
+        };
+        self.protocol.write_value_header(context, flow.length(), flow.flags(), &mut text);
         write_all(writer, &text).await?;
-        write_all(writer, &come).await?;
-        self.pass_on(writer, flow, come.len()).await
+        write_all(writer, &buffered).await?;
+        self.forward_value(writer, flow, buffered.len()).await
     }
 
-    /// How many places the command needs that is coming.
-    fn places(&mut self) -> u32 {
-        self.expected = match self.buffer.len() < SMALL {
+    /// The number of permits that the arriving command needs.
+    fn permits_needed(&mut self) -> u32 {
+        self.expected_length = match self.buffer.len() < SMALL_BUFFER_BYTES {
             true => 0,
-            false => self.protocol.expected(&self.buffer).min(P::LONGEST),
+            false => self.protocol.expected_length(&self.buffer).min(P::MAX_COMMAND_BYTES),
         };
-        let places = self.expected.max(self.buffer.len()).div_ceil(LARGE);
-        u32::try_from(places).unwrap_or(u32::MAX).clamp(1, self.shared.places)
+        let permits = self.expected_length.max(self.buffer.len()).div_ceil(BYTES_PER_PERMIT);
+        u32::try_from(permits).unwrap_or(u32::MAX).clamp(1, self.shared.total_permits)
     }
 
-    /// How many places it holds.
-    fn held(&self) -> u32 {
-        self.large.as_ref().map_or(0, |held| u32::try_from(held.num_permits()).unwrap_or(u32::MAX))
+    fn permits_held(&self) -> u32 {
+        self.buffer_permits
+            .as_ref()
+            .map_or(0, |permits| u32::try_from(permits.num_permits()).unwrap_or(u32::MAX))
     }
 
-    fn guest(&self) -> Guest {
-        match (self.buffer.is_empty(), self.asked) {
-            (false, _) => Guest::Sending,
-            (true, true) => Guest::Resting,
-            (true, false) => Guest::Silent,
+    fn activity(&self) -> Activity {
+        match (self.buffer.is_empty(), self.has_sent_request) {
+            (false, _) => Activity::InCommand,
+            (true, true) => Activity::BetweenRequests,
+            (true, false) => Activity::NoRequestYet,
         }
     }
 
-    /// Writes a large value as it comes, from where so many bytes of it are written.
-    async fn pass_on(&mut self, writer: &mut Stream, mut flow: Flow, written: usize) -> io::Result<()> {
+    /// Writes the rest of a large value as it arrives; its first `written` bytes have been written before.
+    async fn forward_value(&mut self, writer: &mut Stream, mut flow: Flow, written: usize) -> io::Result<()> {
         let mut left = flow.length().saturating_sub(written);
         while left > 0 {
-            // Guards against: a value that is not whole and looks so. The client sees the connection end.
+            // An incomplete value must not look complete: the client sees the connection end.
             let piece = flow.next().await.ok_or(io::ErrorKind::UnexpectedEof)?;
             write_all(writer, &piece.bytes).await?;
             left = left.saturating_sub(piece.bytes.len());
         }
         let mut text = BytesMut::new();
-        self.protocol.finish(&mut text);
+        self.protocol.write_value_trailer(&mut text);
         write_all(writer, &text).await
     }
 
-    /// The text of an answer, and of those behind it that are at hand, up to the first large value.
-    fn answers(&mut self, first: Due<P::Reply>) -> (BytesMut, Option<LargeValue<P::Reply>>) {
-        let (mut text, mut due) = (BytesMut::new(), first);
+    /// The text of a response and of those available behind it, up to the first large value, which ends the text.
+    fn collect_answers(
+        &mut self,
+        first: NextResponse<P::ReplyContext>,
+    ) -> (BytesMut, Option<LargeValue<P::ReplyContext>>) {
+        let (mut text, mut response) = (BytesMut::new(), first);
         loop {
-            match due {
-                Due::Ready(ready) if text.is_empty() => text = ready,
-                Due::Ready(ready) => text.extend_from_slice(&ready),
-                Due::Answer(waiting, Answer::Begun(flow)) => match self.begun(waiting, flow, &mut text) {
-                    Begun::PassedOn(large) => return (text, Some(large)),
-                    Begun::Collected => return (text, None),
-                    Begun::Failed => {}
-                },
-                Due::Answer(waiting, answer) => self.answer(waiting.reply, answer, &mut text),
-                Due::Broken(reply) => self.answer(reply, Answer::Failed, &mut text),
-                Due::Value(large) => {
-                    self.open -= 1;
-                    return (text, Some(large));
+            match response {
+                NextResponse::Ready(ready) if text.is_empty() => text = ready,
+                NextResponse::Ready(ready) => text.extend_from_slice(&ready),
+                NextResponse::Answer(request, Answer::Begun(flow)) => {
+                    match self.start_large_value(request, flow, &mut text) {
+                        LargeValueStart::Forward(value) => return (text, Some(value)),
+                        LargeValueStart::Buffer => return (text, None),
+                        LargeValueStart::Failed => {}
+                    }
+                }
+                NextResponse::Answer(request, answer) => {
+                    self.write_answer(request.context, answer, &mut text);
+                }
+                NextResponse::Truncated(context) => self.write_answer(context, Answer::Failed, &mut text),
+                NextResponse::Value(value) => {
+                    self.open_requests -= 1;
+                    return (text, Some(value));
                 }
             }
-            let next = (text.len() < WRITTEN).then(|| self.owed.try_next()).flatten();
+            let next = (text.len() < ANSWER_BYTES_PER_TURN).then(|| self.responses.try_next()).flatten();
             match next {
-                Some(next) => due = next,
+                Some(next) => response = next,
                 None => return (text, None),
             }
         }
     }
 
-    fn answer(&mut self, reply: P::Reply, answer: Answer, text: &mut BytesMut) {
-        self.open -= 1;
-        self.protocol.answer(reply, answer, text);
+    fn write_answer(&mut self, context: P::ReplyContext, answer: Answer, text: &mut BytesMut) {
+        self.open_requests -= 1;
+        self.protocol.write_answer(context, answer, text);
     }
 
-    /// A large value has begun to come: it is passed on, or collected where commands wait behind it.
-    fn begun(&mut self, waiting: Waiting<P::Reply>, flow: Flow, text: &mut BytesMut) -> Begun<P::Reply> {
-        let Waiting { pending, reply, .. } = waiting;
-        if self.owed.is_empty() && self.buffer.is_empty() {
-            self.open -= 1;
-            return Begun::PassedOn(LargeValue { reply, flow, come: BytesMut::new() });
+    /// Handles a large value that begins to arrive: it is forwarded, or buffered if commands wait behind it.
+    fn start_large_value(
+        &mut self,
+        request: WaitingRequest<P::ReplyContext>,
+        flow: Flow,
+        text: &mut BytesMut,
+    ) -> LargeValueStart<P::ReplyContext> {
+        let WaitingRequest { pending, context, .. } = request;
+        if self.responses.is_empty() && self.buffer.is_empty() {
+            self.open_requests -= 1;
+            return LargeValueStart::Forward(LargeValue { context, flow, buffered: BytesMut::new() });
         }
-        let places = u32::try_from(flow.length().div_ceil(LARGE)).unwrap_or(u32::MAX);
-        let Ok(places) = self.shared.large.clone().try_acquire_many_owned(places) else {
-            self.answer(reply, Answer::Failed, text);
-            return Begun::Failed;
+        let permits = u32::try_from(flow.length().div_ceil(BYTES_PER_PERMIT)).unwrap_or(u32::MAX);
+        let Ok(permits) = self.shared.buffer_permits.clone().try_acquire_many_owned(permits) else {
+            self.write_answer(context, Answer::Failed, text);
+            return LargeValueStart::Failed;
         };
-        self.owed.push_first(Response::Collecting(Collecting::new(pending, reply, flow, places)));
-        Begun::Collected
+        let value = BufferedValue::new(pending, context, flow, permits);
+        self.responses.push_front(Response::Buffering(value));
+        LargeValueStart::Buffer
     }
 
-    /// Whether another command may be begun.
-    fn may_begin(&self) -> bool {
-        let room = || self.shared.requests.have_room();
-        self.broken.is_none() && !self.quits && self.owed.len() < OWED && (self.owed.is_empty() || room())
+    /// Whether another command may be started.
+    fn may_start_command(&self) -> bool {
+        let has_room = || self.shared.requests.have_room();
+        self.malformed_at.is_none()
+            && !self.quit_requested
+            && self.responses.len() < MAX_PENDING_RESPONSES
+            && (self.responses.is_empty() || has_room())
     }
 
-    /// Begins commands that have come whole, as many as have their turn.
-    fn begin(&mut self) {
+    /// Starts the complete commands in the buffer, up to [`COMMANDS_PER_TURN`].
+    fn start_commands(&mut self) {
         let before = self.buffer.len();
-        self.more = self.begin_some();
+        self.may_have_command = self.start_some();
         if self.buffer.is_empty() {
-            self.buffer = BytesMut::new(); // what has grown goes back
+            self.buffer = BytesMut::new(); // frees a buffer that has grown
         }
-        if self.buffer.len() < SMALL {
-            self.large = None;
+        if self.buffer.len() < SMALL_BUFFER_BYTES {
+            self.buffer_permits = None;
         }
         if self.buffer.len() < before {
-            self.since = Instant::now();
+            self.last_progress_at = Instant::now();
         }
     }
 
-    /// Tells whether there may be more.
-    fn begin_some(&mut self) -> bool {
-        for _ in 0..TURN {
-            if !self.may_begin() {
+    /// Returns whether the buffer may hold further complete commands.
+    fn start_some(&mut self) -> bool {
+        for _ in 0..COMMANDS_PER_TURN {
+            if !self.may_start_command() {
                 return false;
             }
             let before = self.buffer.len();
-            let owed = match self.protocol.next(&mut self.buffer) {
+            let response = match self.protocol.next_command(&mut self.buffer) {
                 Ok(None) => return false,
-                Ok(Some(Input::Call(call, reply))) => self.request(*call, reply, before - self.buffer.len()),
-                Ok(Some(Input::Said { text, good })) => {
-                    self.heard |= good;
+                Ok(Some(ParsedCommand::Call(call, context))) => {
+                    self.open_request(*call, context, before - self.buffer.len())
+                }
+                Ok(Some(ParsedCommand::Answered { text, valid })) => {
+                    self.has_sent_valid_command |= valid;
                     Response::Ready(text)
                 }
-                Ok(Some(Input::Asks { yes, no })) => {
-                    self.heard = true;
-                    Response::Ready(if self.shared.bearing.borrow().ping_succeeds { yes } else { no })
+                Ok(Some(ParsedCommand::Ping { in_service, leaving })) => {
+                    self.has_sent_valid_command = true;
+                    let ping_succeeds = self.shared.service_mode.borrow().ping_succeeds;
+                    Response::Ready(if ping_succeeds { in_service } else { leaving })
                 }
-                Ok(Some(Input::Quit(text))) => {
-                    self.quits = true;
+                Ok(Some(ParsedCommand::Quit(text))) => {
+                    self.quit_requested = true;
                     self.buffer.clear();
                     Response::Ready(text)
                 }
                 Err(Malformed) => {
-                    self.broken = Some(Instant::now());
+                    self.malformed_at = Some(Instant::now());
                     self.buffer.clear();
                     let mut text = BytesMut::new();
-                    self.protocol.part(Parting::Malformed, &mut text);
+                    self.protocol.write_close_notice(CloseNotice::Malformed, &mut text);
                     Response::Ready(text)
                 }
             };
-            self.owed.push(owed);
+            self.responses.push_back(response);
         }
         true
     }
 
-    fn request(&mut self, call: Call, reply: P::Reply, length: usize) -> Response<P::Reply> {
+    /// Opens a request for a command of `length` bytes, or refuses it.
+    fn open_request(
+        &mut self,
+        call: Call,
+        context: P::ReplyContext,
+        length: usize,
+    ) -> Response<P::ReplyContext> {
         let class = call.class;
-        let opened = match self.open < P::AT_ONCE {
-            true => self.shared.requests.open(call, self.came_at, length).map_err(|_| Refusal::InUse),
-            false => Err(Refusal::TooMany),
+        let opened = match self.open_requests < P::MAX_OPEN_REQUESTS {
+            true => self.shared.requests.open(call, self.arrived_at, length).map_err(|_| Refusal::IdInUse),
+            false => Err(Refusal::TooManyRequests),
         };
         match opened {
             Ok(pending) => {
-                (self.open, self.asked, self.heard) = (self.open + 1, true, true);
-                let places = if length > LARGE { self.large.take() } else { None };
-                Response::Waiting(Waiting { pending, reply, _places: places })
+                self.open_requests += 1;
+                (self.has_sent_request, self.has_sent_valid_command) = (true, true);
+                let permits = if length > BYTES_PER_PERMIT { self.buffer_permits.take() } else { None };
+                Response::Waiting(WaitingRequest { pending, context, _permits: permits })
             }
-            Err(why) => {
+            Err(refusal) => {
                 self.shared.requests.not_begun(class);
                 let mut text = BytesMut::new();
-                self.protocol.refuse(reply, why, &mut text);
+                self.protocol.write_refusal(context, refusal, &mut text);
                 Response::Ready(text)
             }
         }
     }
 }
 
-/// Waits for when a connection is to be looked at again, if it is.
-async fn look_again(closing: CloseDecision) {
-    let at = if let CloseDecision::LookAgain(at) = closing { Some(at) } else { None };
-    sleep_until_some(at).await;
+/// Waits until the time at which the close decision is to be made again; for ever if there is none.
+async fn recheck_due(decision: CloseDecision) {
+    let at = if let CloseDecision::RecheckAt(at) = decision { Some(at) } else { None };
+    sleep_until_or_forever(at).await;
 }
 
-/// Sleeps until then; for ever without a time.
-async fn sleep_until_some(at: Option<Instant>) {
+/// Sleeps until `at`; for ever without it.
+async fn sleep_until_or_forever(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
         None => pending().await,
--- a/crates/fronts/src/shared.rs
+++ b/crates/fronts/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the connections of all fronts share: bounds, seats, places for long commands, the node's bearing.
+//! State that the connections of all frontends share: limits, idle connections, buffer permits and the service mode.
 
 use std::sync::Arc;
 
@@ -7,57 +7,67 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::task::TaskTracker;
 
-use crate::idle_connections::Seats;
+use crate::idle_connections::IdleConnections;
 
-/// What one place of a buffer that is not small stands for, in bytes: most commands that are not small have one.
-pub(crate) const LARGE: usize = 2 * VALUE_LIMIT;
+/// Bytes of large buffers that one permit stands for: most commands that need a large buffer need one permit.
+pub(crate) const BYTES_PER_PERMIT: usize = 2 * VALUE_LIMIT;
 
-/// How much clients may hold of a node.
+/// Limits on the resources of a node that its clients may hold.
 #[derive(Clone)]
 pub struct ClientLimits {
-    /// Connections that they may hold in any case ...
+    /// Client connections allowed in any case.
     pub connections: usize,
-    /// ... and together with those to servers.
+    /// Client connections and connections to servers together. Clients may exceed `connections` up to this total.
     pub total_connections: usize,
-    /// What the core holds.
+    /// Current usage, as reported by the core.
     pub gauges: Arc<Gauges>,
-    /// Bytes for buffers that are not small.
+    /// Bytes for large buffers.
     pub buffer_bytes: usize,
-    /// The part of these that is this process's.
+    /// This process's portion of the connection limits.
     pub portion: Portion,
 }
 
 impl ClientLimits {
-    /// How many connections from clients there may be now.
-    pub(crate) fn limit(&self) -> usize {
+    /// The number of client connections allowed now.
+    pub(crate) fn connection_limit(&self) -> usize {
         let free = self.portion.of(self.total_connections).saturating_sub(self.gauges.connections());
         self.portion.of(self.connections).max(free)
     }
 }
 
-pub(crate) struct Shared {
+pub(crate) struct SharedState {
     pub(crate) requests: Requests,
-    pub(crate) bounds: ClientLimits,
-    /// Connections on which nothing is owed.
-    pub(crate) seats: Arc<Seats>,
-    /// Told when a session has ended.
-    pub(crate) left: Notify,
-    /// Places for buffers that are not small, of [`LARGE`] bytes each ...
-    pub(crate) large: Arc<Semaphore>,
-    /// ... and how many there are.
-    pub(crate) places: u32,
-    /// What the node does now: whether it takes connections, and when those it has are closed.
-    pub(crate) bearing: watch::Receiver<ServiceMode>,
+    pub(crate) limits: ClientLimits,
+    /// Connections without pending responses, which may be evicted.
+    pub(crate) idle_connections: Arc<IdleConnections>,
+    /// Notified whenever a session has ended.
+    pub(crate) session_ended: Notify,
+    /// Permits for large buffers, of [`BYTES_PER_PERMIT`] bytes each.
+    pub(crate) buffer_permits: Arc<Semaphore>,
+    /// The total number of buffer permits.
+    pub(crate) total_permits: u32,
+    /// Whether the node accepts connections, and when it closes those it has.
+    pub(crate) service_mode: watch::Receiver<ServiceMode>,
     pub(crate) sessions: TaskTracker,
 }
 
-impl Shared {
-    pub fn new(requests: Requests, bounds: ClientLimits, bearing: watch::Receiver<ServiceMode>) -> Self {
-        let places = u32::try_from(bounds.buffer_bytes / LARGE).unwrap_or(u32::MAX).max(1);
-        let large = Arc::new(Semaphore::new(places as usize));
-        // Clients may hold a third of the descriptors: some of it stays free for their next connections.
-        let seats = Arc::new(Seats::new((bounds.connections * 3 / 4).max(1)));
-        let (left, sessions) = Default::default();
-        Shared { requests, bounds, seats, left, large, places, bearing, sessions }
+impl SharedState {
+    pub fn new(requests: Requests, limits: ClientLimits, service_mode: watch::Receiver<ServiceMode>) -> Self {
+        let total_permits = u32::try_from(limits.buffer_bytes / BYTES_PER_PERMIT).unwrap_or(u32::MAX).max(1);
+        let buffer_permits = Arc::new(Semaphore::new(total_permits as usize));
+        // Clients may hold a third of the descriptors. A quarter of that is kept free of connections that rest between
+        // requests, so that clients can open further ones.
+        let idle_connections = Arc::new(IdleConnections::new((limits.connections * 3 / 4).max(1)));
+        let (session_ended, sessions) = Default::default();
+        SharedState {
+            requests,
+            limits,
+            idle_connections,
+            session_ended,
+            buffer_permits,
+            total_permits,
+            service_mode,
+            sessions,
+        }
     }
 }
--- a/crates/fronts/src/socket.rs
+++ b/crates/fronts/src/socket.rs
@@ -1,4 +1,5 @@
-//! A client's socket: what is read of it and when, its end where nothing is read, and writes to clients that are slow.
+//! Reads and writes on a client's socket: reading under buffer permits, detecting that the client closed while nothing is
+//! read, and writing to slow clients.
 
 use std::future::poll_fn;
 use std::io;
@@ -15,23 +16,25 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use tokio_util::io::poll_read_buf;
 
-/// Room that is made for what has come, at least: most commands come whole in one read.
-const ROOM: usize = 1 << 10;
-/// A client that closes behind bytes which are not read for now is seen to have gone within this time.
-const LOOK: Duration = Duration::from_millis(25);
-/// A client that takes no byte of its answers for so long is given up ...
-const STUCK: Duration = Duration::from_secs(5);
-/// ... as is one that takes fewer than so many in a second, of any piece.
-const LEAST_RATE: usize = 512;
+/// The least capacity reserved for a read: most commands arrive complete in one read.
+const MIN_READ_CAPACITY: usize = 1 << 10;
+/// How often a socket with unread input is checked for a close by the client, which is hence noticed within this time.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// A client that reads no byte of its answers for this long is disconnected.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// A client that reads any one chunk at less than this rate is disconnected as well.
+const MIN_WRITE_BYTES_PER_SECOND: usize = 512;
 
-/// Writes to a client that takes some bytes now and then.
+/// Writes to a client that reads at least some bytes now and then.
 ///
-/// Guards against: one that takes none for long, or so few that it holds a server's connection for ever, and one that
-/// reads slowly given up like them.
+/// Fails for a client that reads nothing for [`WRITE_STALL_TIMEOUT`], or so slowly that it would hold a connection to a
+/// server for ever. A client that reads slowly but steadily is not disconnected.
 pub(crate) async fn write_all(writer: &mut Stream, mut text: &[u8]) -> io::Result<()> {
-    let last = Instant::now() + STUCK + Duration::from_secs((text.len() / LEAST_RATE) as u64);
+    let deadline = Instant::now()
+        + WRITE_STALL_TIMEOUT
+        + Duration::from_secs((text.len() / MIN_WRITE_BYTES_PER_SECOND) as u64);
     while !text.is_empty() {
-        match timeout_at(last.min(Instant::now() + STUCK), writer.write(text)).await?? {
+        match timeout_at(deadline.min(Instant::now() + WRITE_STALL_TIMEOUT), writer.write(text)).await?? {
             0 => return Err(io::ErrorKind::WriteZero.into()),
             written => text = &text[written..],
         }
@@ -39,69 +42,73 @@
     Ok(())
 }
 
-/// What has come for a session.
+/// What a session has received.
 pub(crate) enum Received {
-    /// So many bytes; none is the end.
+    /// The number of bytes read; 0 at the end of the stream.
     Bytes(usize),
-    /// Places for a command that is not small, of which more was there to be read since then.
-    Places(OwnedSemaphorePermit, Instant),
+    /// Buffer permits for a long command, and when more of it was first there to be read.
+    Permits(OwnedSemaphorePermit, Instant),
 }
 
-/// What comes next of a client's commands; while they are not read, only its end.
+/// Reads commands, or acquires the wanted buffer permits before it reads. If `may_read` is false, only waits for the
+/// client to close.
 pub(crate) async fn read_or_wait_for_close(
     reader: &mut Stream,
     buffer: &mut BytesMut,
-    expected: usize,
-    wanted: Option<u32>,
-    large: &Arc<Semaphore>,
-    reading: bool,
-    unread: &mut Option<Instant>,
+    expected_length: usize,
+    permits_wanted: Option<u32>,
+    buffer_permits: &Arc<Semaphore>,
+    may_read: bool,
+    unread_since: &mut Option<Instant>,
 ) -> io::Result<Received> {
-    if reading {
-        return read_or_reserve(reader, buffer, expected, wanted, large).await;
+    if may_read {
+        return read_or_acquire(reader, buffer, expected_length, permits_wanted, buffer_permits).await;
     }
-    wait_for_close(reader, unread).await.map(|()| Received::Bytes(0))
+    wait_for_close(reader, unread_since).await.map(|()| Received::Bytes(0))
 }
 
-/// Waits until the client closes, without reading, and notes since when something lies unread.
-pub(crate) async fn wait_for_close(stream: &Stream, unread: &mut Option<Instant>) -> io::Result<()> {
+/// Waits until the client closes, without reading, and records since when input has been unread.
+pub(crate) async fn wait_for_close(stream: &Stream, unread_since: &mut Option<Instant>) -> io::Result<()> {
     loop {
         if stream.peek(&mut [0]).await? == 0 {
             return Ok(());
         }
-        unread.get_or_insert_with(|| stall::arrival(Instant::now()));
-        // The end may stand behind what is not read.
+        unread_since.get_or_insert_with(|| stall::arrival(Instant::now()));
+        // The end of the stream may follow input that is not read yet.
         if stream.socket().ready(Interest::READABLE).await?.is_read_closed() {
             return Ok(());
         }
-        sleep(LOOK).await;
+        sleep(CLOSE_CHECK_INTERVAL).await;
     }
 }
 
-/// Reads what has come; where places are wanted first, takes those once there is more to read.
+/// Reads available input; if permits are wanted, acquires those instead, once there is more to read.
 ///
-/// Guards against: places held for what nobody sends.
-async fn read_or_reserve(
+/// Waiting for input first keeps permits from being held for a command whose rest is never sent.
+async fn read_or_acquire(
     reader: &mut Stream,
     buffer: &mut BytesMut,
-    expected: usize,
-    wanted: Option<u32>,
-    large: &Arc<Semaphore>,
+    expected_length: usize,
+    permits_wanted: Option<u32>,
+    buffer_permits: &Arc<Semaphore>,
 ) -> io::Result<Received> {
-    let Some(places) = wanted else { return receive(reader, buffer, expected).await.map(Received::Bytes) };
+    let Some(permits) = permits_wanted else {
+        return read(reader, buffer, expected_length).await.map(Received::Bytes);
+    };
     reader.peek(&mut [0]).await?;
-    let readable = stall::arrival(Instant::now());
-    let held = large.clone().acquire_many_owned(places).await.map_err(io::Error::other)?;
-    Ok(Received::Places(held, readable))
+    let readable_since = stall::arrival(Instant::now());
+    let acquired = buffer_permits.clone().acquire_many_owned(permits).await.map_err(io::Error::other)?;
+    Ok(Received::Permits(acquired, readable_since))
 }
 
-/// Reads what has come into a buffer, which takes no memory before something has.
-async fn receive(reader: &mut Stream, buffer: &mut BytesMut, expected: usize) -> io::Result<usize> {
+/// Reads available input into the buffer, which allocates nothing until there is some.
+async fn read(reader: &mut Stream, buffer: &mut BytesMut, expected_length: usize) -> io::Result<usize> {
     poll_fn(|cx| {
         ready!(reader.socket().poll_read_ready(cx))?;
-        // Of a command that is not small all that it needs, in one piece; else twice what there is.
-        let room = if expected > 0 { expected.saturating_sub(buffer.len()) } else { buffer.len() };
-        buffer.reserve(ROOM.max(room));
+        // Reserves all that a long command needs in one piece; otherwise doubles the buffer.
+        let capacity =
+            if expected_length > 0 { expected_length.saturating_sub(buffer.len()) } else { buffer.len() };
+        buffer.reserve(MIN_READ_CAPACITY.max(capacity));
         let read = poll_read_buf(Pin::new(&mut *reader), cx, buffer);
         if read.is_pending() && buffer.is_empty() {
             *buffer = BytesMut::new();
--- a/crates/fronts/tests/accept_policy.rs
+++ b/crates/fronts/tests/accept_policy.rs
@@ -1,33 +1,51 @@
-//! What follows an accept that gave no connection.
+//! The steps that follow successful and failed accepts, in service and as a listener closes.
 
 use std::time::Duration;
 
 use lilacquay_fronts::accept_policy::{AcceptFailure, AcceptPolicy, AcceptStep};
-use lilacquay_fronts::connection_limiter::Goes;
+use lilacquay_fronts::connection_limiter::EvictionScope;
 use tokio::time::Instant;
 
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn in_service_nothing_ends_a_listener_and_a_shortage_that_lasts_closes_on_anyone() {
+fn in_service_no_failure_closes_the_listener_and_a_lasting_shortage_evicts_any_idle_connection() {
     let (start, mut policy) = (Instant::now(), AcceptPolicy::default());
     let later = start + Duration::from_secs(1);
-    assert_eq!(policy.failed(AcceptFailure::OneConnection, start), AcceptStep::Again);
-    assert_eq!(policy.failed(AcceptFailure::Shortage, start), AcceptStep::MakeRoom(Goes::Idle));
-    assert_eq!(policy.failed(AcceptFailure::OneConnection, later), AcceptStep::Again);
-    assert_eq!(policy.failed(AcceptFailure::Shortage, later), AcceptStep::MakeRoom(Goes::Anyone));
-    assert_eq!(policy.accepted(later), AcceptStep::Again);
-    assert_eq!(policy.failed(AcceptFailure::Shortage, later), AcceptStep::MakeRoom(Goes::Idle));
+    assert_eq!(policy.failed(AcceptFailure::ConnectionFailed, start), AcceptStep::AcceptAgain);
+    assert_eq!(
+        policy.failed(AcceptFailure::ResourceShortage, start),
+        AcceptStep::EvictThenAccept(EvictionScope::LongIdle)
+    );
+    assert_eq!(policy.failed(AcceptFailure::ConnectionFailed, later), AcceptStep::AcceptAgain);
+    assert_eq!(
+        policy.failed(AcceptFailure::ResourceShortage, later),
+        AcceptStep::EvictThenAccept(EvictionScope::AnyIdle)
+    );
+    assert_eq!(policy.accepted(later), AcceptStep::AcceptAgain);
+    assert_eq!(
+        policy.failed(AcceptFailure::ResourceShortage, later),
+        AcceptStep::EvictThenAccept(EvictionScope::LongIdle)
+    );
 }
 
 #[test]
-fn a_listener_that_closes_passes_over_failures_until_none_waits_or_the_time_is_over() {
-    let (start, over) = (Instant::now(), Instant::now() + Duration::from_millis(100));
-    let mut policy = AcceptPolicy::closing(start);
-    assert_eq!(policy.failed(AcceptFailure::OneConnection, start), AcceptStep::Again);
-    assert_eq!(policy.failed(AcceptFailure::Shortage, start + MOMENT), AcceptStep::MakeRoom(Goes::Idle));
-    assert_eq!(policy.accepted(start + MOMENT), AcceptStep::Again);
-    assert_eq!(policy.failed(AcceptFailure::NoneWaits, start + MOMENT), AcceptStep::Close);
-    assert_eq!(policy.failed(AcceptFailure::OneConnection, over + MOMENT), AcceptStep::Close);
-    assert_eq!(policy.failed(AcceptFailure::Shortage, over + MOMENT), AcceptStep::Close);
+fn a_closing_listener_ignores_failures_until_the_backlog_is_empty_or_its_time_is_over() {
+    let (start, time_limit) = (Instant::now(), Instant::now() + Duration::from_millis(100));
+    let mut policy = AcceptPolicy::for_closing_listener(start);
+    assert_eq!(policy.failed(AcceptFailure::ConnectionFailed, start), AcceptStep::AcceptAgain);
+    assert_eq!(
+        policy.failed(AcceptFailure::ResourceShortage, start + ONE_MS),
+        AcceptStep::EvictThenAccept(EvictionScope::LongIdle)
+    );
+    assert_eq!(policy.accepted(start + ONE_MS), AcceptStep::AcceptAgain);
+    assert_eq!(policy.failed(AcceptFailure::BacklogEmpty, start + ONE_MS), AcceptStep::CloseListener);
+    assert_eq!(
+        policy.failed(AcceptFailure::ConnectionFailed, time_limit + ONE_MS),
+        AcceptStep::CloseListener
+    );
+    assert_eq!(
+        policy.failed(AcceptFailure::ResourceShortage, time_limit + ONE_MS),
+        AcceptStep::CloseListener
+    );
 }
--- a/crates/fronts/tests/close_policy.rs
+++ b/crates/fronts/tests/close_policy.rs
@@ -1,128 +1,146 @@
-//! When a client's connection is closed, read on, or waited for no longer.
+//! When a client connection is closed, when its commands are read, and when it times out.
 
 use std::time::Duration;
 
 use lilacquay_fronts::close_policy::{
-    CloseDecision, ClosePolicy, ConnectionFacts, LAST_COMMANDS, LongCommand, NEW, PARTING, PATIENCE, PAUSE,
-    given_up_at, may_read,
+    COMMAND_TIMEOUT, CloseDecision, ClosePolicy, ConnectionState, LEAVE_CLOSE_TIMEOUT, LongCommand,
+    MALFORMED_COMMAND_TIMEOUT, MAX_LONG_COMMAND_PAUSE, NEW_CONNECTION_GRACE, may_read, times_out_at,
 };
 use lilacquay_fronts::close_reason::CloseReason;
 use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use tokio::time::Instant;
 
-/// A connection that rests after a request.
-fn resting(now: Instant) -> ConnectionFacts {
-    ConnectionFacts {
+/// A connection that rests between requests.
+fn resting(now: Instant) -> ConnectionState {
+    ConnectionState {
         now,
-        born: now - Duration::from_secs(10),
-        since: now,
-        read_at: now,
-        owes: false,
+        connected_at: now - Duration::from_secs(10),
+        last_progress_at: now,
+        last_read_at: now,
+        has_pending_response: false,
         in_command: false,
-        heard: true,
-        asked: true,
+        has_sent_valid_command: true,
+        has_sent_request: true,
         just_answered: false,
-        malformed: None,
-        quits: false,
-        process_ends: false,
+        malformed_at: None,
+        quit_requested: false,
+        process_ending: false,
         long_command: None,
     }
 }
 
-fn phase(close_mode: CloseMode, accepts: bool) -> ServiceMode {
-    ServiceMode { close_mode, accepts_connections: accepts, ..ServiceMode::default() }
+fn service_mode(close_mode: CloseMode, accepts_connections: bool) -> ServiceMode {
+    ServiceMode { close_mode, accepts_connections, ..ServiceMode::default() }
 }
 
-fn decide(close_mode: CloseMode, accepts: bool, facts: ConnectionFacts) -> CloseDecision {
-    ClosePolicy::default().decide(phase(close_mode, accepts), &facts)
+fn decide(close_mode: CloseMode, accepts_connections: bool, state: ConnectionState) -> CloseDecision {
+    ClosePolicy::default().decide(service_mode(close_mode, accepts_connections), &state)
 }
 
 #[test]
-fn what_is_owed_or_half_read_is_never_closed_on() {
+fn a_connection_with_a_pending_response_or_a_partial_command_is_never_closed() {
     let now = Instant::now();
     let all = [CloseMode::KeepOpen, CloseMode::AfterAnswer, CloseMode::WhenIdle];
     for (close_mode, accepts) in
         all.into_iter().flat_map(|close_mode| [(close_mode, true), (close_mode, false)])
     {
-        let owes = ConnectionFacts {
-            owes: true,
-            quits: true,
-            process_ends: true,
-            malformed: Some(now),
+        let pending = ConnectionState {
+            has_pending_response: true,
+            quit_requested: true,
+            process_ending: true,
+            malformed_at: Some(now),
             just_answered: true,
             ..resting(now)
         };
-        assert_eq!(decide(close_mode, accepts, owes), CloseDecision::Stay);
-        let in_command = ConnectionFacts { in_command: true, just_answered: true, ..resting(now) };
-        assert_eq!(decide(close_mode, accepts, in_command), CloseDecision::Stay);
+        assert_eq!(decide(close_mode, accepts, pending), CloseDecision::KeepOpen);
+        let in_command = ConnectionState { in_command: true, just_answered: true, ..resting(now) };
+        assert_eq!(decide(close_mode, accepts, in_command), CloseDecision::KeepOpen);
     }
 }
 
 #[test]
-fn a_connection_has_its_end_once_nothing_is_owed() {
-    let facts = resting(Instant::now());
-    for (facts, reason) in [
-        (ConnectionFacts { malformed: Some(facts.now), ..facts }, CloseReason::Malformed),
-        (ConnectionFacts { quits: true, ..facts }, CloseReason::Quit),
-        (ConnectionFacts { process_ends: true, in_command: true, ..facts }, CloseReason::ProcessEnds),
+fn a_connection_is_closed_for_its_own_reasons_once_no_response_is_pending() {
+    let state = resting(Instant::now());
+    for (state, reason) in [
+        (ConnectionState { malformed_at: Some(state.now), ..state }, CloseReason::MalformedCommand),
+        (ConnectionState { quit_requested: true, ..state }, CloseReason::ClientQuit),
+        (ConnectionState { process_ending: true, in_command: true, ..state }, CloseReason::ProcessEnding),
     ] {
-        assert_eq!(decide(CloseMode::KeepOpen, true, facts), CloseDecision::Close(reason));
+        assert_eq!(decide(CloseMode::KeepOpen, true, state), CloseDecision::Close(reason));
     }
-    assert_eq!(decide(CloseMode::KeepOpen, true, facts), CloseDecision::Stay);
+    assert_eq!(decide(CloseMode::KeepOpen, true, state), CloseDecision::KeepOpen);
 }
 
 #[test]
-fn a_node_that_goes_looks_for_what_has_come_before_it_closes() {
-    let facts = resting(Instant::now());
-    let answered = ConnectionFacts { just_answered: true, ..facts };
-    assert_eq!(decide(CloseMode::AfterAnswer, false, facts), CloseDecision::Stay);
-    assert_eq!(decide(CloseMode::AfterAnswer, false, answered), CloseDecision::CloseIfNothingCame);
-    assert_eq!(decide(CloseMode::WhenIdle, false, facts), CloseDecision::CloseIfNothingCame);
-    let new = ConnectionFacts { heard: false, asked: false, born: facts.now, ..facts };
-    assert_eq!(decide(CloseMode::WhenIdle, false, new), CloseDecision::LookAgain(new.born + NEW));
+fn a_node_that_leaves_or_shuts_down_checks_for_unread_input_before_it_closes() {
+    let state = resting(Instant::now());
+    let answered = ConnectionState { just_answered: true, ..state };
+    assert_eq!(decide(CloseMode::AfterAnswer, false, state), CloseDecision::KeepOpen);
+    assert_eq!(decide(CloseMode::AfterAnswer, false, answered), CloseDecision::CloseIfNothingToRead);
+    assert_eq!(decide(CloseMode::WhenIdle, false, state), CloseDecision::CloseIfNothingToRead);
+    let new = ConnectionState {
+        has_sent_valid_command: false,
+        has_sent_request: false,
+        connected_at: state.now,
+        ..state
+    };
+    assert_eq!(
+        decide(CloseMode::WhenIdle, false, new),
+        CloseDecision::RecheckAt(new.connected_at + NEW_CONNECTION_GRACE)
+    );
 }
 
 #[test]
-fn a_client_that_always_sends_is_closed_on_by_a_node_that_runs_on_alone() {
-    for (accepts, after) in
-        [(true, CloseDecision::Close(CloseReason::ShuttingDown)), (false, CloseDecision::CloseIfNothingCame)]
-    {
-        let (mut policy, facts) = (ClosePolicy::default(), resting(Instant::now()));
+fn a_client_that_always_sends_is_disconnected_only_by_a_node_that_keeps_running() {
+    for (accepts, after) in [
+        (true, CloseDecision::Close(CloseReason::ShuttingDown)),
+        (false, CloseDecision::CloseIfNothingToRead),
+    ] {
+        let (mut policy, state) = (ClosePolicy::default(), resting(Instant::now()));
         let mut decide = |time| {
-            let facts = ConnectionFacts { now: facts.now + time, ..facts };
-            policy.decide(phase(CloseMode::WhenIdle, accepts), &facts)
+            let state = ConnectionState { now: state.now + time, ..state };
+            policy.decide(service_mode(CloseMode::WhenIdle, accepts), &state)
         };
-        assert_eq!(decide(Duration::ZERO), CloseDecision::CloseIfNothingCame);
-        assert_eq!(decide(LAST_COMMANDS - Duration::from_millis(1)), CloseDecision::CloseIfNothingCame);
-        assert_eq!(decide(LAST_COMMANDS), after);
+        assert_eq!(decide(Duration::ZERO), CloseDecision::CloseIfNothingToRead);
+        assert_eq!(
+            decide(LEAVE_CLOSE_TIMEOUT - Duration::from_millis(1)),
+            CloseDecision::CloseIfNothingToRead
+        );
+        assert_eq!(decide(LEAVE_CLOSE_TIMEOUT), after);
     }
 }
 
 #[test]
-fn a_process_that_ends_reads_behind_what_is_owed_until_its_end_and_one_that_leaves_does_not() {
-    let facts = ConnectionFacts { owes: true, ..resting(Instant::now()) };
-    assert!(may_read(phase(CloseMode::KeepOpen, true), &facts));
-    assert!(may_read(phase(CloseMode::WhenIdle, false), &facts));
-    assert!(!may_read(phase(CloseMode::WhenIdle, true), &facts));
-    assert!(may_read(phase(CloseMode::WhenIdle, true), &resting(facts.now)));
-    assert!(!may_read(phase(CloseMode::WhenIdle, false), &ConnectionFacts { process_ends: true, ..facts }));
+fn a_node_that_shuts_down_reads_behind_pending_responses_and_one_that_leaves_service_does_not() {
+    let state = ConnectionState { has_pending_response: true, ..resting(Instant::now()) };
+    assert!(may_read(service_mode(CloseMode::KeepOpen, true), &state));
+    assert!(may_read(service_mode(CloseMode::WhenIdle, false), &state));
+    assert!(!may_read(service_mode(CloseMode::WhenIdle, true), &state));
+    assert!(may_read(service_mode(CloseMode::WhenIdle, true), &resting(state.now)));
+    assert!(!may_read(
+        service_mode(CloseMode::WhenIdle, false),
+        &ConnectionState { process_ending: true, ..state }
+    ));
 }
 
 #[test]
-fn who_says_nothing_good_is_waited_for_so_long_and_a_long_command_longer() {
-    let facts = resting(Instant::now());
-    assert_eq!(given_up_at(&facts), None, "one that has been of use may rest");
-    let silent = ConnectionFacts { heard: false, ..facts };
-    let halfway = ConnectionFacts { in_command: true, ..facts };
-    assert_eq!([given_up_at(&silent), given_up_at(&halfway)], [Some(facts.since + PATIENCE); 2]);
-    let malformed = ConnectionFacts { malformed: Some(facts.now), owes: true, ..facts };
-    assert_eq!(given_up_at(&malformed), Some(facts.now + PARTING));
-    let long = |has_places, read_at| {
-        let long_command = Some(LongCommand { length: 1 << 20, has_places });
-        given_up_at(&ConnectionFacts { long_command, read_at, ..halfway })
+fn a_client_without_progress_times_out_and_a_long_command_gets_more_time() {
+    let state = resting(Instant::now());
+    assert_eq!(times_out_at(&state), None, "a client that has sent a valid command may rest");
+    let silent = ConnectionState { has_sent_valid_command: false, ..state };
+    let partial = ConnectionState { in_command: true, ..state };
+    assert_eq!(
+        [times_out_at(&silent), times_out_at(&partial)],
+        [Some(state.last_progress_at + COMMAND_TIMEOUT); 2]
+    );
+    let malformed = ConnectionState { malformed_at: Some(state.now), has_pending_response: true, ..state };
+    assert_eq!(times_out_at(&malformed), Some(state.now + MALFORMED_COMMAND_TIMEOUT));
+    let long = |has_permits, last_read_at| {
+        let long_command = Some(LongCommand { length: 1 << 20, has_permits });
+        times_out_at(&ConnectionState { long_command, last_read_at, ..partial })
     };
-    let usual = facts.since + PATIENCE;
-    assert_eq!(long(false, facts.now), Some(usual + Duration::from_secs(4)), "it waits for places");
-    assert_eq!(long(true, facts.now), Some(usual));
-    assert_eq!(long(true, usual), Some(usual + PAUSE), "it keeps coming");
+    let usual = state.last_progress_at + COMMAND_TIMEOUT;
+    assert_eq!(long(false, state.now), Some(usual + Duration::from_secs(4)), "it waits for buffer permits");
+    assert_eq!(long(true, state.now), Some(usual));
+    assert_eq!(long(true, usual), Some(usual + MAX_LONG_COMMAND_PAUSE), "it keeps arriving");
 }
