--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -1,4 +1,5 @@
-//! The interface of fronts, exercised by a second front of a few lines, over a scripted upstream.
+//! Tests the interface of client protocols with RESP2 and a minimal second protocol, over an upstream whose replies the
+//! tests choose.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,7 +12,7 @@
     Portion, Reply, State, Target, Upstream,
 };
 use lilacquay_fronts::resp::RespProtocol;
-use lilacquay_fronts::{Acceptor, ClientLimits, Input, Malformed, Parting, Protocol, Refusal};
+use lilacquay_fronts::{Acceptor, ClientLimits, CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use lilacquay_metrics::{Book, Rule, Violations};
 use paddlefold::setup::{Setup, Stated};
@@ -20,43 +21,44 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, timeout};
 
-/// Reached only by a test that fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Only a failing test waits this long.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-// ---- the second front: `KEY ID WAIT` in a line, an answer in a line ----
+// ---- a line protocol: `KEY ID TIMEOUT_MS` on a line, each answer on a line ----
 
 #[derive(Clone)]
-struct Lines;
+struct LineProtocol;
 
-impl Protocol for Lines {
-    type Reply = String;
-    const LONGEST: usize = 1024;
+impl Protocol for LineProtocol {
+    /// The request's id.
+    type ReplyContext = String;
+    const MAX_COMMAND_BYTES: usize = 1024;
 
-    fn expected(&self, _: &[u8]) -> usize {
+    fn expected_length(&self, _: &[u8]) -> usize {
         0
     }
 
-    fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<String>>, Malformed> {
+    fn next_command(&mut self, buffer: &mut BytesMut) -> Result<Option<ParsedCommand<String>>, Malformed> {
         let Some(end) = buffer.iter().position(|&b| b == b'\n') else {
-            return if buffer.len() > Self::LONGEST { Err(Malformed) } else { Ok(None) };
+            return if buffer.len() > Self::MAX_COMMAND_BYTES { Err(Malformed) } else { Ok(None) };
         };
         let line = buffer.split_to(end + 1);
         let line = std::str::from_utf8(&line).map_err(|_| Malformed)?.trim();
-        let said = |text: &str| Input::Said { text: BytesMut::from(text), good: true };
+        let answered = |text: &str| ParsedCommand::Answered { text: BytesMut::from(text), valid: true };
         Ok(Some(match line.split(' ').collect::<Vec<_>>()[..] {
-            ["quit"] => Input::Quit(BytesMut::from("bye\n")),
-            ["hello"] => said("hello\n"),
-            [key, id, wait] => {
-                let wait = wait.parse::<u64>().map_err(|_| Malformed)? * 1000;
-                let text = |text: &str| Bytes::copy_from_slice(text.as_bytes());
-                let call = Call::new(key.into(), text(id), text("c=read,d=1"), None, wait);
-                Input::Call(Box::new(call.map_err(|_| Malformed)?), id.to_owned())
+            ["quit"] => ParsedCommand::Quit(BytesMut::from("bye\n")),
+            ["hello"] => answered("hello\n"),
+            [key, id, timeout_ms] => {
+                let timeout_us = timeout_ms.parse::<u64>().map_err(|_| Malformed)? * 1000;
+                let bytes = |text: &str| Bytes::copy_from_slice(text.as_bytes());
+                let call = Call::new(key.into(), bytes(id), bytes("c=read,d=1"), None, timeout_us);
+                ParsedCommand::Call(Box::new(call.map_err(|_| Malformed)?), id.to_owned())
             }
             _ => return Err(Malformed),
         }))
     }
 
-    fn answer(&mut self, id: String, answer: Answer, out: &mut BytesMut) {
+    fn write_answer(&mut self, id: String, answer: Answer, out: &mut BytesMut) {
         let text = match answer {
             Answer::Served(Made::Value { bytes, .. }) => format!("{id}: {} bytes\n", bytes.len()),
             Answer::Served(_) => format!("{id}: nothing\n"),
@@ -66,43 +68,43 @@
         out.extend_from_slice(text.as_bytes());
     }
 
-    fn begin(&mut self, id: String, length: usize, _: u32, out: &mut BytesMut) {
+    fn write_value_header(&mut self, id: String, length: usize, _: u32, out: &mut BytesMut) {
         out.extend_from_slice(format!("{id}: {length} bytes follow\n").as_bytes());
     }
 
-    fn refuse(&mut self, id: String, why: Refusal, out: &mut BytesMut) {
-        out.extend_from_slice(format!("{id}: {why:?}\n").as_bytes());
+    fn write_refusal(&mut self, id: String, refusal: Refusal, out: &mut BytesMut) {
+        out.extend_from_slice(format!("{id}: {refusal:?}\n").as_bytes());
     }
 
-    fn part(&mut self, why: Parting, out: &mut BytesMut) {
-        out.extend_from_slice(format!("{why:?}\n").as_bytes());
+    fn write_close_notice(&mut self, notice: CloseNotice, out: &mut BytesMut) {
+        out.extend_from_slice(format!("{notice:?}\n").as_bytes());
     }
 }
 
-// ---- an upstream that asks the test ----
+// ---- an upstream that passes each call to the test and waits for its reply ----
 
 #[derive(Clone)]
-struct Scripted(mpsc::UnboundedSender<Asked>);
+struct TestUpstream(mpsc::UnboundedSender<UpstreamCall>);
 
-struct Asked {
+struct UpstreamCall {
     call: Call,
-    answer: oneshot::Sender<Reply>,
+    reply: oneshot::Sender<Reply>,
 }
 
-impl Upstream for Scripted {
-    type Connection = Scripted;
-    async fn connect(&self, _: &Target) -> io::Result<Scripted> {
+impl Upstream for TestUpstream {
+    type Connection = TestUpstream;
+    async fn connect(&self, _: &Target) -> io::Result<TestUpstream> {
         Ok(self.clone())
     }
 }
 
-impl Connection for Scripted {
+impl Connection for TestUpstream {
     fn idle_state(&self) -> IdleState {
         IdleState::Live
     }
-    async fn ask(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<Scripted>) {
-        let (answer, reply) = oneshot::channel();
-        let _ = self.0.send(Asked { call: call.clone(), answer });
+    async fn ask(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<TestUpstream>) {
+        let (sender, reply) = oneshot::channel();
+        let _ = self.0.send(UpstreamCall { call: call.clone(), reply: sender });
         (reply.await.unwrap_or(Reply::of(Outcome::Reset)), Some(self))
     }
 }
@@ -111,19 +113,19 @@
     Reply::served(Made::value(value))
 }
 
-/// A core with two fronts.
-struct Stage {
-    lines: SocketAddr,
-    resp: SocketAddr,
-    asked: mpsc::UnboundedReceiver<Asked>,
+/// A core with a listener for each of the two protocols.
+struct TestNode {
+    line_addr: SocketAddr,
+    resp_addr: SocketAddr,
+    upstream_calls: mpsc::UnboundedReceiver<UpstreamCall>,
     gauges: Arc<Gauges>,
     acceptor: Acceptor,
-    bearing: watch::Sender<ServiceMode>,
+    service_mode: watch::Sender<ServiceMode>,
     violations: Violations,
 }
 
-impl Stage {
-    async fn new(connections: usize) -> Stage {
+impl TestNode {
+    async fn new(connections: usize) -> TestNode {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":1}}"#;
         let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
@@ -138,7 +140,7 @@
             started_ms: 0.0,
         });
         let known = List { full: true, servers: vec![entry("s1"), entry("s2")] };
-        let (to, asked) = mpsc::unbounded_channel();
+        let (call_sender, upstream_calls) = mpsc::unbounded_channel();
         let book = Book::new(Vec::new());
         let violations = book.violations();
         let options = Options {
@@ -155,45 +157,46 @@
             steered: None,
             lists: None,
         };
-        let (driver, Handles { requests, members, .. }) = Driver::new(options, Scripted(to));
+        let (driver, Handles { requests, members, .. }) = Driver::new(options, TestUpstream(call_sender));
         let gauges = driver.gauges();
         let portion = Portion::default();
-        let bounds = ClientLimits {
+        let limits = ClientLimits {
             connections,
             total_connections: 0,
             gauges: gauges.clone(),
             buffer_bytes: 8 << 20,
             portion,
         };
-        let (bearing, told) = watch::channel(ServiceMode {
+        let (service_mode, mode_receiver) = watch::channel(ServiceMode {
             accepts_connections: true,
             ping_succeeds: true,
             ..ServiceMode::default()
         });
-        let acceptor = Acceptor::new(requests, bounds, told);
+        let acceptor = Acceptor::new(requests, limits, mode_receiver);
         tokio::spawn(async move {
             driver.run().await;
             drop(members);
         });
         let listen = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let (first, second) = (listen().await.unwrap(), listen().await.unwrap());
-        let (lines, resp) = (first.local_addr().unwrap(), second.local_addr().unwrap());
-        tokio::spawn(acceptor.clone().accept(first, || Lines));
-        tokio::spawn(acceptor.clone().accept(second, move || RespProtocol::new(names.clone())));
-        Stage { lines, resp, asked, gauges, acceptor, bearing, violations }
+        let (line_listener, resp_listener) = (listen().await.unwrap(), listen().await.unwrap());
+        let line_addr = line_listener.local_addr().unwrap();
+        let resp_addr = resp_listener.local_addr().unwrap();
+        tokio::spawn(acceptor.clone().accept(line_listener, || LineProtocol));
+        tokio::spawn(acceptor.clone().accept(resp_listener, move || RespProtocol::new(names.clone())));
+        TestNode { line_addr, resp_addr, upstream_calls, gauges, acceptor, service_mode, violations }
     }
 
-    async fn asked(&mut self) -> Asked {
-        timeout(PATIENCE, self.asked.recv()).await.expect("a request in time").unwrap()
+    async fn next_call(&mut self) -> UpstreamCall {
+        timeout(TEST_TIMEOUT, self.upstream_calls.recv()).await.expect("a call in time").unwrap()
     }
 
-    async fn nothing_open(&self) {
-        let none = async {
+    async fn wait_until_nothing_open(&self) {
+        let none_open = async {
             while self.gauges.open() > 0 {
                 tokio::task::yield_now().await;
             }
         };
-        timeout(PATIENCE, none).await.expect("nothing open");
+        timeout(TEST_TIMEOUT, none_open).await.expect("no open requests in time");
     }
 }
 
@@ -203,13 +206,13 @@
     async fn new(to: SocketAddr) -> Client {
         Client(BufReader::new(TcpStream::connect(to).await.unwrap()))
     }
-    async fn say(&mut self, text: impl AsRef<[u8]>) {
+    async fn send(&mut self, text: impl AsRef<[u8]>) {
         self.0.write_all(text.as_ref()).await.unwrap();
     }
-    /// The next line; empty at the end.
-    async fn hear(&mut self) -> String {
+    /// The next line; empty at the end of the stream.
+    async fn receive_line(&mut self) -> String {
         let mut line = String::new();
-        timeout(PATIENCE, self.0.read_line(&mut line)).await.expect("a line in time").unwrap();
+        timeout(TEST_TIMEOUT, self.0.read_line(&mut line)).await.expect("a line in time").unwrap();
         line.trim_end().to_owned()
     }
 }
@@ -221,165 +224,177 @@
 }
 
 #[tokio::test]
-async fn two_fronts_are_served_by_one_core_each_in_its_own_words() {
-    let mut stage = Stage::new(100).await;
-    let (mut lines, mut resp) = (Client::new(stage.lines).await, Client::new(stage.resp).await);
-    lines.say("k1 i1 60000\nhello\n").await;
-    let asked = stage.asked().await;
-    assert_eq!((&*asked.call.key, &asked.call.id[..]), ("k1", &b"i1"[..]));
-    resp.say(get("k2", "i2")).await;
-    let other = stage.asked().await;
+async fn two_protocols_are_served_by_one_core_each_in_its_own_format() {
+    let mut node = TestNode::new(100).await;
+    let (mut line_client, mut resp_client) =
+        (Client::new(node.line_addr).await, Client::new(node.resp_addr).await);
+    line_client.send("k1 i1 60000\nhello\n").await;
+    let pending_call = node.next_call().await;
+    assert_eq!((&*pending_call.call.key, &pending_call.call.id[..]), ("k1", &b"i1"[..]));
+    resp_client.send(get("k2", "i2")).await;
+    let other = node.next_call().await;
     assert_eq!(other.call.class, Some(0));
-    other.answer.send(served("value")).unwrap();
-    assert_eq!((resp.hear().await, resp.hear().await), ("$5".into(), "value".into()));
-    asked.answer.send(served("longer value")).unwrap();
-    assert_eq!(lines.hear().await, "i1: 12 bytes");
-    assert_eq!(lines.hear().await, "hello", "in the order of the commands");
-    lines.say("quit\nhello\n").await;
-    assert_eq!((lines.hear().await, lines.hear().await), ("bye".into(), String::new()));
-    stage.nothing_open().await;
+    other.reply.send(served("value")).unwrap();
+    assert_eq!(
+        (resp_client.receive_line().await, resp_client.receive_line().await),
+        ("$5".into(), "value".into())
+    );
+    pending_call.reply.send(served("longer value")).unwrap();
+    assert_eq!(line_client.receive_line().await, "i1: 12 bytes");
+    assert_eq!(line_client.receive_line().await, "hello", "in the order of the commands");
+    line_client.send("quit\nhello\n").await;
+    assert_eq!(
+        (line_client.receive_line().await, line_client.receive_line().await),
+        ("bye".into(), String::new())
+    );
+    node.wait_until_nothing_open().await;
 }
 
 #[tokio::test]
-async fn an_id_that_is_open_at_one_front_is_refused_at_the_other() {
-    let mut stage = Stage::new(100).await;
-    let (mut lines, mut resp) = (Client::new(stage.lines).await, Client::new(stage.resp).await);
-    lines.say("k same 60000\n").await;
-    let asked = stage.asked().await;
-    resp.say(get("k", "same")).await;
-    assert_eq!(resp.hear().await, "-ERR id in use");
-    asked.answer.send(served("v")).unwrap();
-    assert_eq!(lines.hear().await, "same: 1 bytes");
-    resp.say(get("k", "same")).await;
-    stage.asked().await.answer.send(served("v")).unwrap();
-    assert_eq!(resp.hear().await, "$1");
+async fn an_id_that_is_open_on_one_protocol_is_refused_on_the_other() {
+    let mut node = TestNode::new(100).await;
+    let (mut line_client, mut resp_client) =
+        (Client::new(node.line_addr).await, Client::new(node.resp_addr).await);
+    line_client.send("k same 60000\n").await;
+    let pending_call = node.next_call().await;
+    resp_client.send(get("k", "same")).await;
+    assert_eq!(resp_client.receive_line().await, "-ERR id in use");
+    pending_call.reply.send(served("v")).unwrap();
+    assert_eq!(line_client.receive_line().await, "same: 1 bytes");
+    resp_client.send(get("k", "same")).await;
+    node.next_call().await.reply.send(served("v")).unwrap();
+    assert_eq!(resp_client.receive_line().await, "$1");
 }
 
 #[tokio::test]
-async fn a_front_that_dies_leaves_nothing_open_and_late_answers_go_nowhere() {
-    let mut stage = Stage::new(100).await;
-    let mut lines = Client::new(stage.lines).await;
+async fn a_client_that_disconnects_leaves_nothing_open_and_its_attempts_are_cancelled() {
+    let mut node = TestNode::new(100).await;
+    let mut line_client = Client::new(node.line_addr).await;
     for n in 0..5 {
-        lines.say(format!("k{n} i{n} 60000\n")).await;
+        line_client.send(format!("k{n} i{n} 60000\n")).await;
     }
-    let mut asked = Vec::new();
+    let mut pending_calls = Vec::new();
     for _ in 0..5 {
-        asked.push(stage.asked().await);
+        pending_calls.push(node.next_call().await);
     }
-    assert_eq!(stage.gauges.open(), 5);
-    drop(lines);
-    stage.nothing_open().await;
-    for late in asked {
-        assert!(late.answer.is_closed(), "the attempt was called off");
+    assert_eq!(node.gauges.open(), 5);
+    drop(line_client);
+    node.wait_until_nothing_open().await;
+    for late in pending_calls {
+        assert!(late.reply.is_closed(), "the attempt was cancelled");
     }
     // The ids are free again.
-    let mut lines = Client::new(stage.lines).await;
-    lines.say("k0 i0 60000\n").await;
-    stage.asked().await.answer.send(served("v")).unwrap();
-    assert_eq!(lines.hear().await, "i0: 1 bytes");
+    let mut line_client = Client::new(node.line_addr).await;
+    line_client.send("k0 i0 60000\n").await;
+    node.next_call().await.reply.send(served("v")).unwrap();
+    assert_eq!(line_client.receive_line().await, "i0: 1 bytes");
 }
 
 #[tokio::test]
-async fn an_answer_on_its_way_to_a_client_that_leaves_ends_well() {
-    let mut stage = Stage::new(100).await;
+async fn an_answer_to_a_client_that_disconnects_leaves_nothing_open() {
+    let mut node = TestNode::new(100).await;
     for n in 0..100 {
-        let mut lines = Client::new(stage.lines).await;
-        lines.say(format!("k i{n} 60000\n")).await;
-        let asked = stage.asked().await;
-        // Both are under way at once, in either order.
+        let mut line_client = Client::new(node.line_addr).await;
+        line_client.send(format!("k i{n} 60000\n")).await;
+        let pending_call = node.next_call().await;
+        // The disconnect and the answer race, in either order.
         if n % 2 == 0 {
-            drop(lines);
-            let _ = asked.answer.send(served("v"));
+            drop(line_client);
+            let _ = pending_call.reply.send(served("v"));
         } else {
-            let _ = asked.answer.send(served("v"));
-            drop(lines);
+            let _ = pending_call.reply.send(served("v"));
+            drop(line_client);
         }
     }
-    stage.nothing_open().await;
+    node.wait_until_nothing_open().await;
 }
 
 #[tokio::test]
-async fn a_slow_reader_on_one_front_holds_back_nobody_on_another() {
-    let mut stage = Stage::new(100).await;
-    let mut slow = TcpStream::connect(stage.resp).await.unwrap();
-    // It asks for more than all buffers on the way hold, and reads nothing.
+async fn a_slow_reader_on_one_protocol_does_not_delay_clients_of_another() {
+    let mut node = TestNode::new(100).await;
+    let mut slow = TcpStream::connect(node.resp_addr).await.unwrap();
+    // It requests more than all buffers on the path hold, and reads nothing.
     let value = Bytes::from(vec![b'x'; 64 << 10]);
     let mut answered = 0;
     for n in 0..400 {
         slow.write_all(get("k", &format!("slow{n}")).as_bytes()).await.unwrap();
-        match timeout(Duration::from_millis(100), stage.asked.recv()).await {
-            Ok(Some(asked)) => _ = asked.answer.send(served(value.clone())),
-            _ => break, // it is not read any more
+        match timeout(Duration::from_millis(100), node.upstream_calls.recv()).await {
+            Ok(Some(pending_call)) => _ = pending_call.reply.send(served(value.clone())),
+            _ => break, // its commands are no longer read
         }
         answered += 1;
     }
-    assert!(answered < 400, "the slow one is held back itself");
-    let mut lines = Client::new(stage.lines).await;
+    assert!(answered < 400, "the slow client itself is held back");
+    let mut line_client = Client::new(node.line_addr).await;
     for n in 0..20 {
-        lines.say(format!("k quick{n} 60000\n")).await;
+        line_client.send(format!("k quick{n} 60000\n")).await;
         loop {
-            let asked = stage.asked().await;
-            let quick = asked.call.id.starts_with(b"quick");
-            let _ = asked.answer.send(served("v"));
+            let pending_call = node.next_call().await;
+            let quick = pending_call.call.id.starts_with(b"quick");
+            let _ = pending_call.reply.send(served("v"));
             if quick {
                 break;
             }
         }
-        assert_eq!(lines.hear().await, format!("quick{n}: 1 bytes"));
+        assert_eq!(line_client.receive_line().await, format!("quick{n}: 1 bytes"));
     }
-    // What is taken of it comes whole.
+    // The part of its answers that it reads is intact.
     let mut first = [0; 8];
     slow.read_exact(&mut first).await.unwrap();
     assert_eq!(&first, b"$65536\r\n");
 }
 
 #[tokio::test]
-async fn the_bounds_hold_for_the_clients_of_all_fronts_together() {
-    let stage = Stage::new(4).await;
+async fn the_limits_hold_for_the_clients_of_all_protocols_together() {
+    let node = TestNode::new(4).await;
     let mut old = Vec::new();
     for _ in 0..4 {
-        let mut client = Client::new(stage.resp).await;
-        client.say("*1\r\n$4\r\nPING\r\n").await;
-        assert_eq!(client.hear().await, "+PONG");
+        let mut client = Client::new(node.resp_addr).await;
+        client.send("*1\r\n$4\r\nPING\r\n").await;
+        assert_eq!(client.receive_line().await, "+PONG");
         old.push(client);
     }
-    let mut new = Client::new(stage.lines).await;
-    new.say("hello\n").await;
-    assert_eq!(new.hear().await, "hello");
-    let closed = timeout(PATIENCE, old[0].0.read(&mut [0])).await.expect("one makes room");
+    let mut new = Client::new(node.line_addr).await;
+    new.send("hello\n").await;
+    assert_eq!(new.receive_line().await, "hello");
+    let closed = timeout(TEST_TIMEOUT, old[0].0.read(&mut [0])).await.expect("one connection is evicted");
     assert_eq!(closed.unwrap(), 0);
 }
 
 #[tokio::test]
-async fn what_cannot_be_read_and_silence_part_alike_at_each_front() {
-    let stage = Stage::new(100).await;
-    let mut bad = Client::new(stage.lines).await;
-    bad.say("what is this\n\n").await;
-    assert_eq!((bad.hear().await, bad.hear().await), ("Malformed".into(), String::new()));
-    let mut silent = Client::new(stage.lines).await;
-    assert_eq!((silent.hear().await, silent.hear().await), ("Silent".into(), String::new()));
-    stage.bearing.send_modify(|now| (now.accepts_connections, now.close_mode) = (false, CloseMode::WhenIdle));
-    stage.acceptor.wait_until_empty().await;
+async fn malformed_input_and_silence_close_the_connection_with_a_notice() {
+    let node = TestNode::new(100).await;
+    let mut bad = Client::new(node.line_addr).await;
+    bad.send("what is this\n\n").await;
+    assert_eq!((bad.receive_line().await, bad.receive_line().await), ("Malformed".into(), String::new()));
+    let mut silent = Client::new(node.line_addr).await;
+    assert_eq!(
+        (silent.receive_line().await, silent.receive_line().await),
+        ("CommandTimeout".into(), String::new())
+    );
+    node.service_mode
+        .send_modify(|now| (now.accepts_connections, now.close_mode) = (false, CloseMode::WhenIdle));
+    node.acceptor.wait_until_empty().await;
 }
 
 #[test]
-fn a_request_that_was_read_and_dropped_unanswered_was_counted_nowhere() {
+fn a_request_that_is_read_and_dropped_unanswered_counts_as_a_violation() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let violations = runtime.block_on(async {
-        let mut stage = Stage::new(10).await;
-        for leaves in [true, false] {
-            let mut client = TcpStream::connect(stage.resp).await.unwrap();
+        let mut node = TestNode::new(10).await;
+        for disconnects in [true, false] {
+            let mut client = TcpStream::connect(node.resp_addr).await.unwrap();
             let command = "*4\r\n$9\r\nCACHE.GET\r\n$1\r\nk\r\n$2\r\nid\r\n$6\r\nd=9000\r\n";
             client.write_all(command.as_bytes()).await.unwrap();
-            stage.asked().await;
-            match leaves {
+            node.next_call().await;
+            match disconnects {
                 true => drop(client),
-                false => return (stage.violations.clone(), client),
+                false => return (node.violations.clone(), client),
             }
-            stage.nothing_open().await;
-            assert_eq!(stage.violations.number(Rule::ClosedUnanswered), 0, "its client has left");
+            node.wait_until_nothing_open().await;
+            assert_eq!(node.violations.number(Rule::ClosedUnanswered), 0, "its client has disconnected");
         }
-        unreachable!("the second stays");
+        unreachable!("the second client stays connected");
     });
     drop(runtime); // the process ends with its session
     assert_eq!(violations.0.number(Rule::ClosedUnanswered), 1);
--- a/crates/lilacquay/src/memcached.rs
+++ b/crates/lilacquay/src/memcached.rs
@@ -203,8 +203,8 @@
                 .map(|l| l.name),
             user: look_up(&row.user, "user", &user, "name one of [[user]]").map(|u| u.name),
             prefix: row.prefix.clone(),
-            read: look_up(&row.read, "class", &class, in_settings),
-            write: look_up(&row.write, "class", &class, in_settings),
+            read_class: look_up(&row.read, "class", &class, in_settings),
+            write_class: look_up(&row.write, "class", &class, in_settings),
             tenant: look_up(&row.tenant, "tenant", &|name| names.tenant(name), in_settings),
             client_timeout_us: row.wait_ms as u64 * 1000,
             repeats: row.repeats.clone(),
@@ -305,7 +305,7 @@
         assert!(rows.iter().any(|row| row.user.is_some()) && rows.iter().any(|row| row.listener.is_some()));
         assert!(rows.iter().any(|row| row.repeats == RepeatMarker::Cas));
         assert!(rows.iter().any(|row| matches!(row.repeats, RepeatMarker::Suffix(_))));
-        assert!(rows.iter().any(|row| row.tenant.is_some() && row.write.is_some()));
+        assert!(rows.iter().any(|row| row.tenant.is_some() && row.write_class.is_some()));
         assert!(office.table.fallback.is_some());
     }
 
