--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -36,7 +36,7 @@
     pub expiry: bool,
 }
 
-/// What all connections of one listener share.
+/// What all connections of one memcached listener share.
 pub struct Frontend {
     /// The listener's name.
     name: String,
--- a/crates/upstreams/src/http.rs
+++ b/crates/upstreams/src/http.rs
@@ -1,4 +1,4 @@
-//! A connection to the origin: HTTP/1.1, one request at a time.
+//! Connections to the origin over HTTP/1.1, with one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::facts::{time_to_tell, with_time_left};
+use crate::facts::{stated_time_left, with_time_left};
 use crate::idle_state;
-use crate::pass::{self, Broken};
+use crate::pass::{self, ForwardError};
 
-/// What one connection buffers of an answer, in bytes.
-const BUFFER: usize = 32 << 10;
-/// What a key may not show in a path.
-const ESCAPED: &AsciiSet = &CONTROLS
+/// The most bytes of an answer that one connection buffers.
+const MAX_BUFFER_BYTES: usize = 32 << 10;
+/// Characters of a key that are percent-encoded in the path.
+const ESCAPED_CHARACTERS: &AsciiSet = &CONTROLS
     .add(b' ')
     .add(b'"')
     .add(b'#')
@@ -39,38 +39,38 @@
     .add(b'}');
 
 /// A connection to the origin, between requests.
-pub struct Origin {
+pub struct OriginConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     stream: Stream,
 }
 
-impl Drop for Origin {
-    /// Closes the socket at once, also while a request is out.
+impl Drop for OriginConnection {
+    /// Closes the socket at once, even with a request in flight.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Origin {
-    /// Speaks HTTP/1.1 on a connection that is up.
+impl OriginConnection {
+    /// Starts HTTP/1.1 on an established connection.
     ///
     /// # Errors
-    /// If the connection has broken already.
+    /// If the connection has failed already.
     pub async fn new(stream: Stream) -> io::Result<Self> {
-        // A large value's reader may be slow: what stands here meanwhile is bounded.
+        // Bounds what is buffered here while a slow client reads a large value.
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(BUFFER);
+        builder.max_buf_size(MAX_BUFFER_BYTES);
         let (sender, connection) =
             builder.handshake(TokioIo::new(stream.clone())).await.map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
-            let _ = connection.await; // a break shows in the request that is out
+            let _ = connection.await; // the request in flight reports a failure
         });
-        Ok(Origin { sender, task, stream })
+        Ok(OriginConnection { sender, task, stream })
     }
 }
 
-impl Connection for Origin {
+impl Connection for OriginConnection {
     fn idle_state(&self) -> IdleState {
         match idle_state(&self.stream) {
             IdleState::Live if self.sender.is_closed() => IdleState::Closed,
@@ -82,21 +82,21 @@
         if self.sender.ready().await.is_err() {
             return (Reply::of(Outcome::ConnectError), None);
         }
-        let left = time_to_tell(deadline, call);
+        let left = stated_time_left(deadline, call);
         let Some(request) = request(call, target.addr, left) else {
             return (Reply::of(Outcome::Ignored), Some(self));
         };
-        target.written(Some(left)); // as good as: it is written in the same turn of its task
+        target.written(Some(left)); // nearly: it is written within the same poll of its task
         match self.sender.try_send_request(request).await {
-            // A request that is handed back was never begun.
+            // A request that hyper hands back was never sent.
             Err(mut error) => match error.take_message() {
                 Some(_) => (Reply::of(Outcome::ConnectError), None),
                 None => (Reply::of(Outcome::Reset), None),
             },
             Ok(_) if target.may_be_repeated() => (Reply::of(Outcome::Reset), None),
-            Ok(answer) => match read(call.verb, answer, target, deadline).await {
+            Ok(answer) => match read_answer(call.verb, answer, target, deadline).await {
                 Ok(reply) => (reply, Some(self)),
-                // Guards against: the rest of such an answer, read as the next one's.
+                // Drops the connection: the rest of this answer could be read as the next request's answer.
                 Err(outcome) => (Reply::of(outcome), None),
             },
         }
@@ -110,7 +110,7 @@
         Verb::Delete => Method::DELETE,
     };
     let mut builder = Request::builder();
-    // RFC 9110, sections 13.1.1 and 13.1.2: only where there is a value, or none.
+    // RFC 9110, sections 13.1.1 and 13.1.2: "If-Match: *" requires that a value exists, "If-None-Match: *" that none does.
     match call.verb {
         Verb::Add => builder = builder.header(IF_NONE_MATCH, "*"),
         Verb::Replace => builder = builder.header(IF_MATCH, "*"),
@@ -118,7 +118,7 @@
     }
     builder
         .method(method)
-        .uri(format!("/{}", percent_encode(call.key.as_bytes(), ESCAPED)))
+        .uri(format!("/{}", percent_encode(call.key.as_bytes(), ESCAPED_CHARACTERS)))
         .header(HOST, addr.to_string())
         .header("X-Correlation-Id", &call.id[..])
         .header("X-Facts", with_time_left(&call.facts, left))
@@ -126,29 +126,35 @@
         .ok()
 }
 
-/// The length of a value that is to flow.
-fn large(answer: &Response<Incoming>) -> Option<usize> {
+/// The length of a large value, which is forwarded as it arrives; `None` for any other answer.
+fn large_value_length(answer: &Response<Incoming>) -> Option<usize> {
     let length = usize::try_from(answer.body().size_hint().exact()?).ok()?;
     (VALUE_LIMIT < length && length <= FLOW_LIMIT).then_some(length)
 }
 
-/// Passes a large value on. Its connection is of use again after its last byte.
-async fn pass(mut body: Incoming, mut feeder: Feeder, deadline: Instant) -> Result<Reply, Broken> {
+/// Forwards a large value. Its connection can be reused after the last byte.
+async fn forward_body(
+    mut body: Incoming,
+    mut feeder: Feeder,
+    deadline: Instant,
+) -> Result<Reply, ForwardError> {
     while feeder.left() > 0 {
         let room = feeder.room().await?;
-        let frame =
-            pass::read(deadline, async { body.frame().await.transpose().map_err(io::Error::other) }).await?;
+        let frame = pass::read_until_timeout(deadline, async {
+            body.frame().await.transpose().map_err(io::Error::other)
+        })
+        .await?;
         match frame.map(|frame| frame.into_data()) {
             Some(Ok(bytes)) => feeder.feed(bytes, room)?,
             Some(Err(_trailers)) => {}
-            None => return Err(Broken::Server),
+            None => return Err(ForwardError::ServerFailed),
         }
     }
     Ok(Reply::of(Outcome::Ok))
 }
 
-/// What an answer means; an error if its connection is of no further use.
-async fn read(
+/// Reads an answer and maps it to a reply; an error if its connection cannot be reused.
+async fn read_answer(
     verb: Verb,
     answer: Response<Incoming>,
     target: &Target,
@@ -156,26 +162,26 @@
 ) -> Result<Reply, Outcome> {
     let (status, headers) = (answer.status(), answer.headers());
     let flags = headers.get("X-Flags").and_then(|v| v.to_str().ok()?.parse().ok()).unwrap_or(0);
-    let never_ran = headers.get("X-Unprocessed").is_some_and(|v| v == "1");
+    let unprocessed = headers.get("X-Unprocessed").is_some_and(|v| v == "1");
     if status == StatusCode::OK
-        && let Some(length) = large(&answer)
+        && let Some(length) = large_value_length(&answer)
     {
         let feeder = target.begin(length, flags);
-        return pass(answer.into_body(), feeder, deadline).await.map_err(Broken::outcome);
+        return forward_body(answer.into_body(), feeder, deadline).await.map_err(ForwardError::outcome);
     }
     let body = match Limited::new(answer.into_body(), VALUE_LIMIT).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<hyper::Error>() => return Err(Outcome::Reset),
-        Err(_) => return Err(Outcome::Failed), // too long for a value
+        Err(_) => return Err(Outcome::Failed), // longer than a value may be
     };
     Ok(match status {
         StatusCode::OK => Reply::served(Made::Value { bytes: body, flags }),
-        // The origin has carried it out, and there is no such key: a whole answer, as a value is.
+        // The origin has carried out the request and has no such key: as complete an answer as a value.
         StatusCode::NOT_FOUND if matches!(verb, Verb::Get | Verb::Delete) => Reply::served(Made::Absent),
         StatusCode::NO_CONTENT if verb == Verb::Delete => Reply::served(Made::value(body)),
         StatusCode::PRECONDITION_FAILED if verb == Verb::Add => Reply::served(Made::Exists),
         StatusCode::PRECONDITION_FAILED if verb == Verb::Replace => Reply::served(Made::Absent),
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
             Reply::of(Outcome::QueueFull)
         }
         _ => Reply::of(Outcome::Failed),
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -1,5 +1,7 @@
-//! What servers speak: one connection, one request at a time, and what comes back as an outcome of the
-//! protocol's table. Nothing is tried again here, and nothing probed.
+//! Connections to servers: caches over RESP2 or memcached's binary protocol, and the origin over HTTP/1.1.
+//!
+//! A connection carries one request at a time, and each answer is mapped to an outcome of the protocol's table. This crate
+//! neither retries nor probes.
 
 pub mod facts;
 pub mod http;
@@ -16,79 +18,80 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Caches over RESP2 or memcached's binary protocol, the origin over HTTP/1.1.
+/// Connects to servers, with the protocol that each of them speaks.
 #[derive(Clone, Default)]
 pub struct ServerConnector {
-    memcached: Arc<BTreeSet<String>>,
+    /// Kinds of machine whose caches speak memcached.
+    memcached_kinds: Arc<BTreeSet<String>>,
 }
 
 impl ServerConnector {
-    /// Caches of these kinds of machine speak memcached, all others RESP2.
-    pub fn new(memcached: BTreeSet<String>) -> Self {
-        ServerConnector { memcached: Arc::new(memcached) }
+    /// Creates a connector. Caches on machines of `memcached_kinds` speak memcached, all others RESP2.
+    pub fn new(memcached_kinds: BTreeSet<String>) -> Self {
+        ServerConnector { memcached_kinds: Arc::new(memcached_kinds) }
     }
 }
 
-/// A connection to a server of any kind.
-pub enum Link {
+/// A connection to any server.
+pub enum ServerConnection {
     /// To a cache that speaks RESP2.
-    Cache(resp::Cache),
+    Resp(resp::RespConnection),
     /// To a cache that speaks memcached.
-    Memcache(memcache::Memcache),
+    Memcache(memcache::MemcacheConnection),
     /// To the origin.
-    Origin(http::Origin),
+    Origin(http::OriginConnection),
 }
 
 impl Upstream for ServerConnector {
-    type Connection = Link;
+    type Connection = ServerConnection;
 
-    /// A cache that speaks memcached knows no idempotency keys.
+    /// Whether servers of this kind recognise repeated writes: memcached has no idempotency keys.
     fn discards_repeats(&self, kind: &str) -> bool {
-        !self.memcached.contains(kind)
+        !self.memcached_kinds.contains(kind)
     }
 
-    async fn connect(&self, target: &Target) -> io::Result<Link> {
+    async fn connect(&self, target: &Target) -> io::Result<ServerConnection> {
         let stream = TcpStream::connect(target.addr).await?;
         stream.set_nodelay(true)?;
         let stream = Stream::new(stream);
         Ok(match target.origin {
-            false if self.memcached.contains(&*target.kind) => {
-                Link::Memcache(memcache::Memcache::new(stream))
+            false if self.memcached_kinds.contains(&*target.kind) => {
+                ServerConnection::Memcache(memcache::MemcacheConnection::new(stream))
             }
-            false => Link::Cache(resp::Cache::new(stream)),
-            true => Link::Origin(http::Origin::new(stream).await?),
+            false => ServerConnection::Resp(resp::RespConnection::new(stream)),
+            true => ServerConnection::Origin(http::OriginConnection::new(stream).await?),
         })
     }
 }
 
-impl Connection for Link {
+impl Connection for ServerConnection {
     fn idle_state(&self) -> IdleState {
         match self {
-            Link::Cache(cache) => cache.idle_state(),
-            Link::Memcache(cache) => cache.idle_state(),
-            Link::Origin(origin) => origin.idle_state(),
+            ServerConnection::Resp(cache) => cache.idle_state(),
+            ServerConnection::Memcache(cache) => cache.idle_state(),
+            ServerConnection::Origin(origin) => origin.idle_state(),
         }
     }
 
-    async fn ask(self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Link>) {
+    async fn ask(self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<ServerConnection>) {
         match self {
-            Link::Cache(cache) => {
+            ServerConnection::Resp(cache) => {
                 let (reply, cache) = cache.ask(call, target, deadline).await;
-                (reply, cache.map(Link::Cache))
+                (reply, cache.map(ServerConnection::Resp))
             }
-            Link::Memcache(cache) => {
+            ServerConnection::Memcache(cache) => {
                 let (reply, cache) = cache.ask(call, target, deadline).await;
-                (reply, cache.map(Link::Memcache))
+                (reply, cache.map(ServerConnection::Memcache))
             }
-            Link::Origin(origin) => {
+            ServerConnection::Origin(origin) => {
                 let (reply, origin) = origin.ask(call, target, deadline).await;
-                (reply, origin.map(Link::Origin))
+                (reply, origin.map(ServerConnection::Origin))
             }
         }
     }
 }
 
-/// What the peer has done to a connection that nothing was asked on. The kernel is asked itself: what the runtime has seen
+/// What the peer has done to an idle connection. Peeks at the socket to ask the kernel directly, since the runtime's view
 /// may be a moment old.
 fn idle_state(stream: &Stream) -> IdleState {
     match stream.try_peek() {
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -1,8 +1,8 @@
-//! A connection to a cache server of the kind that speaks memcached: the binary protocol, one request at a time.
+//! Connections to caches over memcached's binary protocol, with one request at a time.
 //!
-//! What each answer means is argued in `docs/memcached.md`. In short: a status that tells that nothing was done is
-//! an outcome that never ran; one that tells nothing for certain, and all that is not the answer to this request,
-//! may have run.
+//! `docs/memcached.md` derives what each answer means. In short: a status that says that nothing was done maps to an
+//! outcome of a request that never ran. After any status that is not certain, and after anything that is not the answer
+//! to this request, the request may have run.
 
 use lilacquay_stream::Stream;
 use tokio::time::Instant;
@@ -17,60 +17,63 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use crate::idle_state;
-use crate::pass::{pass, read};
+use crate::pass::{forward_value, read_until_timeout};
 
-/// The longest body of an answer: a value, its flags, and some room for a key, which none should bring.
-const LONGEST: usize = VALUE_LIMIT + 512;
-/// What stands before a read's value: its flags.
-const FLAGS: usize = 4;
-/// The least room of a request's buffer, which takes the answer later: most come whole in one read.
-const ROOM: usize = 1 << 10;
+/// The longest body of an answer in bytes: a value, its flags, and some room for a key, which no answer should have.
+const MAX_BODY_BYTES: usize = VALUE_LIMIT + 512;
+/// Bytes of the flags, which precede the value in the answer to a read.
+const FLAGS_BYTES: usize = 4;
+/// The least capacity of a request's buffer, in bytes. The buffer is reused for the answer, and most answers arrive
+/// complete in one read.
+const MIN_BUFFER_CAPACITY: usize = 1 << 10;
 
 /// A connection to a cache, between requests.
-pub struct Memcache {
+pub struct MemcacheConnection {
     stream: Stream,
-    /// The opaque of the next request. Guards against: an answer to an earlier one, taken for this one's.
+    /// The opaque of the last request. It differs between requests, so that an answer to an earlier one is not taken for
+    /// the answer to the current one.
     opaque: u32,
 }
 
-impl Memcache {
-    /// Speaks the binary protocol on a connection that is up.
+impl MemcacheConnection {
+    /// Uses the binary protocol on an established connection.
     pub fn new(stream: Stream) -> Self {
-        // A place to begin that differs between connections, so that an answer which a server mixes up among
-        // them is known too.
+        // The opaques of different connections start at different values, so that an answer which a server sends on the
+        // wrong connection is detected too.
         let opaque = stream.socket().local_addr().map_or(0, |addr| u32::from(addr.port())) << 16;
-        Memcache { stream, opaque }
+        MemcacheConnection { stream, opaque }
     }
 }
 
-impl Connection for Memcache {
+impl Connection for MemcacheConnection {
     fn idle_state(&self) -> IdleState {
         idle_state(&self.stream)
     }
 
     async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
-        // Nothing is sent of a key that the protocol can't carry.
+        // A key that is too long for the protocol: nothing is sent.
         if call.key.len() > KEY_LIMIT {
             return (Reply::of(Outcome::Ignored), Some(self));
         }
         self.opaque = self.opaque.wrapping_add(1);
         let mut buffer = request(call, self.opaque);
-        // Broken before the last byte was written: it never ran. After that it may have.
+        // If writing fails before the last byte, the request never ran. After that it may have run.
         if self.stream.write_all(&buffer).await.is_err() {
             return (Reply::of(Outcome::ConnectError), None);
         }
-        target.written(None); // the protocol has no word for the time that is left
+        target.written(None); // the protocol cannot state the time left
         buffer.clear();
         loop {
-            if let Some(head) = response_head(&buffer).filter(|head| self.is_large(call.verb, head)) {
-                return self.flow(buffer, head, target, deadline).await;
+            if let Some(head) = response_head(&buffer).filter(|head| self.is_large_value(call.verb, head)) {
+                return self.forward_large_value(buffer, head, target, deadline).await;
             }
-            match next_response(&mut buffer, LONGEST) {
+            match next_response(&mut buffer, MAX_BODY_BYTES) {
                 Ok(Some(answer)) => {
-                    let ours = answer.opaque == self.opaque && answer.opcode == opcode(call.verb) as u8;
-                    let reply = if ours { reply(call.verb, &answer) } else { Err(Unusable) };
-                    let usable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), usable.then_some(self));
+                    let matches_request =
+                        answer.opaque == self.opaque && answer.opcode == opcode(call.verb) as u8;
+                    let reply = if matches_request { reply(call.verb, &answer) } else { Err(InvalidAnswer) };
+                    let reusable = reply.is_ok() && buffer.is_empty();
+                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), reusable.then_some(self));
                 }
                 Ok(None) => {}
                 Err(_) => return (Reply::of(Outcome::Failed), None),
@@ -83,33 +86,36 @@
     }
 }
 
-impl Memcache {
-    /// Whether a response is the answer to this read, with a value that is to flow.
-    fn is_large(&self, verb: Verb, head: &Head) -> bool {
-        let ours = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
-        let value = ours && head.status == Status::OK && head.extras == FLAGS && head.key == 0;
-        verb == Verb::Get && value && (VALUE_LIMIT + 1..=FLOW_LIMIT).contains(&head.value)
+impl MemcacheConnection {
+    /// Whether a response is the answer to this read with a large value, which is forwarded as it arrives.
+    fn is_large_value(&self, verb: Verb, head: &Head) -> bool {
+        let matches_request = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
+        let has_value =
+            matches_request && head.status == Status::OK && head.extras == FLAGS_BYTES && head.key == 0;
+        verb == Verb::Get && has_value && (VALUE_LIMIT + 1..=FLOW_LIMIT).contains(&head.value)
     }
 
-    /// Passes a large value on.
-    async fn flow(
+    /// Forwards a large value.
+    async fn forward_large_value(
         mut self,
-        mut come: BytesMut,
+        mut received: BytesMut,
         head: Head,
         target: &Target,
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
-        while come.len() < HEADER + FLAGS {
-            if !matches!(read(deadline, self.stream.read_buf(&mut come)).await, Ok(1..)) {
+        while received.len() < HEADER + FLAGS_BYTES {
+            if !matches!(read_until_timeout(deadline, self.stream.read_buf(&mut received)).await, Ok(1..)) {
                 return (Reply::of(Outcome::Reset), None);
             }
         }
-        come.advance(HEADER);
-        let flags = come.get_u32();
+        received.advance(HEADER);
+        let flags = received.get_u32();
         let mut feeder = target.begin(head.value, flags);
-        match pass(&mut self.stream, &mut come, &mut feeder, deadline).await {
-            Err(broken) => (Reply::of(broken.outcome()), None),
-            Ok(()) => (Reply { hit: Some(true), ..Reply::of(Outcome::Ok) }, come.is_empty().then_some(self)),
+        match forward_value(&mut self.stream, &mut received, &mut feeder, deadline).await {
+            Err(error) => (Reply::of(error.outcome()), None),
+            Ok(()) => {
+                (Reply { hit: Some(true), ..Reply::of(Outcome::Ok) }, received.is_empty().then_some(self))
+            }
         }
     }
 }
@@ -132,27 +138,29 @@
         extras.put_u32(expiry);
     }
     let (key, value) = (Bytes::copy_from_slice(call.key.as_bytes()), call.value.clone().unwrap_or_default());
-    let mut text = BytesMut::with_capacity(ROOM.max(HEADER + extras.len() + key.len() + value.len()));
+    let mut text =
+        BytesMut::with_capacity(MIN_BUFFER_CAPACITY.max(HEADER + extras.len() + key.len() + value.len()));
     Packet { extras: extras.freeze(), key, value, ..Packet::new(opcode(call.verb), opaque) }
         .put_request(&mut text);
     text
 }
 
-/// An answer after which nothing that comes on the connection can be relied on.
-struct Unusable;
+/// An invalid answer, after which the connection cannot be reused.
+struct InvalidAnswer;
 
-/// What an answer to this request means. The connection stays: it was a whole answer.
-fn reply(verb: Verb, answer: &Packet) -> Result<Reply, Unusable> {
+/// Maps the answer to this request to a reply. The connection can be reused, since the answer is complete.
+fn reply(verb: Verb, answer: &Packet) -> Result<Reply, InvalidAnswer> {
     let absent = match verb {
         Verb::Get => Reply { hit: Some(false), ..Reply::of(Outcome::Miss) },
         _ => Reply::served(Made::Absent),
     };
     Ok(match Status(answer.status) {
         Status::OK if verb == Verb::Get => {
-            // Guards against: a spoilt answer, served. A value has its flags and no more than a value may hold.
-            let flags = <[u8; 4]>::try_from(&answer.extras[..]).map_err(|_| Unusable)?;
+            // Checks that the flags are there and that the value is no longer than allowed, so that a corrupted answer
+            // is not served.
+            let flags = <[u8; 4]>::try_from(&answer.extras[..]).map_err(|_| InvalidAnswer)?;
             if answer.value.len() > VALUE_LIMIT || !answer.key.is_empty() {
-                return Err(Unusable);
+                return Err(InvalidAnswer);
             }
             let made = Made::Value { bytes: answer.value.clone(), flags: u32::from_be_bytes(flags) };
             Reply { hit: Some(true), ..Reply::served(made) }
@@ -160,15 +168,16 @@
         Status::OK if answer.extras.is_empty() && answer.key.is_empty() && answer.value.is_empty() => {
             Reply::served(Made::value(Bytes::new()))
         }
-        Status::OK => return Err(Unusable),
+        Status::OK => return Err(InvalidAnswer),
         Status::KEY_NOT_FOUND if verb != Verb::Set && verb != Verb::Add => absent,
         Status::KEY_EXISTS | Status::ITEM_NOT_STORED if verb == Verb::Add => Reply::served(Made::Exists),
         Status::ITEM_NOT_STORED if verb == Verb::Replace => Reply::served(Made::Absent),
-        // Turned away before it was begun.
+        // Refused before it was started.
         Status::BUSY | Status::TEMPORARY_FAILURE => Reply::of(Outcome::QueueFull),
-        // A read had no memory for its answer, and changed nothing.
+        // There was no memory for the answer to a read, which has changed nothing.
         Status::OUT_OF_MEMORY if verb == Verb::Get => Reply::of(Outcome::QueueFull),
-        // All others, known or not, may come from one that has run: out of memory of a write drops the old value.
+        // Any other status, known or not, may come from a request that has run: a write that is out of memory drops the
+        // old value.
         _ => Reply::of(Outcome::Failed),
     })
 }
@@ -177,35 +186,35 @@
 mod tests {
     use super::*;
 
-    /// What a status means to each verb; nothing where its connection can't be relied on.
+    /// The outcome of an answer to this verb; `None` if the answer is invalid.
     fn outcome(verb: Verb, answer: &Packet) -> Option<(Outcome, Made)> {
         reply(verb, answer).ok().map(|reply| (reply.outcome, reply.made))
     }
 
-    fn plain(status: Status) -> Packet {
+    fn answer_with(status: Status) -> Packet {
         Packet { status: status.0, ..Packet::new(Opcode::Get, 1) }
     }
 
     #[test]
-    fn each_status_has_its_outcome_by_the_table() {
+    fn each_status_maps_to_its_documented_outcome() {
         use Verb::*;
         let empty = || Made::value(Bytes::new());
-        let told = |verb: Verb, status: Status| outcome(verb, &plain(status)).unwrap();
+        let outcome_of = |verb: Verb, status: Status| outcome(verb, &answer_with(status)).unwrap();
         for verb in [Set, Add, Replace, Delete] {
-            assert_eq!(told(verb, Status::OK), (Outcome::Ok, empty()));
+            assert_eq!(outcome_of(verb, Status::OK), (Outcome::Ok, empty()));
         }
-        assert_eq!(told(Get, Status::KEY_NOT_FOUND).0, Outcome::Miss);
-        assert_eq!(told(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(told(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(told(Add, Status::KEY_EXISTS), (Outcome::Ok, Made::Exists));
-        assert_eq!(told(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Exists));
-        assert_eq!(told(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Absent));
-        assert_eq!(told(Get, Status::OUT_OF_MEMORY).0, Outcome::QueueFull);
+        assert_eq!(outcome_of(Get, Status::KEY_NOT_FOUND).0, Outcome::Miss);
+        assert_eq!(outcome_of(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
+        assert_eq!(outcome_of(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
+        assert_eq!(outcome_of(Add, Status::KEY_EXISTS), (Outcome::Ok, Made::Exists));
+        assert_eq!(outcome_of(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Exists));
+        assert_eq!(outcome_of(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Absent));
+        assert_eq!(outcome_of(Get, Status::OUT_OF_MEMORY).0, Outcome::QueueFull);
         for verb in [Get, Set, Add, Replace, Delete] {
             for status in [Status::BUSY, Status::TEMPORARY_FAILURE] {
-                assert_eq!(told(verb, status).0, Outcome::QueueFull);
+                assert_eq!(outcome_of(verb, status).0, Outcome::QueueFull);
             }
-            // All others may have run, known or not.
+            // With any other status, known or not, the request may have run.
             for status in [
                 Status::INTERNAL_ERROR,
                 Status::VALUE_TOO_LARGE,
@@ -217,7 +226,7 @@
                 Status::NOT_SUPPORTED,
                 Status(0x7777),
             ] {
-                assert_eq!(told(verb, status).0, Outcome::Failed, "{verb:?} {status:?}");
+                assert_eq!(outcome_of(verb, status).0, Outcome::Failed, "{verb:?} {status:?}");
             }
         }
         for (verb, status) in [
@@ -228,23 +237,23 @@
             (Delete, Status::KEY_EXISTS),
             (Get, Status::KEY_EXISTS),
         ] {
-            assert_eq!(told(verb, status).0, Outcome::Failed, "{verb:?} {status:?}");
+            assert_eq!(outcome_of(verb, status).0, Outcome::Failed, "{verb:?} {status:?}");
         }
     }
 
     #[test]
-    fn a_good_answer_of_another_shape_is_none() {
+    fn a_successful_answer_of_the_wrong_shape_is_rejected() {
         let flags = Bytes::from_static(&[0, 0, 0, 9]);
-        let good = Packet { extras: flags, value: "v".into(), ..plain(Status::OK) };
+        let valid = Packet { extras: flags, value: "v".into(), ..answer_with(Status::OK) };
         let made = Made::Value { bytes: "v".into(), flags: 9 };
-        assert_eq!(outcome(Verb::Get, &good), Some((Outcome::Ok, made)));
+        assert_eq!(outcome(Verb::Get, &valid), Some((Outcome::Ok, made)));
         let long = Bytes::from(vec![0; VALUE_LIMIT + 1]);
-        let bad = [
-            Packet { extras: Bytes::new(), ..good.clone() },
-            Packet { key: "k".into(), ..good.clone() },
-            Packet { value: long, ..good.clone() },
+        let invalid = [
+            Packet { extras: Bytes::new(), ..valid.clone() },
+            Packet { key: "k".into(), ..valid.clone() },
+            Packet { value: long, ..valid.clone() },
         ];
-        assert!(bad.iter().all(|bad| outcome(Verb::Get, bad).is_none()));
-        assert_eq!(outcome(Verb::Set, &good), None);
+        assert!(invalid.iter().all(|answer| outcome(Verb::Get, answer).is_none()));
+        assert_eq!(outcome(Verb::Set, &valid), None);
     }
 }
--- a/crates/upstreams/src/pass.rs
+++ b/crates/upstreams/src/pass.rs
@@ -1,4 +1,4 @@
-//! Large values: bytes from a server's connection to the client's, as they come.
+//! Forwards a large value from a server's connection to the client's connection as it arrives.
 
 use std::io;
 
@@ -8,76 +8,76 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::{Instant, timeout_at};
 
-/// Why a value has not come to its end.
+/// Why a value was not forwarded to its last byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Broken {
-    /// The server closed, broke or stalled.
-    Server,
-    /// Nobody wants the rest.
+pub(crate) enum ForwardError {
+    /// The server closed the connection, failed or stalled.
+    ServerFailed,
+    /// Nobody wants the rest of the value.
     Unwanted,
 }
 
-impl From<Unwanted> for Broken {
+impl From<Unwanted> for ForwardError {
     fn from(Unwanted: Unwanted) -> Self {
-        Broken::Unwanted
+        ForwardError::Unwanted
     }
 }
 
-impl Broken {
-    /// The outcome of such an attempt. A stall is a break too: it counts against the server.
+impl ForwardError {
+    /// The outcome of the attempt. A stall counts against the server just like a reset.
     pub fn outcome(self) -> Outcome {
         match self {
-            Broken::Server => Outcome::Reset,
-            Broken::Unwanted => Outcome::Canceled,
+            ForwardError::ServerFailed => Outcome::Reset,
+            ForwardError::Unwanted => Outcome::Canceled,
         }
     }
 }
 
-/// Passes a value on to its last byte. `come` holds what has come of the connection behind the value's head, and in the
-/// end what has come behind the value.
-pub(crate) async fn pass(
+/// Forwards a value to its last byte. On entry `received` holds what was read from the connection after the value's
+/// header; on return, what was read after the value.
+pub(crate) async fn forward_value(
     stream: &mut (impl AsyncRead + Unpin),
-    come: &mut BytesMut,
+    received: &mut BytesMut,
     feeder: &mut Feeder,
     deadline: Instant,
-) -> Result<(), Broken> {
+) -> Result<(), ForwardError> {
     while feeder.left() > 0 {
         let room = feeder.room().await?;
-        if come.is_empty() {
-            // A buffer of its own for each piece, which ends with the piece. Capacity is what is granted.
+        if received.is_empty() {
+            // Each piece has a buffer of its own, freed with the piece, and with no more capacity than was granted.
             let mut piece = BytesMut::with_capacity(room.bytes());
             let mut limited = (&mut *stream).take(room.bytes() as u64);
-            if read(deadline, limited.read_buf(&mut piece)).await? == 0 {
-                return Err(Broken::Server);
+            if read_until_timeout(deadline, limited.read_buf(&mut piece)).await? == 0 {
+                return Err(ForwardError::ServerFailed);
             }
-            *come = piece;
+            *received = piece;
         }
-        feed(come, feeder, room)?;
+        forward_piece(received, feeder, room)?;
     }
     Ok(())
 }
 
-fn feed(come: &mut BytesMut, feeder: &mut Feeder, room: Room) -> Result<(), Broken> {
-    let bytes = come.len().min(feeder.left()).min(room.bytes());
-    let piece = come.split_to(bytes);
-    // Guards against: some bytes that hold on to the whole of a buffer which they came in.
+fn forward_piece(received: &mut BytesMut, feeder: &mut Feeder, room: Room) -> Result<(), ForwardError> {
+    let bytes = received.len().min(feeder.left()).min(room.bytes());
+    let piece = received.split_to(bytes);
+    // Copies a piece that is small for its buffer, so that a few bytes do not keep the whole buffer allocated.
     let piece = match piece.capacity() > 2 * bytes {
         true => Bytes::copy_from_slice(&piece),
         false => piece.freeze(),
     };
-    if come.is_empty() {
-        *come = BytesMut::new();
+    if received.is_empty() {
+        *received = BytesMut::new();
     }
     Ok(feeder.feed(piece, room)?)
 }
 
-/// Waits for bytes of a value whose client's time is up at the deadline.
-pub(crate) async fn read<T>(
+/// Waits for bytes of a value whose client stops waiting at the deadline.
+pub(crate) async fn read_until_timeout<T>(
     deadline: Instant,
     read: impl Future<Output = io::Result<T>>,
-) -> Result<T, Broken> {
+) -> Result<T, ForwardError> {
     match timeout_at(value_given_up_at(Instant::now(), deadline), read).await {
         Ok(Ok(read)) => Ok(read),
-        Ok(Err(_)) | Err(_) => Err(Broken::Server),
+        Ok(Err(_)) | Err(_) => Err(ForwardError::ServerFailed),
     }
 }
--- a/crates/upstreams/src/resp.rs
+++ b/crates/upstreams/src/resp.rs
@@ -1,4 +1,4 @@
-//! A connection to a cache server: RESP2, one request at a time.
+//! Connections to caches over RESP2, with one request at a time.
 
 use std::time::Duration;
 
@@ -11,47 +11,47 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 
-use crate::facts::{time_to_tell, time_to_write, with_time_left};
+use crate::facts::{estimated_write_time, stated_time_left, with_time_left};
 use crate::idle_state;
-use crate::pass::{pass, read};
+use crate::pass::{forward_value, read_until_timeout};
 
-/// A value of 64 KiB and what stands round it.
-const LARGEST: usize = 66 << 10;
-
-/// How a read went and the load report, behind a large value, in bytes.
-const NOTE: usize = 4 << 10;
-/// Room for a command's name and headers.
-const HEADERS: usize = 64;
-/// A command that is written so much later than that is given up: what it tells of the time that is left is no longer
-/// true.
-const WRITTEN_LATE: Duration = Duration::from_millis(100);
-/// The least room of a command's buffer, which takes the answer later: most come whole in one read.
-const ROOM: usize = 1 << 10;
+/// The longest answer that is read as one frame, in bytes: a value of 64 KiB and what surrounds it.
+const MAX_FRAME_BYTES: usize = 66 << 10;
+/// The longest frame behind a large value, in bytes: the read result or the load report.
+const MAX_TRAILER_FRAME_BYTES: usize = 4 << 10;
+/// Bytes reserved for the name and the length headers of a command.
+const COMMAND_OVERHEAD_BYTES: usize = 64;
+/// A command whose writing exceeds the estimated write time by this much is given up: the time left that it states no
+/// longer holds.
+const WRITE_OVERRUN_LIMIT: Duration = Duration::from_millis(100);
+/// The least capacity of a command's buffer, in bytes. The buffer is reused for the answer, and most answers arrive
+/// complete in one read.
+const MIN_BUFFER_CAPACITY: usize = 1 << 10;
 
 /// A connection to a cache, between requests.
-pub struct Cache(Stream);
+pub struct RespConnection(Stream);
 
-impl Cache {
-    /// Speaks RESP2 on a connection that is up.
+impl RespConnection {
+    /// Uses RESP2 on an established connection.
     pub fn new(stream: Stream) -> Self {
-        Cache(stream)
+        RespConnection(stream)
     }
 }
 
-impl Connection for Cache {
+impl Connection for RespConnection {
     fn idle_state(&self) -> IdleState {
         idle_state(&self.0)
     }
 
     async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
-        // The protocol has no words for the others: nothing is sent.
+        // The protocol has no commands for the other verbs: nothing is sent.
         if !matches!(call.verb, Verb::Get | Verb::Set) {
             return (Reply::of(Outcome::Ignored), Some(self));
         }
-        let (on_the_way, left) = (time_to_write(call), time_to_tell(deadline, call));
+        let (write_time, left) = (estimated_write_time(call), stated_time_left(deadline, call));
         let mut buffer = command(call, left);
-        // Broken or given up before the last byte was written: it never ran. After that it may have.
-        if !matches!(timeout(on_the_way + WRITTEN_LATE, self.0.write_all(&buffer)).await, Ok(Ok(()))) {
+        // If writing fails or is given up before the last byte, the command never ran. After that it may have run.
+        if !matches!(timeout(write_time + WRITE_OVERRUN_LIMIT, self.0.write_all(&buffer)).await, Ok(Ok(()))) {
             return (Reply::of(Outcome::ConnectError), None);
         }
         target.written(Some(left));
@@ -59,13 +59,13 @@
         loop {
             if let Some((head, length)) = long_head(&buffer, VALUE_LIMIT).filter(|(_, n)| *n <= FLOW_LIMIT) {
                 buffer.advance(head);
-                return self.flow(buffer, target.begin(length, 0), deadline).await;
+                return self.forward_large_value(buffer, target.begin(length, 0), deadline).await;
             }
-            match next_frame(&mut buffer, LARGEST) {
+            match next_frame(&mut buffer, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
                     let reply = reply(frame);
-                    let usable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), usable.then_some(self));
+                    let reusable = reply.is_ok() && buffer.is_empty();
+                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), reusable.then_some(self));
                 }
                 Ok(None) => {}
                 Err(Malformed) => return (Reply::of(Outcome::Failed), None),
@@ -79,55 +79,60 @@
     }
 }
 
-impl Cache {
-    /// Passes a large value on, and reads what stands behind it.
-    async fn flow(
+impl RespConnection {
+    /// Forwards a large value, and reads the trailer behind it.
+    async fn forward_large_value(
         mut self,
-        mut come: BytesMut,
+        mut received: BytesMut,
         mut feeder: Feeder,
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
-        if let Err(broken) = pass(&mut self.0, &mut come, &mut feeder, deadline).await {
-            return (Reply::of(broken.outcome()), None);
+        if let Err(error) = forward_value(&mut self.0, &mut received, &mut feeder, deadline).await {
+            return (Reply::of(error.outcome()), None);
         }
-        drop(feeder); // the client has all of it, whatever comes behind
+        drop(feeder); // the client has the whole value, whatever the trailer says
         let served = |hit| Reply { hit, ..Reply::of(Outcome::Ok) };
-        match self.note(&mut come, deadline).await {
-            Ok(hit) => (served(hit), come.is_empty().then_some(self)),
+        match self.read_trailer(&mut received, deadline).await {
+            Ok(hit) => (served(hit), received.is_empty().then_some(self)),
             Err(_) => (served(None), None),
         }
     }
 
-    /// What stands behind a value: the end of its line, how the read went, and the load report.
-    async fn note(&mut self, come: &mut BytesMut, deadline: Instant) -> Result<Option<bool>, Malformed> {
+    /// Reads the trailer of a large value: the end of its line, the read result and the load report. Returns whether the
+    /// read was a hit, if the cache tells.
+    async fn read_trailer(
+        &mut self,
+        received: &mut BytesMut,
+        deadline: Instant,
+    ) -> Result<Option<bool>, Malformed> {
         let (mut frames, mut line_ended) = (Vec::new(), false);
         loop {
-            if !line_ended && come.len() >= 2 {
-                if &come[..2] != b"\r\n" {
+            if !line_ended && received.len() >= 2 {
+                if &received[..2] != b"\r\n" {
                     return Err(Malformed);
                 }
-                come.advance(2);
+                received.advance(2);
                 line_ended = true;
             }
             while line_ended && frames.len() < 2 {
-                match next_frame(come, NOTE)? {
+                match next_frame(received, MAX_TRAILER_FRAME_BYTES)? {
                     Some(frame) => frames.push(frame),
                     None => break,
                 }
             }
-            if let [note, _report] = &frames[..] {
-                return hit(note);
+            if let [result, _load_report] = &frames[..] {
+                return parse_hit(result);
             }
-            if !matches!(read(deadline, self.0.read_buf(come)).await, Ok(1..)) {
+            if !matches!(read_until_timeout(deadline, self.0.read_buf(received)).await, Ok(1..)) {
                 return Err(Malformed);
             }
         }
     }
 }
 
-/// How a read went, where the cache tells.
-fn hit(note: &Frame) -> Result<Option<bool>, Malformed> {
-    match note {
+/// Whether the read was a hit, if the cache tells.
+fn parse_hit(result: &Frame) -> Result<Option<bool>, Malformed> {
+    match result {
         Frame::Null => Ok(None),
         Frame::BulkString(word) => match &word[..] {
             b"hit" => Ok(Some(true)),
@@ -138,11 +143,13 @@
     }
 }
 
-/// The command for a cache: as it came, but for how long the node will wait.
+/// The command for a cache: the client's, but with the time left that the node will wait.
 fn command(call: &Call, left: Duration) -> BytesMut {
     let name: &[u8] = if call.is_write() { b"CACHE.SET" } else { b"CACHE.GET" };
     let facts = with_time_left(&call.facts, left);
-    let mut text = BytesMut::with_capacity(ROOM.max(HEADERS + call.key.len() + call.id.len() + facts.len()));
+    let mut text = BytesMut::with_capacity(
+        MIN_BUFFER_CAPACITY.max(COMMAND_OVERHEAD_BYTES + call.key.len() + call.id.len() + facts.len()),
+    );
     put_array(&mut text, if call.is_write() { 5 } else { 4 });
     for part in [name, call.key.as_bytes(), &call.id, &facts] {
         put_bulk(&mut text, part);
@@ -153,13 +160,14 @@
     text
 }
 
-/// What an answer means. Whatever the protocol has no word for may have run.
+/// Maps an answer to a reply. A command with an answer that the protocol does not define may have run.
 fn reply(frame: Frame) -> Result<Reply, Malformed> {
     match frame {
-        // Guards against: spoilt answers that look like one. The load report is not read, and may be anything.
+        // Checks the value and the read result strictly, so that a corrupted answer is not taken for a valid one. The load
+        // report is not read and may be anything.
         Frame::Array(parts) => {
-            let [value, note, _report] = <[_; 3]>::try_from(parts).map_err(|_| Malformed)?;
-            let hit = hit(&note)?;
+            let [value, result, _load_report] = <[_; 3]>::try_from(parts).map_err(|_| Malformed)?;
+            let hit = parse_hit(&result)?;
             match value {
                 Frame::BulkString(value) if value.len() <= VALUE_LIMIT => {
                     Ok(Reply { hit, ..Reply::served(Made::value(value)) })
