--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,12 @@
-//! The second address: where whoever runs a node asks for its health and figures, and orders it out of service.
+//! The admin address, on which operators and their tools ask for a node's health and metrics and take it out of service.
 //!
-//! One line to a connection, one answer, and the end. [`call`] is the form, without I/O; [`Admin`] the listener.
+//! A connection carries one call, one line long, and one answer. [`call`] is the protocol, without I/O; [`Admin`] is the
+//! listener.
 //!
-//! An answer is due within a second whatever the load. What it needs is at hand in the process: no call waits for
-//! the core's turn. Its connections have a listener and seats of their own, so that no crowd of clients takes
-//! them, and a caller who says nothing, or half a call, holds one of those for [`PATIENCE`] at most and makes room
-//! for the next as soon as all are taken.
+//! An answer is due within a second at any load, so a call needs only what is in memory and never waits for the core. The
+//! listener and the limit on its connections are separate from those for clients, so that many clients cannot block it.
+//! A caller who sends no complete call is disconnected after [`CALLER_TIMEOUT`], or earlier to make room for the next
+//! once the limit is reached.
 
 pub mod call;
 
@@ -14,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use call::{Answer, Call, NoCall, parse};
+use call::{Answer, Call, CallError, parse};
 use lilacquay_stream::Stream;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -23,114 +24,121 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// Connections at once.
+/// The most connections at once.
 pub const MAX_CONNECTIONS: usize = 16;
-/// How long a caller may take for its line, and for reading the answer.
-pub const PATIENCE: Duration = Duration::from_secs(2);
-/// After an accept that failed, for want of descriptors say.
-const PAUSE: Duration = Duration::from_millis(20);
+/// How long a caller may take to send its line, and again to read the answer.
+pub const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The delay after a failed accept, for example for want of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Who knows the answers.
+/// Carries out the calls.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Carries out a call and tells what it comes to, at once.
+    /// Carries out a call and returns the answer without waiting for anything.
     fn handle(&self, call: Call) -> Answer;
 }
 
-/// A second address that listens.
+/// The listener of the admin address.
 pub struct Admin<H> {
     listener: TcpListener,
-    host: Arc<H>,
-    seats: Seats,
-    callers: JoinSet<u64>,
+    handler: Arc<H>,
+    eviction_queue: EvictionQueue,
+    /// One task for each connection, which returns the connection's number.
+    connections: JoinSet<u64>,
 }
 
-/// Who has said no whole line yet, in the order in which they came.
+/// The open connections that have not been told to close, in the order in which they were accepted.
 #[derive(Default)]
-struct Seats {
-    last: u64,
-    silent: BTreeMap<u64, oneshot::Sender<()>>,
+struct EvictionQueue {
+    last_number: u64,
+    /// A connection is told to close by dropping its sender; one that has sent its call ignores that.
+    senders: BTreeMap<u64, oneshot::Sender<()>>,
 }
 
 impl<H: CallHandler> Admin<H> {
-    /// Answers by the host.
-    pub fn new(listener: TcpListener, host: H) -> Self {
-        Admin { listener, host: Arc::new(host), seats: Seats::default(), callers: JoinSet::new() }
+    /// Creates the listener; `handler` carries out the calls.
+    pub fn new(listener: TcpListener, handler: H) -> Self {
+        Admin {
+            listener,
+            handler: Arc::new(handler),
+            eviction_queue: EvictionQueue::default(),
+            connections: JoinSet::new(),
+        }
     }
 
-    /// Answers until it is dropped.
+    /// Accepts and answers calls until it is dropped.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
                 biased;
-                Some(ended) = self.callers.join_next() => {
+                Some(ended) = self.connections.join_next() => {
                     if let Ok(number) = ended {
-                        self.seats.silent.remove(&number);
+                        self.eviction_queue.senders.remove(&number);
                     }
                 }
-                accepted = self.listener.accept(), if self.callers.len() < MAX_CONNECTIONS => match accepted {
-                    Ok((stream, _)) => self.seat(stream),
+                accepted = self.listener.accept(), if self.connections.len() < MAX_CONNECTIONS => match accepted {
+                    Ok((stream, _)) => self.spawn(stream),
                     Err(error) => {
-                        warn!("the second address can't accept: {error}");
-                        sleep(PAUSE).await;
+                        warn!("the admin address failed to accept a connection: {error}");
+                        sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
             }
         }
     }
 
-    /// Guards against: callers who say nothing and keep those out who would. With the last seat taken, the one
-    /// who has been silent for longest goes.
-    fn seat(&mut self, stream: TcpStream) {
-        self.seats.last += 1;
-        let number = self.seats.last;
-        let (sender, cleared) = oneshot::channel();
-        self.seats.silent.insert(number, sender);
-        let host = self.host.clone();
-        self.callers.spawn(async move {
-            let _ = attend(stream, &*host, cleared).await; // a caller who leaves is answered no more
+    /// Starts to serve a connection. If that reaches the limit, the connection that has waited longest for its call is
+    /// closed, so that callers who send nothing cannot keep others out.
+    fn spawn(&mut self, stream: TcpStream) {
+        self.eviction_queue.last_number += 1;
+        let number = self.eviction_queue.last_number;
+        let (sender, evicted) = oneshot::channel();
+        self.eviction_queue.senders.insert(number, sender);
+        let handler = self.handler.clone();
+        self.connections.spawn(async move {
+            let _ = serve(stream, &*handler, evicted).await; // on failure the caller has gone or does not read
             number
         });
-        if self.callers.len() >= MAX_CONNECTIONS {
-            self.seats.silent.pop_first(); // its task sees the sender go
+        if self.connections.len() >= MAX_CONNECTIONS {
+            self.eviction_queue.senders.pop_first(); // dropping the sender tells the task
         }
     }
 }
 
-async fn attend<H: CallHandler>(
+async fn serve<H: CallHandler>(
     stream: TcpStream,
-    host: &H,
-    cleared: oneshot::Receiver<()>,
+    handler: &H,
+    evicted: oneshot::Receiver<()>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = Stream::new(stream);
-    let line = tokio::select! {
+    let call = tokio::select! {
         biased;
-        read = timeout(PATIENCE, read(&mut stream)) => read.unwrap_or(Ok(Err(NoCall::Half)))?,
-        _ = cleared => Err(NoCall::Half),
+        read = timeout(CALLER_TIMEOUT, read_call(&mut stream)) => read.unwrap_or(Ok(Err(CallError::Incomplete)))?,
+        _ = evicted => Err(CallError::Incomplete),
     };
-    let answer = match line {
-        Ok(call) => host.handle(call),
-        Err(why) => Answer::Nak(why.to_string()),
+    let answer = match call {
+        Ok(call) => handler.handle(call),
+        Err(error) => Answer::Nak(error.to_string()),
     };
     let written = async {
         stream.write_all(answer.text().as_bytes()).await?;
         stream.shutdown().await
     };
-    timeout(PATIENCE, written).await?
+    timeout(CALLER_TIMEOUT, written).await?
 }
 
-async fn read(stream: &mut Stream) -> io::Result<Result<Call, NoCall>> {
-    let mut come = Vec::with_capacity(call::LONGEST);
+async fn read_call(stream: &mut Stream) -> io::Result<Result<Call, CallError>> {
+    let mut received = Vec::with_capacity(call::MAX_CALL_BYTES);
     loop {
-        match parse(&come) {
+        match parse(&received) {
             Ok(Some(call)) => return Ok(Ok(call)),
             Ok(None) => {}
-            Err(why) => return Ok(Err(why)),
+            Err(error) => return Ok(Err(error)),
         }
-        let mut piece = [0; call::LONGEST];
+        let mut piece = [0; call::MAX_CALL_BYTES];
         match stream.read(&mut piece).await? {
-            0 => return Ok(Err(NoCall::Half)),
-            n => come.extend_from_slice(&piece[..n]),
+            0 => return Ok(Err(CallError::Incomplete)),
+            n => received.extend_from_slice(&piece[..n]),
         }
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,8 +1,9 @@
-//! A node's life: what it answers to those who ask for it, whether it takes connections, and when it closes them.
+//! The lifecycle of a node as a state machine: starting, serving, leaving service, shutting down.
 //!
-//! [`Lifecycle`] is told what happens, by whatever way it came: a signal, a call on the second address, an operator's
-//! order. What follows at a time stands in its [`ServiceMode`], a level rather than a series of orders, so that nothing
-//! is lost between two who act on it. No I/O, no clock, no thread: the time is handed in, in microseconds.
+//! [`Lifecycle`] handles events, whether they come from a signal, a call on the admin address or an operator's order. The
+//! resulting [`ServiceMode`] says whether the node accepts connections, how it answers health checks, and when it closes
+//! connections. It is a level rather than a series of commands, so that a reader that misses a change loses nothing. No
+//! I/O, no clock and no thread: the caller passes times in, in microseconds.
 //!
 //! ```text
 //!              Ready            Leave
@@ -11,119 +12,121 @@
 //!     │                  └──┼──────────────┘
 //!     │ Stop           Stop │              │ Stop
 //!     ▼                     ▼              ▼
-//!   Ended ◄────────────── Finishing ◄──────┘
-//!            Empty, or its time is over
+//!   Ended ◄───────────── ShuttingDown ◄────┘
+//!        ConnectionsClosed, or timeout
 //! ```
+//!
+//! `Failed` leads from any state to `Ended`.
 
 use std::fmt;
 
-/// A time or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// How long each step takes, in microseconds.
+/// The delays and time limits of the phases, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PhaseTimings {
-    /// After word to stop, connections that are on their way are still taken for so long, where no other process
-    /// takes them.
+    /// How long a node that was told to stop still accepts connections that are in transit, unless another process
+    /// accepts them.
     pub accept_grace: Micros,
-    /// While it leaves, connections are closed behind their answers from here on ...
-    pub leave_close_after_answer: Micros,
-    /// ... and those without a request from here on.
-    pub leave_close_idle: Micros,
-    /// After word to stop, connections without a request are closed from here on.
-    pub shutdown_close_idle: Micros,
-    /// After word to stop, it ends by then, whatever is open.
+    /// From when a node leaves service until it closes connections after their next answer.
+    pub leave_after_answer_delay: Micros,
+    /// From when a node leaves service until it closes idle connections.
+    pub leave_when_idle_delay: Micros,
+    /// From when a node is told to stop until it closes idle connections.
+    pub shutdown_when_idle_delay: Micros,
+    /// From when a node is told to stop until it ends, whatever is open then.
     pub shutdown_timeout: Micros,
 }
 
-/// What has become of a node.
+/// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Not yet ready: it takes nobody.
+    /// Not ready yet: it accepts no connections.
     Starting,
     /// In service.
     Serving,
-    /// Told to leave, since then; it may be told to join again.
+    /// Leaving service since this time; it may be told to join again.
     Leaving(Micros),
-    /// Told to stop, since then: it answers what it has taken.
+    /// Told to stop: it answers the requests it has read, then ends.
     ShuttingDown {
-        /// When it was told.
+        /// When it was told to stop.
         since: Micros,
-        /// Whether another process takes connections at the same address.
+        /// Whether another process accepts connections at the same address.
         address_shared: bool,
     },
-    /// Over.
+    /// Ended; the process exits.
     Ended,
 }
 
-/// What happens to a node.
+/// An event in the life of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// All of it runs.
+    /// All parts of the node are running.
     Ready,
-    /// It is to leave service, and goes on running.
+    /// The node is to leave service and keep running.
     Leave,
-    /// It is to be in service again.
+    /// The node is to be in service again.
     Join,
-    /// It is to end. `address_shared`: another process takes connections at the same address.
+    /// The node is to end.
     Stop {
-        /// Whether connections still to come are another's.
+        /// Whether another process accepts connections at the same address; those still to come are left to it.
         address_shared: bool,
     },
-    /// No connection is left, and none is taken any more.
+    /// No connection is left, and none is accepted any more.
     ConnectionsClosed,
-    /// What it serves with has failed.
+    /// A part of the node that it cannot serve without has failed.
     Failed,
 }
 
-/// What is done about a client's connection.
+/// When client connections are closed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CloseMode {
-    /// It stays.
+    /// They are kept open.
     #[default]
     KeepOpen,
-    /// It is closed behind the next answer, when its client is least likely to send.
+    /// Each is closed after its next answer, when its client is least likely to be sending.
     AfterAnswer,
-    /// It is closed as soon as nothing is owed on it and nothing of a command has come.
+    /// Each is closed as soon as it has no pending response and no part of a command has arrived.
     WhenIdle,
 }
 
-/// What a node does at a time.
+/// How a node behaves at one time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct ServiceMode {
-    /// It takes connections.
+    /// Whether it accepts connections.
     pub accepts_connections: bool,
-    /// It says yes to clients and fronts that ask for it (`PING`).
+    /// Whether it tells clients and load balancers that send `PING` that it is in service.
     pub ping_succeeds: bool,
-    /// It says yes on the second address.
+    /// Whether it reports itself healthy on the admin address.
     pub healthy: bool,
-    /// What is done about connections.
+    /// When it closes connections.
     pub close_mode: CloseMode,
-    /// It is over.
+    /// Whether it has ended.
     pub ended: bool,
 }
 
-/// Why an event changes nothing.
+/// Why an event was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventRefused {
-    /// It is not ready yet.
+    /// The node is not ready yet.
     Starting,
-    /// It is ending and can't be called back.
-    Ending,
+    /// The node is shutting down, which cannot be undone.
+    ShuttingDown,
 }
 
 impl fmt::Display for EventRefused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             EventRefused::Starting => "it is still starting; ask again once it is ready",
-            EventRefused::Ending => "it is ending and takes nobody back; start it anew",
+            EventRefused::ShuttingDown => "it is ending and takes nobody back; start it anew",
         })
     }
 }
 
 impl std::error::Error for EventRefused {}
 
-/// A node's life.
+/// The lifecycle of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lifecycle {
     state: State,
@@ -131,21 +134,21 @@
 }
 
 impl Lifecycle {
-    /// One that starts.
+    /// Creates the lifecycle of a node that starts.
     pub fn new(timings: PhaseTimings) -> Lifecycle {
         Lifecycle { state: State::Starting, timings }
     }
 
-    /// What has become of it. Time alone ends it; see [`Lifecycle::service_mode`].
+    /// The state as of the last event. A shutdown that reaches its time limit shows only in [`Lifecycle::service_mode`].
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Tells what happens. What has been done already is done once more without effect: to leave twice does not
-    /// begin anew, to join in service changes nothing, a second word to stop is as the first.
+    /// Handles an event. Repeated events have no effect: leaving twice does not start the delays anew, joining while in
+    /// service changes nothing, and a second stop is ignored.
     ///
     /// # Errors
-    /// If it can't be done in this state; nothing has changed then.
+    /// If the event is not possible in this state, which is unchanged then.
     pub fn handle(&mut self, now: Micros, event: Event) -> Result<(), EventRefused> {
         self.state = match (self.state, event) {
             (_, Event::Failed) => State::Ended,
@@ -158,7 +161,7 @@
                 State::ShuttingDown { since: now, address_shared }
             }
             (State::ShuttingDown { .. } | State::Ended, Event::Leave | Event::Join) => {
-                return Err(EventRefused::Ending);
+                return Err(EventRefused::ShuttingDown);
             }
             (State::ShuttingDown { .. }, Event::ConnectionsClosed)
                 if !self.service_mode(now).accepts_connections =>
@@ -170,16 +173,16 @@
         Ok(())
     }
 
-    /// What it does at a time.
+    /// How the node behaves at this time.
     pub fn service_mode(&self, now: Micros) -> ServiceMode {
         let PhaseTimings {
             accept_grace,
-            leave_close_after_answer,
-            leave_close_idle,
-            shutdown_close_idle,
+            leave_after_answer_delay,
+            leave_when_idle_delay,
+            shutdown_when_idle_delay,
             shutdown_timeout,
         } = self.timings;
-        let past = |since: Micros, term: Micros| now >= since.saturating_add(term);
+        let elapsed = |since: Micros, delay: Micros| now >= since.saturating_add(delay);
         match self.state {
             State::Starting => ServiceMode::default(),
             State::Serving => ServiceMode {
@@ -188,24 +191,24 @@
                 healthy: true,
                 ..ServiceMode::default()
             },
-            // It listens on: fronts ask for it, and it may join again.
+            // It keeps accepting: load balancers check whether it is in service, and it may join again.
             State::Leaving(since) => {
-                let close_mode = match (past(since, leave_close_after_answer), past(since, leave_close_idle))
-                {
-                    (_, true) => CloseMode::WhenIdle,
-                    (true, _) => CloseMode::AfterAnswer,
-                    _ => CloseMode::KeepOpen,
-                };
+                let close_mode =
+                    match (elapsed(since, leave_after_answer_delay), elapsed(since, leave_when_idle_delay)) {
+                        (_, true) => CloseMode::WhenIdle,
+                        (true, _) => CloseMode::AfterAnswer,
+                        _ => CloseMode::KeepOpen,
+                    };
                 ServiceMode { accepts_connections: true, close_mode, ..ServiceMode::default() }
             }
-            State::ShuttingDown { since, .. } if past(since, shutdown_timeout) => {
+            State::ShuttingDown { since, .. } if elapsed(since, shutdown_timeout) => {
                 ServiceMode { ended: true, close_mode: CloseMode::WhenIdle, ..ServiceMode::default() }
             }
             State::ShuttingDown { since, address_shared } => ServiceMode {
-                accepts_connections: !address_shared && !past(since, accept_grace),
-                // Who asks the pair on an old connection is told of the pair.
+                accepts_connections: !address_shared && !elapsed(since, accept_grace),
+                // A `PING` on an old connection is answered for both processes together, and the other one serves.
                 ping_succeeds: address_shared,
-                close_mode: if past(since, shutdown_close_idle) {
+                close_mode: if elapsed(since, shutdown_when_idle_delay) {
                     CloseMode::WhenIdle
                 } else {
                     CloseMode::AfterAnswer
@@ -218,7 +221,7 @@
         }
     }
 
-    /// When it ends at the latest, once it was told to.
+    /// When the node ends at the latest, if it is shutting down.
     pub fn shutdown_deadline(&self) -> Option<Micros> {
         match self.state {
             State::ShuttingDown { since, .. } => Some(since.saturating_add(self.timings.shutdown_timeout)),
@@ -226,27 +229,29 @@
         }
     }
 
-    /// When its bearing next changes by time alone.
+    /// When the service mode next changes if no event occurs.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let PhaseTimings {
             accept_grace,
-            leave_close_after_answer,
-            leave_close_idle,
-            shutdown_close_idle,
+            leave_after_answer_delay,
+            leave_when_idle_delay,
+            shutdown_when_idle_delay,
             shutdown_timeout,
         } = self.timings;
-        let (since, terms) = match self.state {
-            State::Leaving(since) => (since, [leave_close_after_answer, leave_close_idle, leave_close_idle]),
+        let (since, delays) = match self.state {
+            State::Leaving(since) => {
+                (since, [leave_after_answer_delay, leave_when_idle_delay, leave_when_idle_delay])
+            }
             State::ShuttingDown { since, .. } => {
-                (since, [accept_grace, shutdown_close_idle, shutdown_timeout])
+                (since, [accept_grace, shutdown_when_idle_delay, shutdown_timeout])
             }
             State::Starting | State::Serving | State::Ended => return None,
         };
-        terms.into_iter().map(|term| since.saturating_add(term)).filter(|&at| at > now).min()
+        delays.into_iter().map(|delay| since.saturating_add(delay)).filter(|&at| at > now).min()
     }
 }
 
-/// The word for a state, for logs and answers.
+/// The state as shown in logs and in answers on the admin address.
 impl fmt::Display for State {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/lilacquay/src/lifecycle.rs
+++ b/crates/lilacquay/src/lifecycle.rs
@@ -43,9 +43,9 @@
         let micros = |time: Duration| time.as_micros() as u64;
         let terms = PhaseTimings {
             accept_grace: micros(STILL_ACCEPTING),
-            leave_close_after_answer: micros(LEAVE_SOFTLY),
-            leave_close_idle: micros(LEAVE_IDLE),
-            shutdown_close_idle: micros(if shared { FINISH_IDLE_SHARED } else { STILL_ACCEPTING }),
+            leave_after_answer_delay: micros(LEAVE_SOFTLY),
+            leave_when_idle_delay: micros(LEAVE_IDLE),
+            shutdown_when_idle_delay: micros(if shared { FINISH_IDLE_SHARED } else { STILL_ACCEPTING }),
             shutdown_timeout: micros(longest.min(LONGEST_GRANTED) + LAST_WRITES),
         };
         let life = Mutex::new(Lifecycle::new(terms));
