--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Accepts the connections in the backlog and none after them. Uses the blocking-API socket so that the kernel is
-    /// asked directly: the runtime, woken by a timer or a signal, may not have learned of them yet.
+    /// Accepts the connections in the backlog and none after them. Takes the listener out of the runtime, so that each
+    /// accept asks the kernel directly: the runtime, woken by a timer or a signal, may not have learned of them yet.
     async fn accept_backlog<P: Protocol>(&self, listener: TcpListener, protocol: &impl Fn() -> P) {
         let Ok(listener) = listener.into_std() else { return };
         let mut policy = AcceptPolicy::for_closing_listener(Instant::now());
--- a/crates/upstreams/src/http.rs
+++ b/crates/upstreams/src/http.rs
@@ -110,7 +110,8 @@
         Verb::Delete => Method::DELETE,
     };
     let mut builder = Request::builder();
-    // RFC 9110, sections 13.1.1 and 13.1.2: "If-Match: *" requires that a value exists, "If-None-Match: *" that none does.
+    // RFC 9110, sections 13.1.1 and 13.1.2: "If-Match: *" requires that a value exists, "If-None-Match: *" that none
+    // does.
     match call.verb {
         Verb::Add => builder = builder.header(IF_NONE_MATCH, "*"),
         Verb::Replace => builder = builder.header(IF_MATCH, "*"),
