--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,8 +1,9 @@
-//! A node's life: what it answers to those who ask for it, whether it takes connections, and when it closes them.
+//! The lifecycle of a node as a state machine: starting, serving, leaving service, shutting down.
 //!
-//! [`Life`] is told what happens, by whatever way it came: a signal, a call on the second address, an operator's
-//! order. What follows at a time stands in its [`Bearing`], a level rather than a series of orders, so that nothing
-//! is lost between two who act on it. No I/O, no clock, no thread: the time is handed in, in microseconds.
+//! [`Lifecycle`] handles events, whether they come from a signal, a call on the admin address or an operator's order. The
+//! resulting [`ServiceMode`] says whether the node accepts connections, how it answers health checks, and when it closes
+//! connections. It is a level rather than a series of commands, so that a reader that misses a change loses nothing. No
+//! I/O, no clock and no thread: the caller passes times in, in microseconds.
 //!
 //! ```text
 //!              Ready            Leave
@@ -11,220 +12,254 @@
 //!     │                  └──┼──────────────┘
 //!     │ Stop           Stop │              │ Stop
 //!     ▼                     ▼              ▼
-//!   Ended ◄────────────── Finishing ◄──────┘
-//!            Empty, or its time is over
+//!   Ended ◄───────────── ShuttingDown ◄────┘
+//!        ConnectionsClosed, or timeout
 //! ```
+//!
+//! `Failed` leads from any state to `Ended`.
 
 use std::fmt;
 
-/// A time or a length of time, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// How long each step takes, in microseconds.
+/// The delays and time limits of the phases, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// After word to stop, connections that are on their way are still taken for so long, where no other process
-    /// takes them.
-    pub accept_on: Micros,
-    /// While it leaves, connections are closed behind their answers from here on ...
-    pub leave_softly: Micros,
-    /// ... and those without a request from here on.
-    pub leave_idle: Micros,
-    /// After word to stop, connections without a request are closed from here on.
-    pub finish_idle: Micros,
-    /// After word to stop, it ends by then, whatever is open.
-    pub finish: Micros,
+pub struct PhaseTimings {
+    /// How long a node that was told to stop still accepts connections that are in transit, unless another process
+    /// accepts them.
+    pub accept_grace: Micros,
+    /// From when a node leaves service until it closes connections after their next answer.
+    pub leave_after_answer_delay: Micros,
+    /// From when a node leaves service until it closes idle connections.
+    pub leave_when_idle_delay: Micros,
+    /// From when a node is told to stop until it closes idle connections.
+    pub shutdown_when_idle_delay: Micros,
+    /// From when a node is told to stop until it ends, whatever is open then.
+    pub shutdown_timeout: Micros,
 }
 
-/// What has become of a node.
+/// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Not yet ready: it takes nobody.
+    /// Not ready yet: it accepts no connections.
     Starting,
     /// In service.
     Serving,
-    /// Told to leave, since then; it may be told to join again.
+    /// Leaving service since this time; it may be told to join again.
     Leaving(Micros),
-    /// Told to stop, since then: it answers what it has taken.
-    Finishing {
-        /// When it was told.
+    /// Told to stop: it answers the requests it has read, then ends.
+    ShuttingDown {
+        /// When it was told to stop.
         since: Micros,
-        /// Whether another process takes connections at the same address.
-        shared: bool,
+        /// Whether another process accepts connections at the same address.
+        address_shared: bool,
     },
-    /// Over.
+    /// Ended; the process exits.
     Ended,
 }
 
-/// What happens to a node.
+/// An event in the life of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// All of it runs.
+    /// All parts of the node are running.
     Ready,
-    /// It is to leave service, and goes on running.
+    /// The node is to leave service and keep running.
     Leave,
-    /// It is to be in service again.
+    /// The node is to be in service again.
     Join,
-    /// It is to end. `shared`: another process takes connections at the same address.
+    /// The node is to end.
     Stop {
-        /// Whether connections still to come are another's.
-        shared: bool,
+        /// Whether another process accepts connections at the same address; those still to come are left to it.
+        address_shared: bool,
     },
-    /// No connection is left, and none is taken any more.
-    Empty,
-    /// What it serves with has failed.
-    Fail,
+    /// No connection is left, and none is accepted any more.
+    ConnectionsClosed,
+    /// A part of the node that it cannot serve without has failed.
+    Failed,
 }
 
-/// What is done about a client's connection.
+/// When client connections are closed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Manner {
-    /// It stays.
+pub enum CloseMode {
+    /// They are kept open.
     #[default]
-    Stay,
-    /// It is closed behind the next answer, when its client is least likely to send.
-    BehindAnswer,
-    /// It is closed as soon as nothing is owed on it and nothing of a command has come.
-    Idle,
+    KeepOpen,
+    /// Each is closed after its next answer, when its client is least likely to be sending.
+    AfterAnswer,
+    /// Each is closed as soon as it has no pending response and no part of a command has arrived.
+    WhenIdle,
 }
 
-/// What a node does at a time.
+/// How a node behaves at one time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Bearing {
-    /// It takes connections.
-    pub accepts: bool,
-    /// It says yes to clients and fronts that ask for it (`PING`).
-    pub says_yes: bool,
-    /// It says yes on the second address.
+pub struct ServiceMode {
+    /// Whether it accepts connections.
+    pub accepts_connections: bool,
+    /// Whether it tells clients and load balancers that send `PING` that it is in service.
+    pub ping_succeeds: bool,
+    /// Whether it reports itself healthy on the admin address.
     pub healthy: bool,
-    /// What is done about connections.
-    pub manner: Manner,
-    /// It is over.
+    /// When it closes connections.
+    pub close_mode: CloseMode,
+    /// Whether it has ended.
     pub ended: bool,
 }
 
-/// Why an event changes nothing.
+/// Why an event was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
-    /// It is not ready yet.
+pub enum EventRefused {
+    /// The node is not ready yet.
     Starting,
-    /// It is ending and can't be called back.
-    Ending,
+    /// The node is shutting down, which cannot be undone.
+    ShuttingDown,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for EventRefused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refused::Starting => "it is still starting; ask again once it is ready",
-            Refused::Ending => "it is ending and takes nobody back; start it anew",
+            EventRefused::Starting => "it is still starting; ask again once it is ready",
+            EventRefused::ShuttingDown => "it is ending and takes nobody back; start it anew",
         })
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for EventRefused {}
 
-/// A node's life.
+/// The lifecycle of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct Lifecycle {
     state: State,
-    terms: Terms,
+    timings: PhaseTimings,
 }
 
-impl Life {
-    /// One that starts.
-    pub fn new(terms: Terms) -> Life {
-        Life { state: State::Starting, terms }
+impl Lifecycle {
+    /// Creates the lifecycle of a node that starts.
+    pub fn new(timings: PhaseTimings) -> Lifecycle {
+        Lifecycle { state: State::Starting, timings }
     }
 
-    /// What has become of it. Time alone ends it; see [`Life::bearing`].
+    /// The state as of the last event. A shutdown that reaches its time limit shows only in [`Lifecycle::service_mode`].
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Tells what happens. What has been done already is done once more without effect: to leave twice does not
-    /// begin anew, to join in service changes nothing, a second word to stop is as the first.
+    /// Handles an event. Repeated events have no effect: leaving twice does not start the delays anew, joining while in
+    /// service changes nothing, and a second stop is ignored.
     ///
     /// # Errors
-    /// If it can't be done in this state; nothing has changed then.
-    pub fn on(&mut self, now: Micros, event: Event) -> Result<(), Refused> {
+    /// If the event is not possible in this state, which is unchanged then.
+    pub fn handle(&mut self, now: Micros, event: Event) -> Result<(), EventRefused> {
         self.state = match (self.state, event) {
-            (_, Event::Fail) => State::Ended,
+            (_, Event::Failed) => State::Ended,
             (State::Starting, Event::Ready) => State::Serving,
-            (State::Starting, Event::Leave | Event::Join) => return Err(Refused::Starting),
+            (State::Starting, Event::Leave | Event::Join) => return Err(EventRefused::Starting),
             (State::Starting, Event::Stop { .. }) => State::Ended,
             (State::Serving, Event::Leave) => State::Leaving(now),
             (State::Leaving(_), Event::Join) => State::Serving,
-            (State::Serving | State::Leaving(_), Event::Stop { shared }) => {
-                State::Finishing { since: now, shared }
+            (State::Serving | State::Leaving(_), Event::Stop { address_shared }) => {
+                State::ShuttingDown { since: now, address_shared }
+            }
+            (State::ShuttingDown { .. } | State::Ended, Event::Leave | Event::Join) => {
+                return Err(EventRefused::ShuttingDown);
             }
-            (State::Finishing { .. } | State::Ended, Event::Leave | Event::Join) => {
-                return Err(Refused::Ending);
+            (State::ShuttingDown { .. }, Event::ConnectionsClosed)
+                if !self.service_mode(now).accepts_connections =>
+            {
+                State::Ended
             }
-            (State::Finishing { .. }, Event::Empty) if !self.bearing(now).accepts => State::Ended,
             (state, _) => state,
         };
         Ok(())
     }
 
-    /// What it does at a time.
-    pub fn bearing(&self, now: Micros) -> Bearing {
-        let Terms { accept_on, leave_softly, leave_idle, finish_idle, finish } = self.terms;
-        let past = |since: Micros, term: Micros| now >= since.saturating_add(term);
+    /// How the node behaves at this time.
+    pub fn service_mode(&self, now: Micros) -> ServiceMode {
+        let PhaseTimings {
+            accept_grace,
+            leave_after_answer_delay,
+            leave_when_idle_delay,
+            shutdown_when_idle_delay,
+            shutdown_timeout,
+        } = self.timings;
+        let elapsed = |since: Micros, delay: Micros| now >= since.saturating_add(delay);
         match self.state {
-            State::Starting => Bearing::default(),
-            State::Serving => Bearing { accepts: true, says_yes: true, healthy: true, ..Bearing::default() },
-            // It listens on: fronts ask for it, and it may join again.
+            State::Starting => ServiceMode::default(),
+            State::Serving => ServiceMode {
+                accepts_connections: true,
+                ping_succeeds: true,
+                healthy: true,
+                ..ServiceMode::default()
+            },
+            // It keeps accepting: load balancers check whether it is in service, and it may join again.
             State::Leaving(since) => {
-                let manner = match (past(since, leave_softly), past(since, leave_idle)) {
-                    (_, true) => Manner::Idle,
-                    (true, _) => Manner::BehindAnswer,
-                    _ => Manner::Stay,
-                };
-                Bearing { accepts: true, manner, ..Bearing::default() }
+                let close_mode =
+                    match (elapsed(since, leave_after_answer_delay), elapsed(since, leave_when_idle_delay)) {
+                        (_, true) => CloseMode::WhenIdle,
+                        (true, _) => CloseMode::AfterAnswer,
+                        _ => CloseMode::KeepOpen,
+                    };
+                ServiceMode { accepts_connections: true, close_mode, ..ServiceMode::default() }
             }
-            State::Finishing { since, .. } if past(since, finish) => {
-                Bearing { ended: true, manner: Manner::Idle, ..Bearing::default() }
+            State::ShuttingDown { since, .. } if elapsed(since, shutdown_timeout) => {
+                ServiceMode { ended: true, close_mode: CloseMode::WhenIdle, ..ServiceMode::default() }
             }
-            State::Finishing { since, shared } => Bearing {
-                accepts: !shared && !past(since, accept_on),
-                // Who asks the pair on an old connection is told of the pair.
-                says_yes: shared,
-                manner: if past(since, finish_idle) { Manner::Idle } else { Manner::BehindAnswer },
-                ..Bearing::default()
+            State::ShuttingDown { since, address_shared } => ServiceMode {
+                accepts_connections: !address_shared && !elapsed(since, accept_grace),
+                // A `PING` on an old connection is answered for both processes together, and the other one serves.
+                ping_succeeds: address_shared,
+                close_mode: if elapsed(since, shutdown_when_idle_delay) {
+                    CloseMode::WhenIdle
+                } else {
+                    CloseMode::AfterAnswer
+                },
+                ..ServiceMode::default()
             },
-            State::Ended => Bearing { ended: true, manner: Manner::Idle, ..Bearing::default() },
+            State::Ended => {
+                ServiceMode { ended: true, close_mode: CloseMode::WhenIdle, ..ServiceMode::default() }
+            }
         }
     }
 
-    /// When it ends at the latest, once it was told to.
-    pub fn ends(&self) -> Option<Micros> {
+    /// When the node ends at the latest, if it is shutting down.
+    pub fn shutdown_deadline(&self) -> Option<Micros> {
         match self.state {
-            State::Finishing { since, .. } => Some(since.saturating_add(self.terms.finish)),
+            State::ShuttingDown { since, .. } => Some(since.saturating_add(self.timings.shutdown_timeout)),
             State::Starting | State::Serving | State::Leaving(_) | State::Ended => None,
         }
     }
 
-    /// When its bearing next changes by time alone.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
-        let Terms { accept_on, leave_softly, leave_idle, finish_idle, finish } = self.terms;
-        let (since, terms) = match self.state {
-            State::Leaving(since) => (since, [leave_softly, leave_idle, leave_idle]),
-            State::Finishing { since, .. } => (since, [accept_on, finish_idle, finish]),
+    /// When the service mode next changes if no event occurs.
+    pub fn next_change(&self, now: Micros) -> Option<Micros> {
+        let PhaseTimings {
+            accept_grace,
+            leave_after_answer_delay,
+            leave_when_idle_delay,
+            shutdown_when_idle_delay,
+            shutdown_timeout,
+        } = self.timings;
+        let (since, delays) = match self.state {
+            State::Leaving(since) => {
+                (since, [leave_after_answer_delay, leave_when_idle_delay, leave_when_idle_delay])
+            }
+            State::ShuttingDown { since, .. } => {
+                (since, [accept_grace, shutdown_when_idle_delay, shutdown_timeout])
+            }
             State::Starting | State::Serving | State::Ended => return None,
         };
-        terms.into_iter().map(|term| since.saturating_add(term)).filter(|&at| at > now).min()
+        delays.into_iter().map(|delay| since.saturating_add(delay)).filter(|&at| at > now).min()
     }
 }
 
-/// The word for a state, for logs and answers.
+/// The state as shown in logs and in answers on the admin address.
 impl fmt::Display for State {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             State::Starting => "starting",
             State::Serving => "in service",
             State::Leaving(_) => "leaving",
-            State::Finishing { shared: false, .. } => "finishing",
-            State::Finishing { shared: true, .. } => "finishing, another process serves",
+            State::ShuttingDown { address_shared: false, .. } => "finishing",
+            State::ShuttingDown { address_shared: true, .. } => "finishing, another process serves",
             State::Ended => "over",
         })
     }
