--- a/crates/fronts/src/accept_policy.rs
+++ b/crates/fronts/src/accept_policy.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::time::Duration;
 
-use lilacquay_core::is_own_shortage;
+use lilacquay_core::is_local_resource_exhaustion;
 use tokio::time::Instant;
 
 use crate::connection_limiter::{EvictionScope, Micros, eviction_scope};
@@ -33,7 +33,7 @@
     fn from(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::WouldBlock => AcceptFailure::BacklogEmpty,
-            _ if is_own_shortage(error) => AcceptFailure::ResourceShortage,
+            _ if is_local_resource_exhaustion(error) => AcceptFailure::ResourceShortage,
             _ => AcceptFailure::ConnectionFailed,
         }
     }
--- a/crates/fronts/src/memcache/command_rules.rs
+++ b/crates/fronts/src/memcache/command_rules.rs
@@ -5,7 +5,7 @@
 
 use std::str;
 
-use lilacquay_core::{Micros, Terms};
+use lilacquay_core::{Micros, StoreOptions};
 use xxhash_rust::xxh3::Xxh3;
 
 /// A class or a tenant of the settings.
@@ -97,7 +97,7 @@
         key: &'a str,
         cas: u64,
         is_write: bool,
-        terms: Terms,
+        terms: StoreOptions,
     ) -> Result<CommandFacts<'a>, UnsupportedCas> {
         if cas != 0 && self.repeats != RepeatMarker::Cas {
             return Err(UnsupportedCas);
@@ -189,24 +189,24 @@
     fn a_rule_derives_the_facts_that_servers_are_sent() {
         let tenant = Some(NamedIndex { name: "acme".into(), index: 0 });
         let rule = CommandRule { tenant, repeats: RepeatMarker::Suffix("#".into()), ..rule("") };
-        let read = rule.command_facts(None, "a#1", 0, false, Terms::default()).unwrap();
+        let read = rule.command_facts(None, "a#1", 0, false, StoreOptions::default()).unwrap();
         assert_eq!((read.key, &*read.text), ("a#1", "c=lookup,t=acme,d=481"));
-        let write = rule.command_facts(None, "a#1", 0, true, Terms::default()).unwrap();
+        let write = rule.command_facts(None, "a#1", 0, true, StoreOptions::default()).unwrap();
         let key = write.idempotency_key.clone().unwrap();
         assert_eq!((write.key, write.text), ("a", format!("c=signup,t=acme,d=481,k={key}")));
         for unmarked in ["a", "a#", "#1"] {
-            let facts = rule.command_facts(None, unmarked, 0, true, Terms::default()).unwrap();
+            let facts = rule.command_facts(None, unmarked, 0, true, StoreOptions::default()).unwrap();
             assert_eq!((facts.key, facts.idempotency_key), (unmarked, None));
         }
-        assert_eq!(rule.command_facts(None, "a", 7, true, Terms::default()), Err(UnsupportedCas));
-        let terms = Terms { flags: 3, expiry: 60 };
+        assert_eq!(rule.command_facts(None, "a", 7, true, StoreOptions::default()), Err(UnsupportedCas));
+        let terms = StoreOptions { flags: 3, expiry: 60 };
         let rule = CommandRule { repeats: RepeatMarker::Unmarked, ..rule };
         let facts = rule.command_facts(None, "a", 0, true, terms).unwrap().text;
         assert_eq!(facts, "c=signup,t=acme,d=481,flags=3,expiry=60");
         let rule = CommandRule { read_class: None, client_timeout_us: 1, ..rule };
         assert_eq!(
             CommandRule { tenant: None, ..rule }
-                .command_facts(None, "a", 0, false, Terms::default())
+                .command_facts(None, "a", 0, false, StoreOptions::default())
                 .unwrap()
                 .text,
             "d=1"
@@ -217,7 +217,7 @@
     fn a_repeat_has_the_same_idempotency_key_and_no_other_write_has_it() {
         let rule = CommandRule { repeats: RepeatMarker::Cas, ..rule("") };
         let key = |user, key, cas| {
-            rule.command_facts(user, key, cas, true, Terms::default()).unwrap().idempotency_key
+            rule.command_facts(user, key, cas, true, StoreOptions::default()).unwrap().idempotency_key
         };
         assert_eq!(key(None, "a", 0), None);
         assert_eq!(key(Some("ann"), "a", 7), key(Some("ann"), "a", 7));
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -14,7 +14,10 @@
 
 use bytes::{Bytes, BytesMut};
 use lilacquay_codec::memcache::{self, KEY_LIMIT, Opcode, Packet, Status, next_request};
-use lilacquay_core::{Answer, Call, CallError, Gauges, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
+use lilacquay_core::{
+    Answer, Call, CallError, Gauges, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult,
+    StoreOptions, Verb,
+};
 
 use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 use command_rules::{CommandRules, UnsupportedCas};
@@ -105,7 +108,7 @@
 
 impl Protocol for MemcacheProtocol {
     type ReplyContext = ReplyContext;
-    const MAX_COMMAND_BYTES: usize = WRITE_LIMIT + VALUE_LIMIT;
+    const MAX_COMMAND_BYTES: usize = MAX_WRITE_VALUE_BYTES + MAX_BUFFERED_VALUE_BYTES;
     /// A series of quiet commands is the protocol's own way to ask for many keys at once. Beyond the session's limit on
     /// pending responses, further commands stay unread.
     const MAX_OPEN_REQUESTS: usize = usize::MAX;
@@ -144,25 +147,27 @@
             ..Packet::new(opcode, opaque)
         };
         let packet = match answer {
-            Answer::Served(Made::Value { bytes, flags }) if verb == Verb::Get => {
+            Answer::Served(OperationResult::Value { bytes, flags }) if verb == Verb::Get => {
                 let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
                 Packet { extras, key, value: bytes, ..Packet::new(opcode, opaque) }
             }
             // Quiet commands get no answer to a miss, nor to a write that succeeds (see the protocol's sections "Get"
             // and "Set").
-            Answer::Served(Made::Absent) if verb == Verb::Get && quiet => return,
-            Answer::Served(Made::Value { .. }) if quiet => return,
-            Answer::Served(Made::Value { .. }) => Packet::new(opcode, opaque),
-            Answer::Served(Made::Absent) if !key.is_empty() => {
+            Answer::Served(OperationResult::Absent) if verb == Verb::Get && quiet => return,
+            Answer::Served(OperationResult::Value { .. }) if quiet => return,
+            Answer::Served(OperationResult::Value { .. }) => Packet::new(opcode, opaque),
+            Answer::Served(OperationResult::Absent) if !key.is_empty() => {
                 Packet { status: Status::KEY_NOT_FOUND.0, key, ..Packet::new(opcode, opaque) }
             }
-            Answer::Served(Made::Absent) => with_status(Status::KEY_NOT_FOUND, "Not found".into()),
-            Answer::Served(Made::Exists) => with_status(Status::KEY_EXISTS, "Data exists for key".into()),
+            Answer::Served(OperationResult::Absent) => with_status(Status::KEY_NOT_FOUND, "Not found".into()),
+            Answer::Served(OperationResult::Exists) => {
+                with_status(Status::KEY_EXISTS, "Data exists for key".into())
+            }
             Answer::Busy(0) => with_status(Status::BUSY, "BUSY".into()),
             Answer::Busy(retry_after) => {
                 with_status(Status::BUSY, format!("BUSY {}", retry_after.div_ceil(1000)))
             }
-            Answer::Failed | Answer::Begun(_) => with_status(Status::INTERNAL_ERROR, "failed".into()),
+            Answer::Failed | Answer::Streaming(_) => with_status(Status::INTERNAL_ERROR, "failed".into()),
         };
         packet.put_response(out);
     }
@@ -264,8 +269,8 @@
             Call::new(facts.key.to_owned(), id.into(), facts.text.into(), value, rule.client_timeout_us)?;
         call.class = class.as_ref().map(|class| class.index);
         call.tenant = rule.tenant.as_ref().map(|tenant| tenant.index);
-        call.idempotency = facts.idempotency_key.map(Bytes::from);
-        (call.verb, call.terms) = (verb, terms);
+        call.idempotency_key = facts.idempotency_key.map(Bytes::from);
+        (call.verb, call.store_options) = (verb, terms);
         let key = match opcode {
             Opcode::GetK | Opcode::GetKQ => Bytes::copy_from_slice(&packet.key),
             _ => Bytes::new(),
@@ -274,14 +279,14 @@
     }
 
     /// The flags and expiry of a write; an error if the servers do not support what the command asks for.
-    fn terms(&self, verb: Verb, extras: &[u8]) -> Result<Terms, CommandError> {
+    fn terms(&self, verb: Verb, extras: &[u8]) -> Result<StoreOptions, CommandError> {
         let capabilities = self.frontend.capabilities;
         if matches!(verb, Verb::Add | Verb::Replace | Verb::Delete) && !capabilities.conditions {
             return Err(CommandError(Status::NOT_SUPPORTED, "who takes writes here knows no conditions"));
         }
         let field = |at: usize| extras.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
         let number = |at: usize| field(at).map_or(0, u32::from_be_bytes);
-        let terms = Terms { flags: number(0), expiry: number(4) };
+        let terms = StoreOptions { flags: number(0), expiry: number(4) };
         if terms.flags != 0 && !capabilities.flags {
             return Err(CommandError(Status::NOT_SUPPORTED, "flags are not kept here; send 0"));
         }
@@ -304,7 +309,7 @@
             ("time", unix_time.to_string()),
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
             ("total_connections", self.frontend.connection_count.load(Ordering::Relaxed).to_string()),
-            ("lilacquay_requests_open", self.frontend.gauges.open().to_string()),
+            ("lilacquay_requests_open", self.frontend.gauges.open_requests().to_string()),
             ("lilacquay_server_connections", self.frontend.gauges.connections().to_string()),
         ];
         let statistic_packet = |(name, value): (&str, String)| Packet {
@@ -393,7 +398,7 @@
     fn from(error: CallError) -> Self {
         match error {
             CallError::ValueTooLong => CommandError(Status::VALUE_TOO_LARGE, "value over 4 MiB"),
-            CallError::Text => CommandError(Status::INVALID_ARGUMENTS, "wrong arguments"),
+            CallError::InvalidText => CommandError(Status::INVALID_ARGUMENTS, "wrong arguments"),
         }
     }
 }
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -8,7 +8,9 @@
 
 use bytes::{Bytes, BytesMut};
 use lilacquay_codec::resp::{self, Frame, next_frame, put_bulk, put_bulk_header, put_error, put_simple};
-use lilacquay_core::{Answer, Call, CallError, Made, Micros, VALUE_LIMIT, WRITE_LIMIT};
+use lilacquay_core::{
+    Answer, Call, CallError, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, Micros, OperationResult,
+};
 use paddlefold::setup::Names;
 
 use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
@@ -57,14 +59,14 @@
             call.class = Some(self.names.class(class).ok_or(CommandError::UnknownClass)?);
         }
         call.tenant = fact(&facts, "t").and_then(|name| self.names.tenant(name));
-        call.idempotency = fact(&facts, "k").map(|key| Bytes::copy_from_slice(key.as_bytes()));
+        call.idempotency_key = fact(&facts, "k").map(|key| Bytes::copy_from_slice(key.as_bytes()));
         Ok(())
     }
 }
 
 impl Protocol for RespProtocol {
     type ReplyContext = ();
-    const MAX_COMMAND_BYTES: usize = WRITE_LIMIT + VALUE_LIMIT;
+    const MAX_COMMAND_BYTES: usize = MAX_WRITE_VALUE_BYTES + MAX_BUFFERED_VALUE_BYTES;
 
     fn expected_length(&self, buffer: &[u8]) -> usize {
         resp::expected(buffer, Self::MAX_COMMAND_BYTES)
@@ -81,12 +83,14 @@
 
     fn write_answer(&mut self, (): (), answer: Answer, out: &mut BytesMut) {
         match answer {
-            Answer::Served(Made::Value { bytes, .. }) => put_bulk(out, &bytes),
+            Answer::Served(OperationResult::Value { bytes, .. }) => put_bulk(out, &bytes),
             // The origin has no such key.
-            Answer::Served(Made::Absent | Made::Exists) => out.extend_from_slice(b"$-1\r\n"),
+            Answer::Served(OperationResult::Absent | OperationResult::Exists) => {
+                out.extend_from_slice(b"$-1\r\n")
+            }
             Answer::Busy(0) => put_error(out, format_args!("BUSY")),
             Answer::Busy(retry_after) => put_error(out, format_args!("BUSY {}", retry_after.div_ceil(1000))),
-            Answer::Failed | Answer::Begun(_) => put_error(out, format_args!("ERR failed")),
+            Answer::Failed | Answer::Streaming(_) => put_error(out, format_args!("ERR failed")),
         }
     }
 
--- a/crates/fronts/src/responses.rs
+++ b/crates/fronts/src/responses.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lilacquay_core::{Answer, Flow, Pending, Requests};
+use lilacquay_core::{Answer, PendingAnswer, Requests, ValueStream};
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout};
 
@@ -27,7 +27,7 @@
 
 /// A request that waits for its answer.
 pub(crate) struct WaitingRequest<R> {
-    pub pending: Pending,
+    pub pending: PendingAnswer,
     /// What is kept of the command to format its answer.
     pub context: R,
     /// The buffer permits of a long command, released once it is answered.
@@ -37,7 +37,7 @@
 /// A large value, as far as it has arrived.
 pub(crate) struct LargeValue<R> {
     pub context: R,
-    pub flow: Flow,
+    pub flow: ValueStream,
     /// The bytes that have arrived and are not forwarded yet.
     pub buffered: BytesMut,
 }
@@ -46,7 +46,7 @@
 ///
 /// Without this, a value cut off in the middle would end the connection, and the responses behind it would be lost.
 pub(crate) struct BufferedValue<R> {
-    pending: Pending,
+    pending: PendingAnswer,
     value: LargeValue<R>,
     until: Instant,
     _permits: OwnedSemaphorePermit,
@@ -54,7 +54,7 @@
 
 impl<R> BufferedValue<R> {
     /// Starts to buffer a value under these permits.
-    pub fn new(pending: Pending, context: R, flow: Flow, permits: OwnedSemaphorePermit) -> Self {
+    pub fn new(pending: PendingAnswer, context: R, flow: ValueStream, permits: OwnedSemaphorePermit) -> Self {
         let value = LargeValue { context, flow, buffered: BytesMut::new() };
         BufferedValue { pending, value, until: Instant::now() + VALUE_BUFFERING_TIMEOUT, _permits: permits }
     }
@@ -67,7 +67,7 @@
                 Ok(Some(piece)) => buffered.extend_from_slice(&piece.bytes),
                 Ok(None) => return BufferingResult::Truncated,
                 // The responses behind it have no more time than the process has.
-                Err(_) if requests.are_over() => return BufferingResult::Truncated,
+                Err(_) if requests.is_shutting_down() => return BufferingResult::Truncated,
                 // A value that has stalled fails in time by itself; until then nothing of it is forwarded.
                 Err(_) => continue,
             }
@@ -134,7 +134,7 @@
     }
 
     /// The pending requests among the responses.
-    pub fn requests(&self) -> impl Iterator<Item = &Pending> {
+    pub fn requests(&self) -> impl Iterator<Item = &PendingAnswer> {
         self.0.iter().filter_map(|response| match response {
             Response::Ready(_) => None,
             Response::Waiting(request) => Some(&request.pending),
--- a/crates/fronts/src/session.rs
+++ b/crates/fronts/src/session.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bytes::BytesMut;
-use lilacquay_core::{Answer, Call, Flow, stall};
+use lilacquay_core::{Answer, Call, ValueStream, stall};
 use lilacquay_stream::Stream;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -73,7 +73,7 @@
 impl<P: Protocol> Drop for Session<P> {
     /// Reports the requests of a session that has not run to its end as left without an answer.
     fn drop(&mut self) {
-        self.responses.requests().for_each(|pending| self.shared.requests.left_unanswered(pending));
+        self.responses.requests().for_each(|pending| self.shared.requests.record_closed_unanswered(pending));
     }
 }
 
@@ -207,7 +207,7 @@
             just_answered,
             malformed_at: self.malformed_at,
             quit_requested: self.quit_requested,
-            process_ending: self.shared.requests.are_over(),
+            process_ending: self.shared.requests.is_shutting_down(),
             long_command,
         }
     }
@@ -235,8 +235,8 @@
     /// Records that bytes were read. Bytes that lay unread for a while count as arrived when they were first noticed.
     fn received(&mut self, read: usize, unread_since: &mut Option<Instant>) {
         self.last_read_at = Instant::now();
-        stall::mark(None);
-        self.arrived_at = unread_since.unwrap_or(stall::arrival(self.last_read_at));
+        stall::record_activity(None);
+        self.arrived_at = unread_since.unwrap_or(stall::estimated_arrival(self.last_read_at));
         if self.buffer.len() < self.buffer.capacity() {
             *unread_since = None; // the read left spare capacity, so nothing is left to read
         }
@@ -286,7 +286,12 @@
     }
 
     /// Writes the rest of a large value as it arrives; its first `written` bytes have been written before.
-    async fn forward_value(&mut self, writer: &mut Stream, mut flow: Flow, written: usize) -> io::Result<()> {
+    async fn forward_value(
+        &mut self,
+        writer: &mut Stream,
+        mut flow: ValueStream,
+        written: usize,
+    ) -> io::Result<()> {
         let mut left = flow.length().saturating_sub(written);
         while left > 0 {
             // An incomplete value must not look complete: the client sees the connection end.
@@ -309,7 +314,7 @@
             match response {
                 NextResponse::Ready(ready) if text.is_empty() => text = ready,
                 NextResponse::Ready(ready) => text.extend_from_slice(&ready),
-                NextResponse::Answer(request, Answer::Begun(flow)) => {
+                NextResponse::Answer(request, Answer::Streaming(flow)) => {
                     match self.start_large_value(request, flow, &mut text) {
                         LargeValueStart::Forward(value) => return (text, Some(value)),
                         LargeValueStart::Buffer => return (text, None),
@@ -342,7 +347,7 @@
     fn start_large_value(
         &mut self,
         request: WaitingRequest<P::ReplyContext>,
-        flow: Flow,
+        flow: ValueStream,
         text: &mut BytesMut,
     ) -> LargeValueStart<P::ReplyContext> {
         let WaitingRequest { pending, context, .. } = request;
@@ -362,7 +367,7 @@
 
     /// Whether another command may be started.
     fn may_start_command(&self) -> bool {
-        let has_room = || self.shared.requests.have_room();
+        let has_room = || self.shared.requests.has_memory();
         self.malformed_at.is_none()
             && !self.quit_requested
             && self.responses.len() < MAX_PENDING_RESPONSES
@@ -443,7 +448,7 @@
                 Response::Waiting(WaitingRequest { pending, context, _permits: permits })
             }
             Err(refusal) => {
-                self.shared.requests.not_begun(class);
+                self.shared.requests.record_failed_before_open(class);
                 let mut text = BytesMut::new();
                 self.protocol.write_refusal(context, refusal, &mut text);
                 Response::Ready(text)
--- a/crates/fronts/src/shared.rs
+++ b/crates/fronts/src/shared.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use lilacquay_core::{Gauges, Portion, Requests, VALUE_LIMIT};
+use lilacquay_core::{Gauges, MAX_BUFFERED_VALUE_BYTES, Requests, ResourceShare};
 use lilacquay_lifecycle::ServiceMode;
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::task::TaskTracker;
@@ -10,7 +10,7 @@
 use crate::idle_connections::IdleConnections;
 
 /// Bytes of large buffers that one permit stands for: most commands that need a large buffer need one permit.
-pub(crate) const BYTES_PER_PERMIT: usize = 2 * VALUE_LIMIT;
+pub(crate) const BYTES_PER_PERMIT: usize = 2 * MAX_BUFFERED_VALUE_BYTES;
 
 /// Limits on the resources of a node that its clients may hold.
 #[derive(Clone)]
@@ -24,7 +24,7 @@
     /// Bytes for large buffers.
     pub buffer_bytes: usize,
     /// This process's portion of the connection limits.
-    pub portion: Portion,
+    pub portion: ResourceShare,
 }
 
 impl ClientLimits {
--- a/crates/fronts/src/socket.rs
+++ b/crates/fronts/src/socket.rs
@@ -73,7 +73,7 @@
         if stream.peek(&mut [0]).await? == 0 {
             return Ok(());
         }
-        unread_since.get_or_insert_with(|| stall::arrival(Instant::now()));
+        unread_since.get_or_insert_with(|| stall::estimated_arrival(Instant::now()));
         // The end of the stream may follow input that is not read yet.
         if stream.socket().ready(Interest::READABLE).await?.is_read_closed() {
             return Ok(());
@@ -96,7 +96,7 @@
         return read(reader, buffer, expected_length).await.map(Received::Bytes);
     };
     reader.peek(&mut [0]).await?;
-    let readable_since = stall::arrival(Instant::now());
+    let readable_since = stall::estimated_arrival(Instant::now());
     let acquired = buffer_permits.clone().acquire_many_owned(permits).await.map_err(io::Error::other)?;
     Ok(Received::Permits(acquired, readable_since))
 }
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -8,14 +8,14 @@
 
 use bytes::{Bytes, BytesMut};
 use lilacquay_core::{
-    Answer, Call, Connection, Driver, Entry, Gauges, Handles, IdleState, List, Made, Options, Outcome,
-    Portion, Reply, State, Target, Upstream,
+    Answer, Call, Connection, Driver, Gauges, Handles, IdleState, OperationResult, Options, Outcome, Reply,
+    ResourceShare, ServerEntry, ServerList, ServerState, Target, Upstream,
 };
 use lilacquay_fronts::resp::RespProtocol;
 use lilacquay_fronts::{Acceptor, ClientLimits, CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 use lilacquay_lifecycle::{CloseMode, ServiceMode};
 use lilacquay_metrics::{Book, Rule, Violations};
-use paddlefold::setup::{Setup, Stated};
+use paddlefold::setup::{RawSettings, Setup};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -60,10 +60,10 @@
 
     fn write_answer(&mut self, id: String, answer: Answer, out: &mut BytesMut) {
         let text = match answer {
-            Answer::Served(Made::Value { bytes, .. }) => format!("{id}: {} bytes\n", bytes.len()),
+            Answer::Served(OperationResult::Value { bytes, .. }) => format!("{id}: {} bytes\n", bytes.len()),
             Answer::Served(_) => format!("{id}: nothing\n"),
             Answer::Busy(_) => format!("{id}: busy\n"),
-            Answer::Failed | Answer::Begun(_) => format!("{id}: failed\n"),
+            Answer::Failed | Answer::Streaming(_) => format!("{id}: failed\n"),
         };
         out.extend_from_slice(text.as_bytes());
     }
@@ -102,15 +102,15 @@
     fn idle_state(&self) -> IdleState {
         IdleState::Live
     }
-    async fn ask(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<TestUpstream>) {
+    async fn send_request(self, call: &Call, _: &Target, _: Instant) -> (Reply, Option<TestUpstream>) {
         let (sender, reply) = oneshot::channel();
         let _ = self.0.send(UpstreamCall { call: call.clone(), reply: sender });
-        (reply.await.unwrap_or(Reply::of(Outcome::Reset)), Some(self))
+        (reply.await.unwrap_or(Reply::from_outcome(Outcome::Reset)), Some(self))
     }
 }
 
 fn served(value: impl Into<Bytes>) -> Reply {
-    Reply::served(Made::value(value))
+    Reply::success(OperationResult::value(value))
 }
 
 /// A core with a listener for each of the two protocols.
@@ -128,38 +128,38 @@
     async fn new(connections: usize) -> TestNode {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":1}}"#;
-        let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
-        let (names, entry) = (setup.names.clone(), |id: &str| Entry {
+        let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
+        let (names, entry) = (setup.names.clone(), |id: &str| ServerEntry {
             id: id.into(),
             addr: (Ipv4Addr::LOCALHOST, 1).into(),
             zone: String::new(),
             kind: String::new(),
             cell: 0,
-            state: State::Serving,
+            state: ServerState::Serving,
             weight: None,
             started_ms: 0.0,
         });
-        let known = List { full: true, servers: vec![entry("s1"), entry("s2")] };
+        let known = ServerList { full: true, servers: vec![entry("s1"), entry("s2")] };
         let (call_sender, upstream_calls) = mpsc::unbounded_channel();
         let book = Book::new(Vec::new());
         let violations = book.violations();
         let options = Options {
             setup,
             seed: 1,
-            known,
-            connections: 1000,
-            memory: 8 << 20,
+            initial_list: known,
+            max_connections: 1000,
+            request_memory_bytes: 8 << 20,
             quotas: None,
-            book,
-            version: None,
+            metrics: book,
+            list_version: None,
             learned: None,
-            portion: Portion::default(),
-            steered: None,
-            lists: None,
+            resource_share: ResourceShare::default(),
+            persisted_orders: None,
+            list_updates: None,
         };
         let (driver, Handles { requests, members, .. }) = Driver::new(options, TestUpstream(call_sender));
         let gauges = driver.gauges();
-        let portion = Portion::default();
+        let portion = ResourceShare::default();
         let limits = ClientLimits {
             connections,
             total_connections: 0,
@@ -192,7 +192,7 @@
 
     async fn wait_until_nothing_open(&self) {
         let none_open = async {
-            while self.gauges.open() > 0 {
+            while self.gauges.open_requests() > 0 {
                 tokio::task::yield_now().await;
             }
         };
@@ -277,7 +277,7 @@
     for _ in 0..5 {
         pending_calls.push(node.next_call().await);
     }
-    assert_eq!(node.gauges.open(), 5);
+    assert_eq!(node.gauges.open_requests(), 5);
     drop(line_client);
     node.wait_until_nothing_open().await;
     for late in pending_calls {
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -9,7 +9,7 @@
 
 use lilacquay_core::{Gauges, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
-use lilacquay_fronts::Bounds;
+use lilacquay_fronts::ClientLimits;
 use lilacquay_inherit::{PassedError, number};
 use lilacquay_members::discovery::Told;
 use paddlefold::setup::{RawSettings, Setup};
@@ -29,7 +29,7 @@
 /// listener, discovery, the runtime's own, and one to spare for a connection that is turned away.
 const RESERVED: usize = 24;
 /// Descriptors of a second address: its listener and its callers.
-const ADMIN: usize = lilacquay_admin::SEATS + 1;
+const ADMIN: usize = lilacquay_admin::MAX_CONNECTIONS + 1;
 /// Names the descriptor of the listening socket, where the platform holds that.
 const PASSED: &str = "EDGE_PASSED_SOCKET";
 /// Where the configuration sets no limit.
@@ -445,10 +445,16 @@
 
     /// What clients may hold: a third of the descriptors, and more while servers need fewer, with some left
     /// for those to come.
-    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> Bounds {
+    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> ClientLimits {
         let with_servers = (self.sockets - self.sockets / 8).saturating_sub(self.reserved());
         let memory = self.request_memory();
-        Bounds { connections: self.sockets / 3, with_servers, gauges, memory, portion }
+        ClientLimits {
+            connections: self.sockets / 3,
+            total_connections: with_servers,
+            gauges,
+            buffer_bytes: memory,
+            portion,
+        }
     }
 
     /// Bytes that open requests may hold: an eighth of the memory, as buffers may that are not small.
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -10,13 +10,13 @@
 use lilacquay_core::{CoreHandle, Driver, Handles, MembershipHandle, Options, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::Acceptor;
-use lilacquay_fronts::accept_policy::BACKLOG;
-use lilacquay_fronts::resp::Resp;
+use lilacquay_fronts::accept_policy::ACCEPT_BACKLOG;
+use lilacquay_fronts::resp::RespProtocol;
 use lilacquay_lifecycle::Event;
 use lilacquay_members::{discovery, etcd};
 use lilacquay_metrics::Book;
 use lilacquay_replica::endpoint_reports::OwnList;
-use lilacquay_upstreams::Servers;
+use lilacquay_upstreams::ServerConnector;
 use paddlefold::setup::Names;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -129,7 +129,7 @@
     };
     let names = config.setup.names.clone();
     let kinds = config.memcached.as_ref().map(|(_, ready)| ready.kinds.clone());
-    let servers = Servers::new(kinds.unwrap_or_default());
+    let servers = ServerConnector::new(kinds.unwrap_or_default());
     let (driver, Handles { requests, members, core: orders }) = Driver::new(options, servers);
     let gauges = driver.gauges();
     let acceptor = Acceptor::new(requests, config.client_bounds(gauges.clone(), portion), keeper.bearing());
@@ -174,7 +174,7 @@
     info!("listening on {}", listener.local_addr()?);
     if let Some(succession) = succession {
         let (acceptor, gauges, most) = (acceptor.clone(), gauges.clone(), config.connections());
-        let holds = move || ((acceptor.guests() + gauges.connections()) * 1000 / most) as u32;
+        let holds = move || ((acceptor.connection_count() + gauges.connections()) * 1000 / most) as u32;
         let copy = kin.is_some().then(|| to_siblings.clone());
         parts.spawn(succession.keep(orders.clone(), copy, holds, keeper.bearing()));
     }
@@ -184,7 +184,7 @@
     let told = told.follow(followed, reload, source);
     tokio::pin!(told);
     let mut accepting = JoinSet::new();
-    accepting.spawn(acceptor.clone().accept(listener, move || Resp::new(names.clone())));
+    accepting.spawn(acceptor.clone().accept(listener, move || RespProtocol::new(names.clone())));
     let nonce = nonce(config.seed);
     for (bound, listener) in fronts {
         info!("memcached {:?} is listening on {}", listener.name, bound.local_addr()?);
@@ -200,30 +200,30 @@
             told_end = true;
         }
         // Whoever is accepted by then is counted before the acceptor can be seen to be empty.
-        let taking = bearing.borrow_and_update().accepts;
+        let taking = bearing.borrow_and_update().accepts_connections;
         tokio::select! {
             _ = stop.recv() => keeper.stop(),
             () = &mut told => {}
             () = keeper.follow() => break Ok(()),
             ended = &mut driver => break Err(format!("{ended:?}")),
-            Some(ended) = accepting.join_next() => if keeper.bearing().borrow().accepts {
+            Some(ended) = accepting.join_next() => if keeper.bearing().borrow().accepts_connections {
                 break Err(format!("a listener ended: {ended:?}"));
             },
             Ok(()) = bearing.changed() => {}
-            () = acceptor.emptied(), if !taking && accepting.is_empty() => {
-                let _ = keeper.tell(Event::Empty); // never refused
+            () = acceptor.wait_until_empty(), if !taking && accepting.is_empty() => {
+                let _ = keeper.tell(Event::ConnectionsClosed); // never refused
             }
         }
     };
     if let Err(what) = ended {
-        let _ = keeper.tell(Event::Fail); // never refused
+        let _ = keeper.tell(Event::Failed); // never refused
         accepting.shutdown().await;
-        let _ = timeout_at(Instant::now() + LAST_WRITES, acceptor.emptied()).await; // what is owed fails with the core
+        let _ = timeout_at(Instant::now() + LAST_WRITES, acceptor.wait_until_empty()).await; // what is owed fails with the core
         return Err(Failure::Core(what));
     }
     // A process that was held up may come here before the core has given its last answers.
     to_core.shut_down_at(Instant::now());
-    let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.emptied()).await; // killed soon after
+    let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.wait_until_empty()).await; // killed soon after
     Ok(())
 }
 
@@ -247,7 +247,7 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// A number that no other process has, as good as surely: another node's seed is another, and so is the time of
--- a/crates/upstreams/src/http.rs
+++ b/crates/upstreams/src/http.rs
@@ -12,7 +12,8 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use lilacquay_core::{
-    Call, Connection, FLOW_LIMIT, Feeder, IdleState, Made, Outcome, Reply, Target, VALUE_LIMIT, Verb,
+    Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
+    Outcome, Reply, Target, ValueSender, Verb,
 };
 use lilacquay_stream::Stream;
 use percent_encoding::{AsciiSet, CONTROLS, percent_encode};
@@ -78,26 +79,31 @@
         }
     }
 
-    async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
+    async fn send_request(
+        mut self,
+        call: &Call,
+        target: &Target,
+        deadline: Instant,
+    ) -> (Reply, Option<Self>) {
         if self.sender.ready().await.is_err() {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::from_outcome(Outcome::ConnectError), None);
         }
         let left = stated_time_left(deadline, call);
         let Some(request) = request(call, target.addr, left) else {
-            return (Reply::of(Outcome::Ignored), Some(self));
+            return (Reply::from_outcome(Outcome::Ignored), Some(self));
         };
-        target.written(Some(left)); // nearly: it is written within the same poll of its task
+        target.request_written(Some(left)); // nearly: it is written within the same poll of its task
         match self.sender.try_send_request(request).await {
             // A request that hyper hands back was never sent.
             Err(mut error) => match error.take_message() {
-                Some(_) => (Reply::of(Outcome::ConnectError), None),
-                None => (Reply::of(Outcome::Reset), None),
+                Some(_) => (Reply::from_outcome(Outcome::ConnectError), None),
+                None => (Reply::from_outcome(Outcome::Reset), None),
             },
-            Ok(_) if target.may_be_repeated() => (Reply::of(Outcome::Reset), None),
+            Ok(_) if target.may_be_duplicate_answer() => (Reply::from_outcome(Outcome::Reset), None),
             Ok(answer) => match read_answer(call.verb, answer, target, deadline).await {
                 Ok(reply) => (reply, Some(self)),
                 // Drops the connection: the rest of this answer could be read as the next request's answer.
-                Err(outcome) => (Reply::of(outcome), None),
+                Err(outcome) => (Reply::from_outcome(outcome), None),
             },
         }
     }
@@ -130,28 +136,28 @@
 /// The length of a large value, which is forwarded as it arrives; `None` for any other answer.
 fn large_value_length(answer: &Response<Incoming>) -> Option<usize> {
     let length = usize::try_from(answer.body().size_hint().exact()?).ok()?;
-    (VALUE_LIMIT < length && length <= FLOW_LIMIT).then_some(length)
+    (MAX_BUFFERED_VALUE_BYTES < length && length <= MAX_STREAMED_VALUE_BYTES).then_some(length)
 }
 
 /// Forwards a large value. Its connection can be reused after the last byte.
 async fn forward_body(
     mut body: Incoming,
-    mut feeder: Feeder,
+    mut feeder: ValueSender,
     deadline: Instant,
 ) -> Result<Reply, ForwardError> {
-    while feeder.left() > 0 {
-        let room = feeder.room().await?;
+    while feeder.remaining() > 0 {
+        let room = feeder.reserve().await?;
         let frame = pass::read_until_timeout(deadline, async {
             body.frame().await.transpose().map_err(io::Error::other)
         })
         .await?;
         match frame.map(|frame| frame.into_data()) {
-            Some(Ok(bytes)) => feeder.feed(bytes, room)?,
+            Some(Ok(bytes)) => feeder.send(bytes, room)?,
             Some(Err(_trailers)) => {}
             None => return Err(ForwardError::ServerFailed),
         }
     }
-    Ok(Reply::of(Outcome::Ok))
+    Ok(Reply::from_outcome(Outcome::Ok))
 }
 
 /// Reads an answer and maps it to a reply; an error if its connection cannot be reused.
@@ -167,24 +173,26 @@
     if status == StatusCode::OK
         && let Some(length) = large_value_length(&answer)
     {
-        let feeder = target.begin(length, flags);
+        let feeder = target.begin_stream(length, flags);
         return forward_body(answer.into_body(), feeder, deadline).await.map_err(ForwardError::outcome);
     }
-    let body = match Limited::new(answer.into_body(), VALUE_LIMIT).collect().await {
+    let body = match Limited::new(answer.into_body(), MAX_BUFFERED_VALUE_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<hyper::Error>() => return Err(Outcome::Reset),
         Err(_) => return Err(Outcome::Failed), // longer than a value may be
     };
     Ok(match status {
-        StatusCode::OK => Reply::served(Made::Value { bytes: body, flags }),
+        StatusCode::OK => Reply::success(OperationResult::Value { bytes: body, flags }),
         // The origin has carried out the request and has no such key: as complete an answer as a value.
-        StatusCode::NOT_FOUND if matches!(verb, Verb::Get | Verb::Delete) => Reply::served(Made::Absent),
-        StatusCode::NO_CONTENT if verb == Verb::Delete => Reply::served(Made::value(body)),
-        StatusCode::PRECONDITION_FAILED if verb == Verb::Add => Reply::served(Made::Exists),
-        StatusCode::PRECONDITION_FAILED if verb == Verb::Replace => Reply::served(Made::Absent),
+        StatusCode::NOT_FOUND if matches!(verb, Verb::Get | Verb::Delete) => {
+            Reply::success(OperationResult::Absent)
+        }
+        StatusCode::NO_CONTENT if verb == Verb::Delete => Reply::success(OperationResult::value(body)),
+        StatusCode::PRECONDITION_FAILED if verb == Verb::Add => Reply::success(OperationResult::Exists),
+        StatusCode::PRECONDITION_FAILED if verb == Verb::Replace => Reply::success(OperationResult::Absent),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
-            Reply::of(Outcome::QueueFull)
+            Reply::from_outcome(Outcome::QueueFull)
         }
-        _ => Reply::of(Outcome::Failed),
+        _ => Reply::from_outcome(Outcome::Failed),
     })
 }
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -46,7 +46,7 @@
     type Connection = ServerConnection;
 
     /// Whether servers of this kind recognise repeated writes: memcached has no idempotency keys.
-    fn discards_repeats(&self, kind: &str) -> bool {
+    fn deduplicates_writes(&self, kind: &str) -> bool {
         !self.memcached_kinds.contains(kind)
     }
 
@@ -73,18 +73,23 @@
         }
     }
 
-    async fn ask(self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<ServerConnection>) {
+    async fn send_request(
+        self,
+        call: &Call,
+        target: &Target,
+        deadline: Instant,
+    ) -> (Reply, Option<ServerConnection>) {
         match self {
             ServerConnection::Resp(cache) => {
-                let (reply, cache) = cache.ask(call, target, deadline).await;
+                let (reply, cache) = cache.send_request(call, target, deadline).await;
                 (reply, cache.map(ServerConnection::Resp))
             }
             ServerConnection::Memcache(cache) => {
-                let (reply, cache) = cache.ask(call, target, deadline).await;
+                let (reply, cache) = cache.send_request(call, target, deadline).await;
                 (reply, cache.map(ServerConnection::Memcache))
             }
             ServerConnection::Origin(origin) => {
-                let (reply, origin) = origin.ask(call, target, deadline).await;
+                let (reply, origin) = origin.send_request(call, target, deadline).await;
                 (reply, origin.map(ServerConnection::Origin))
             }
         }
@@ -97,6 +102,6 @@
     match stream.try_peek() {
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Live,
         Err(_) | Ok(0) => IdleState::Closed,
-        Ok(_) => IdleState::Unasked,
+        Ok(_) => IdleState::UnsolicitedData,
     }
 }
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -12,7 +12,8 @@
     HEADER, Head, KEY_LIMIT, Opcode, Packet, Status, next_response, response_head,
 };
 use lilacquay_core::{
-    Call, Connection, FLOW_LIMIT, IdleState, Made, Outcome, Reply, Target, Terms, VALUE_LIMIT, Verb,
+    Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
+    Outcome, Reply, StoreOptions, Target, Verb,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -20,7 +21,7 @@
 use crate::pass::{forward_value, read_until_timeout};
 
 /// The longest body of an answer in bytes: a value, its flags, and some room for a key, which no answer should have.
-const MAX_BODY_BYTES: usize = VALUE_LIMIT + 512;
+const MAX_BODY_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 512;
 /// Bytes of the flags, which precede the value in the answer to a read.
 const FLAGS_BYTES: usize = 4;
 /// The least capacity of a request's buffer, in bytes. The buffer is reused for the answer, and most answers arrive
@@ -50,18 +51,23 @@
         idle_state(&self.stream)
     }
 
-    async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
+    async fn send_request(
+        mut self,
+        call: &Call,
+        target: &Target,
+        deadline: Instant,
+    ) -> (Reply, Option<Self>) {
         // A key that is too long for the protocol: nothing is sent.
         if call.key.len() > KEY_LIMIT {
-            return (Reply::of(Outcome::Ignored), Some(self));
+            return (Reply::from_outcome(Outcome::Ignored), Some(self));
         }
         self.opaque = self.opaque.wrapping_add(1);
         let mut buffer = request(call, self.opaque);
         // If writing fails before the last byte, the request never ran. After that it may have run.
         if self.stream.write_all(&buffer).await.is_err() {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::from_outcome(Outcome::ConnectError), None);
         }
-        target.written(None); // the protocol cannot state the time left
+        target.request_written(None); // the protocol cannot state the time left
         buffer.clear();
         loop {
             if let Some(head) = response_head(&buffer).filter(|head| self.is_large_value(call.verb, head)) {
@@ -73,13 +79,13 @@
                         answer.opaque == self.opaque && answer.opcode == opcode(call.verb) as u8;
                     let reply = if matches_request { reply(call.verb, &answer) } else { Err(InvalidAnswer) };
                     let reusable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), reusable.then_some(self));
+                    return (reply.unwrap_or(Reply::from_outcome(Outcome::Failed)), reusable.then_some(self));
                 }
                 Ok(None) => {}
-                Err(_) => return (Reply::of(Outcome::Failed), None),
+                Err(_) => return (Reply::from_outcome(Outcome::Failed), None),
             }
             match self.stream.read_buf(&mut buffer).await {
-                Ok(0) | Err(_) => return (Reply::of(Outcome::Reset), None),
+                Ok(0) | Err(_) => return (Reply::from_outcome(Outcome::Reset), None),
                 Ok(_) => {}
             }
         }
@@ -92,7 +98,9 @@
         let matches_request = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
         let has_value =
             matches_request && head.status == Status::OK && head.extras == FLAGS_BYTES && head.key == 0;
-        verb == Verb::Get && has_value && (VALUE_LIMIT + 1..=FLOW_LIMIT).contains(&head.value)
+        verb == Verb::Get
+            && has_value
+            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value)
     }
 
     /// Forwards a large value.
@@ -105,17 +113,18 @@
     ) -> (Reply, Option<Self>) {
         while received.len() < HEADER + FLAGS_BYTES {
             if !matches!(read_until_timeout(deadline, self.stream.read_buf(&mut received)).await, Ok(1..)) {
-                return (Reply::of(Outcome::Reset), None);
+                return (Reply::from_outcome(Outcome::Reset), None);
             }
         }
         received.advance(HEADER);
         let flags = received.get_u32();
-        let mut feeder = target.begin(head.value, flags);
+        let mut feeder = target.begin_stream(head.value, flags);
         match forward_value(&mut self.stream, &mut received, &mut feeder, deadline).await {
-            Err(error) => (Reply::of(error.outcome()), None),
-            Ok(()) => {
-                (Reply { hit: Some(true), ..Reply::of(Outcome::Ok) }, received.is_empty().then_some(self))
-            }
+            Err(error) => (Reply::from_outcome(error.outcome()), None),
+            Ok(()) => (
+                Reply { cache_hit: Some(true), ..Reply::from_outcome(Outcome::Ok) },
+                received.is_empty().then_some(self),
+            ),
         }
     }
 }
@@ -133,7 +142,7 @@
 fn request(call: &Call, opaque: u32) -> BytesMut {
     let mut extras = BytesMut::new();
     if matches!(call.verb, Verb::Set | Verb::Add | Verb::Replace) {
-        let Terms { flags, expiry } = call.terms;
+        let StoreOptions { flags, expiry } = call.store_options;
         extras.put_u32(flags);
         extras.put_u32(expiry);
     }
@@ -151,34 +160,37 @@
 /// Maps the answer to this request to a reply. The connection can be reused, since the answer is complete.
 fn reply(verb: Verb, answer: &Packet) -> Result<Reply, InvalidAnswer> {
     let absent = match verb {
-        Verb::Get => Reply { hit: Some(false), ..Reply::of(Outcome::Miss) },
-        _ => Reply::served(Made::Absent),
+        Verb::Get => Reply { cache_hit: Some(false), ..Reply::from_outcome(Outcome::Miss) },
+        _ => Reply::success(OperationResult::Absent),
     };
     Ok(match Status(answer.status) {
         Status::OK if verb == Verb::Get => {
             // Checks that the flags are there and that the value is no longer than allowed, so that a corrupted answer
             // is not served.
             let flags = <[u8; 4]>::try_from(&answer.extras[..]).map_err(|_| InvalidAnswer)?;
-            if answer.value.len() > VALUE_LIMIT || !answer.key.is_empty() {
+            if answer.value.len() > MAX_BUFFERED_VALUE_BYTES || !answer.key.is_empty() {
                 return Err(InvalidAnswer);
             }
-            let made = Made::Value { bytes: answer.value.clone(), flags: u32::from_be_bytes(flags) };
-            Reply { hit: Some(true), ..Reply::served(made) }
+            let made =
+                OperationResult::Value { bytes: answer.value.clone(), flags: u32::from_be_bytes(flags) };
+            Reply { cache_hit: Some(true), ..Reply::success(made) }
         }
         Status::OK if answer.extras.is_empty() && answer.key.is_empty() && answer.value.is_empty() => {
-            Reply::served(Made::value(Bytes::new()))
+            Reply::success(OperationResult::value(Bytes::new()))
         }
         Status::OK => return Err(InvalidAnswer),
         Status::KEY_NOT_FOUND if verb != Verb::Set && verb != Verb::Add => absent,
-        Status::KEY_EXISTS | Status::ITEM_NOT_STORED if verb == Verb::Add => Reply::served(Made::Exists),
-        Status::ITEM_NOT_STORED if verb == Verb::Replace => Reply::served(Made::Absent),
+        Status::KEY_EXISTS | Status::ITEM_NOT_STORED if verb == Verb::Add => {
+            Reply::success(OperationResult::Exists)
+        }
+        Status::ITEM_NOT_STORED if verb == Verb::Replace => Reply::success(OperationResult::Absent),
         // Refused before it was started.
-        Status::BUSY | Status::TEMPORARY_FAILURE => Reply::of(Outcome::QueueFull),
+        Status::BUSY | Status::TEMPORARY_FAILURE => Reply::from_outcome(Outcome::QueueFull),
         // There was no memory for the answer to a read, which has changed nothing.
-        Status::OUT_OF_MEMORY if verb == Verb::Get => Reply::of(Outcome::QueueFull),
+        Status::OUT_OF_MEMORY if verb == Verb::Get => Reply::from_outcome(Outcome::QueueFull),
         // Any other status, known or not, may come from a request that has run: a write that is out of memory drops the
         // old value.
-        _ => Reply::of(Outcome::Failed),
+        _ => Reply::from_outcome(Outcome::Failed),
     })
 }
 
@@ -187,8 +199,8 @@
     use super::*;
 
     /// The outcome of an answer to this verb; `None` if the answer is invalid.
-    fn outcome(verb: Verb, answer: &Packet) -> Option<(Outcome, Made)> {
-        reply(verb, answer).ok().map(|reply| (reply.outcome, reply.made))
+    fn outcome(verb: Verb, answer: &Packet) -> Option<(Outcome, OperationResult)> {
+        reply(verb, answer).ok().map(|reply| (reply.outcome, reply.result))
     }
 
     fn answer_with(status: Status) -> Packet {
@@ -198,17 +210,17 @@
     #[test]
     fn each_status_maps_to_its_documented_outcome() {
         use Verb::*;
-        let empty = || Made::value(Bytes::new());
+        let empty = || OperationResult::value(Bytes::new());
         let outcome_of = |verb: Verb, status: Status| outcome(verb, &answer_with(status)).unwrap();
         for verb in [Set, Add, Replace, Delete] {
             assert_eq!(outcome_of(verb, Status::OK), (Outcome::Ok, empty()));
         }
         assert_eq!(outcome_of(Get, Status::KEY_NOT_FOUND).0, Outcome::Miss);
-        assert_eq!(outcome_of(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(outcome_of(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, Made::Absent));
-        assert_eq!(outcome_of(Add, Status::KEY_EXISTS), (Outcome::Ok, Made::Exists));
-        assert_eq!(outcome_of(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Exists));
-        assert_eq!(outcome_of(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, Made::Absent));
+        assert_eq!(outcome_of(Replace, Status::KEY_NOT_FOUND), (Outcome::Ok, OperationResult::Absent));
+        assert_eq!(outcome_of(Delete, Status::KEY_NOT_FOUND), (Outcome::Ok, OperationResult::Absent));
+        assert_eq!(outcome_of(Add, Status::KEY_EXISTS), (Outcome::Ok, OperationResult::Exists));
+        assert_eq!(outcome_of(Add, Status::ITEM_NOT_STORED), (Outcome::Ok, OperationResult::Exists));
+        assert_eq!(outcome_of(Replace, Status::ITEM_NOT_STORED), (Outcome::Ok, OperationResult::Absent));
         assert_eq!(outcome_of(Get, Status::OUT_OF_MEMORY).0, Outcome::QueueFull);
         for verb in [Get, Set, Add, Replace, Delete] {
             for status in [Status::BUSY, Status::TEMPORARY_FAILURE] {
@@ -245,9 +257,9 @@
     fn a_successful_answer_of_the_wrong_shape_is_rejected() {
         let flags = Bytes::from_static(&[0, 0, 0, 9]);
         let valid = Packet { extras: flags, value: "v".into(), ..answer_with(Status::OK) };
-        let made = Made::Value { bytes: "v".into(), flags: 9 };
+        let made = OperationResult::Value { bytes: "v".into(), flags: 9 };
         assert_eq!(outcome(Verb::Get, &valid), Some((Outcome::Ok, made)));
-        let long = Bytes::from(vec![0; VALUE_LIMIT + 1]);
+        let long = Bytes::from(vec![0; MAX_BUFFERED_VALUE_BYTES + 1]);
         let invalid = [
             Packet { extras: Bytes::new(), ..valid.clone() },
             Packet { key: "k".into(), ..valid.clone() },
--- a/crates/upstreams/src/pass.rs
+++ b/crates/upstreams/src/pass.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use bytes::{Bytes, BytesMut};
-use lilacquay_core::time_left::value_given_up_at;
-use lilacquay_core::{Feeder, Outcome, Room, Unwanted};
+use lilacquay_core::time_left::value_read_deadline;
+use lilacquay_core::{BufferReservation, Outcome, ReceiverClosed, ValueSender};
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::{Instant, timeout_at};
 
@@ -17,8 +17,8 @@
     Unwanted,
 }
 
-impl From<Unwanted> for ForwardError {
-    fn from(Unwanted: Unwanted) -> Self {
+impl From<ReceiverClosed> for ForwardError {
+    fn from(ReceiverClosed: ReceiverClosed) -> Self {
         ForwardError::Unwanted
     }
 }
@@ -38,11 +38,11 @@
 pub(crate) async fn forward_value(
     stream: &mut (impl AsyncRead + Unpin),
     received: &mut BytesMut,
-    feeder: &mut Feeder,
+    feeder: &mut ValueSender,
     deadline: Instant,
 ) -> Result<(), ForwardError> {
-    while feeder.left() > 0 {
-        let room = feeder.room().await?;
+    while feeder.remaining() > 0 {
+        let room = feeder.reserve().await?;
         if received.is_empty() {
             // Each piece has a buffer of its own, freed with the piece, and with no more capacity than was granted.
             let mut piece = BytesMut::with_capacity(room.bytes());
@@ -57,8 +57,12 @@
     Ok(())
 }
 
-fn forward_piece(received: &mut BytesMut, feeder: &mut Feeder, room: Room) -> Result<(), ForwardError> {
-    let bytes = received.len().min(feeder.left()).min(room.bytes());
+fn forward_piece(
+    received: &mut BytesMut,
+    feeder: &mut ValueSender,
+    room: BufferReservation,
+) -> Result<(), ForwardError> {
+    let bytes = received.len().min(feeder.remaining()).min(room.bytes());
     let piece = received.split_to(bytes);
     // Copies a piece that is small for its buffer, so that a few bytes do not keep the whole buffer allocated.
     let piece = match piece.capacity() > 2 * bytes {
@@ -68,7 +72,7 @@
     if received.is_empty() {
         *received = BytesMut::new();
     }
-    Ok(feeder.feed(piece, room)?)
+    Ok(feeder.send(piece, room)?)
 }
 
 /// Waits for bytes of a value whose client stops waiting at the deadline.
@@ -76,7 +80,7 @@
     deadline: Instant,
     read: impl Future<Output = io::Result<T>>,
 ) -> Result<T, ForwardError> {
-    match timeout_at(value_given_up_at(Instant::now(), deadline), read).await {
+    match timeout_at(value_read_deadline(Instant::now(), deadline), read).await {
         Ok(Ok(read)) => Ok(read),
         Ok(Err(_)) | Err(_) => Err(ForwardError::ServerFailed),
     }
--- a/crates/upstreams/src/resp.rs
+++ b/crates/upstreams/src/resp.rs
@@ -5,7 +5,8 @@
 use bytes::{Buf, BytesMut};
 use lilacquay_codec::resp::{Frame, Malformed, long_head, next_frame, put_array, put_bulk};
 use lilacquay_core::{
-    Call, Connection, FLOW_LIMIT, Feeder, IdleState, Made, Outcome, Reply, Target, VALUE_LIMIT, Verb,
+    Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
+    Outcome, Reply, Target, ValueSender, Verb,
 };
 use lilacquay_stream::Stream;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -43,36 +44,45 @@
         idle_state(&self.0)
     }
 
-    async fn ask(mut self, call: &Call, target: &Target, deadline: Instant) -> (Reply, Option<Self>) {
+    async fn send_request(
+        mut self,
+        call: &Call,
+        target: &Target,
+        deadline: Instant,
+    ) -> (Reply, Option<Self>) {
         // The protocol has no commands for the other verbs: nothing is sent.
         if !matches!(call.verb, Verb::Get | Verb::Set) {
-            return (Reply::of(Outcome::Ignored), Some(self));
+            return (Reply::from_outcome(Outcome::Ignored), Some(self));
         }
         let (write_time, left) = (estimated_write_time(call), stated_time_left(deadline, call));
         let mut buffer = command(call, left);
         // If writing fails or is given up before the last byte, the command never ran. After that it may have run.
         if !matches!(timeout(write_time + WRITE_OVERRUN_LIMIT, self.0.write_all(&buffer)).await, Ok(Ok(()))) {
-            return (Reply::of(Outcome::ConnectError), None);
+            return (Reply::from_outcome(Outcome::ConnectError), None);
         }
-        target.written(Some(left));
+        target.request_written(Some(left));
         buffer.clear();
         loop {
-            if let Some((head, length)) = long_head(&buffer, VALUE_LIMIT).filter(|(_, n)| *n <= FLOW_LIMIT) {
+            if let Some((head, length)) =
+                long_head(&buffer, MAX_BUFFERED_VALUE_BYTES).filter(|(_, n)| *n <= MAX_STREAMED_VALUE_BYTES)
+            {
                 buffer.advance(head);
-                return self.forward_large_value(buffer, target.begin(length, 0), deadline).await;
+                return self.forward_large_value(buffer, target.begin_stream(length, 0), deadline).await;
             }
             match next_frame(&mut buffer, MAX_FRAME_BYTES) {
                 Ok(Some(frame)) => {
                     let reply = reply(frame);
                     let reusable = reply.is_ok() && buffer.is_empty();
-                    return (reply.unwrap_or(Reply::of(Outcome::Failed)), reusable.then_some(self));
+                    return (reply.unwrap_or(Reply::from_outcome(Outcome::Failed)), reusable.then_some(self));
                 }
                 Ok(None) => {}
-                Err(Malformed) => return (Reply::of(Outcome::Failed), None),
+                Err(Malformed) => return (Reply::from_outcome(Outcome::Failed), None),
             }
             match self.0.read_buf(&mut buffer).await {
-                Ok(0) | Err(_) => return (Reply::of(Outcome::Reset), None),
-                Ok(_) if target.may_be_repeated() => return (Reply::of(Outcome::Reset), None),
+                Ok(0) | Err(_) => return (Reply::from_outcome(Outcome::Reset), None),
+                Ok(_) if target.may_be_duplicate_answer() => {
+                    return (Reply::from_outcome(Outcome::Reset), None);
+                }
                 Ok(_) => {}
             }
         }
@@ -84,14 +94,14 @@
     async fn forward_large_value(
         mut self,
         mut received: BytesMut,
-        mut feeder: Feeder,
+        mut feeder: ValueSender,
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
         if let Err(error) = forward_value(&mut self.0, &mut received, &mut feeder, deadline).await {
-            return (Reply::of(error.outcome()), None);
+            return (Reply::from_outcome(error.outcome()), None);
         }
         drop(feeder); // the client has the whole value, whatever the trailer says
-        let served = |hit| Reply { hit, ..Reply::of(Outcome::Ok) };
+        let served = |hit| Reply { cache_hit: hit, ..Reply::from_outcome(Outcome::Ok) };
         match self.read_trailer(&mut received, deadline).await {
             Ok(hit) => (served(hit), received.is_empty().then_some(self)),
             Err(_) => (served(None), None),
@@ -169,16 +179,16 @@
             let [value, result, _load_report] = <[_; 3]>::try_from(parts).map_err(|_| Malformed)?;
             let hit = parse_hit(&result)?;
             match value {
-                Frame::BulkString(value) if value.len() <= VALUE_LIMIT => {
-                    Ok(Reply { hit, ..Reply::served(Made::value(value)) })
+                Frame::BulkString(value) if value.len() <= MAX_BUFFERED_VALUE_BYTES => {
+                    Ok(Reply { cache_hit: hit, ..Reply::success(OperationResult::value(value)) })
                 }
-                Frame::Null => Ok(Reply { hit, ..Reply::of(Outcome::Miss) }),
+                Frame::Null => Ok(Reply { cache_hit: hit, ..Reply::from_outcome(Outcome::Miss) }),
                 _ => Err(Malformed),
             }
         }
         Frame::Error(text) => match text.split(' ').next() {
-            Some("BUSY") => Ok(Reply::of(Outcome::QueueFull)),
-            _ => Ok(Reply::of(Outcome::Failed)),
+            Some("BUSY") => Ok(Reply::from_outcome(Outcome::QueueFull)),
+            _ => Ok(Reply::from_outcome(Outcome::Failed)),
         },
         _ => Err(Malformed),
     }
