--- a/crates/bench/src/bin/replica.rs
+++ b/crates/bench/src/bin/replica.rs
@@ -15,9 +15,9 @@
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
 use lilacquay_fleet::{Faults, Plan};
-use lilacquay_replica::Stage;
+use lilacquay_replica::SyncState;
 use lilacquay_replica::orders::Action;
-use lilacquay_replica::simulation::{MS, S, World};
+use lilacquay_replica::simulation::{MS, SEC, Simulation};
 use serde_json::json;
 
 /// Orders of each row.
@@ -58,13 +58,13 @@
     format!("{:5.2} {:5.2} {:5.2}", s(0.5), s(0.99), s(0.999))
 }
 
-fn bytes(world: &World) -> u64 {
+fn bytes(world: &Simulation) -> u64 {
     world.nodes.iter().map(|node| node.sent_bytes).sum()
 }
 
-fn order(world: &mut World, node: usize, server: &str, action: Action) -> u64 {
-    world.on(node, |replica, now| {
-        replica.order(now, server.as_bytes(), action, None, 0).expect("there is room")
+fn order(world: &mut Simulation, node: usize, server: &str, action: Action) -> u64 {
+    world.with_replica(node, |replica, now| {
+        replica.issue_order(now, server.as_bytes(), action, None, 0).expect("there is room")
     })
 }
 
@@ -75,11 +75,11 @@
     );
     for nodes in [10, 100, 300] {
         for loss in [0, 100, 200] {
-            let mut world = World::new(nodes, nodes as u64 + u64::from(loss));
-            world.loss = (loss, 0);
-            world.run(6 * S);
+            let mut world = Simulation::new(nodes, nodes as u64 + u64::from(loss));
+            (world.loss_permille, world.duplicate_permille) = (loss, 0);
+            world.run(6 * SEC);
             let before = bytes(&world);
-            world.run(10 * S);
+            world.run(10 * SEC);
             let rest = (bytes(&world) - before) / 10 / nodes as u64;
             let (mut held, mut counted) = (clients::times(), clients::times());
             let mut storm = 0;
@@ -89,15 +89,16 @@
                 let id = order(&mut world, origin, &server, Action::Drain);
                 let mut at: Vec<Option<u64>> = vec![None; nodes];
                 let mut all = None;
-                while world.now < start + 5 * S {
+                while world.now < start + 5 * SEC {
                     world.run(10 * MS);
                     for (node, at) in at.iter_mut().enumerate().filter(|(_, at)| at.is_none()) {
                         *at = world.replica(node).record(id).is_some().then(|| world.now - start);
                     }
-                    all = all.or((world.replica(origin).holders(id) == nodes).then(|| world.now - start));
+                    all =
+                        all.or((world.replica(origin).holder_count(id) == nodes).then(|| world.now - start));
                 }
-                at.iter().for_each(|at| _ = held.record(at.unwrap_or(5 * S).max(1)));
-                let _ = counted.record(all.unwrap_or(5 * S));
+                at.iter().for_each(|at| _ = held.record(at.unwrap_or(5 * SEC).max(1)));
+                let _ = counted.record(all.unwrap_or(5 * SEC));
                 storm += (bytes(&world) - before).saturating_sub(rest * 5 * nodes as u64);
             }
             let each = storm / ROUNDS as u64 / nodes as u64;
@@ -108,23 +109,23 @@
         "of 300 nodes with 100 records, 10 % loss: so many return with nothing, level after; datagrams of the busiest"
     );
     for back in [1, 30, 200] {
-        let mut world = World::new(300, back as u64);
-        world.loss = (100, 0);
-        world.run(6 * S);
+        let mut world = Simulation::new(300, back as u64);
+        (world.loss_permille, world.duplicate_permille) = (100, 0);
+        world.run(6 * SEC);
         for n in 0..100 {
             order(&mut world, n, &format!("box-{n}"), Action::Drain);
         }
-        world.until(60 * S, World::alike);
+        world.run_until(60 * SEC, Simulation::is_converged);
         (0..back).for_each(|node| world.kill(node));
         (0..back).for_each(|node| world.start(node));
         let (start, before) = (world.now, bytes(&world));
         let sent: Vec<u64> = world.nodes.iter().map(|node| node.sent).collect();
         let mut times = clients::times();
         let mut level = vec![false; back];
-        while level.iter().any(|level| !level) && world.now < start + 30 * S {
+        while level.iter().any(|level| !level) && world.now < start + 30 * SEC {
             world.run(10 * MS);
             for (node, level) in level.iter_mut().enumerate().filter(|(_, level)| !**level) {
-                *level = matches!(world.replica(node).stage(), Stage::Level(_));
+                *level = matches!(world.replica(node).sync_state(), SyncState::UpToDate(_));
                 if *level {
                     let _ = times.record(world.now - start);
                 }
--- a/crates/bench/src/bin/siblings.rs
+++ b/crates/bench/src/bin/siblings.rs
@@ -13,13 +13,13 @@
 use lilacquay_bench::raise_descriptors;
 use lilacquay_fleet::clients::{self, Load};
 use lilacquay_fleet::cluster::{Fault, Trial, TrialPlan, Way};
-use lilacquay_siblings::simulation::{Link, MS, S, World};
-use lilacquay_siblings::{Change, Micros, State, Why};
+use lilacquay_siblings::simulation::{Link, MS, SEC, Simulation};
+use lilacquay_siblings::{MembershipEvent, Micros, NodeState, StateReason};
 
 /// Deaths, or cuts, of each row.
 const ROUNDS: usize = 12;
 /// Whoever doesn't know by then counts as if it knew then.
-const LONGEST: Micros = 60 * S;
+const LONGEST: Micros = 60 * SEC;
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -63,7 +63,7 @@
 }
 
 fn link(loss: u32) -> Link {
-    Link { loss, delay: (MS, 20 * MS), ..Link::default() }
+    Link { loss_permille: loss, delay_range: (MS, 20 * MS), ..Link::default() }
 }
 
 fn in_virtual_time(numbers: &[usize], losses: &[u32]) {
@@ -73,35 +73,35 @@
     );
     for &nodes in numbers {
         for &loss in losses {
-            let mut world = World::new(nodes, nodes as u64 + u64::from(loss));
-            (world.checks, world.usual) = (false, link(loss));
-            world.start_all(S);
-            world.run(20 * S);
+            let mut world = Simulation::new(nodes, nodes as u64 + u64::from(loss));
+            (world.checks_invariants, world.default_link) = (false, link(loss));
+            world.start_all(SEC);
+            world.run(20 * SEC);
             let before: u64 = world.nodes.iter().map(|node| node.sent_bytes).sum();
-            world.run(10 * S);
+            world.run(10 * SEC);
             let sent: u64 = world.nodes.iter().map(|node| node.sent_bytes).sum();
             let bytes = (sent - before) / 10 / nodes as u64;
             let (mut known, mut back) = (Times::new(), Times::new());
             for _ in 0..ROUNDS {
                 let node = world.rng.usize(..nodes);
-                let phase = world.rng.u64(..S);
+                let phase = world.rng.u64(..SEC);
                 world.run(phase);
                 world.kill(node);
-                learned(&mut world, node, State::Gone, 12 * S, &mut known);
+                learned(&mut world, node, NodeState::Gone, 12 * SEC, &mut known);
                 let now = world.now;
                 world.start_at(node, now);
-                learned(&mut world, node, State::Here, 8 * S, &mut back);
+                learned(&mut world, node, NodeState::Here, 8 * SEC, &mut back);
             }
             let mut healed = Times::new();
             for _ in 0..if nodes > 300 { 1 } else { 3 } {
                 let odd: Vec<bool> = (0..nodes).map(|_| world.rng.bool()).collect();
                 world.split(|node| odd[node], true);
-                world.run(20 * S);
+                world.run(20 * SEC);
                 world.split(|node| odd[node], false);
                 // Ways of their own were cut; all are as usual now.
-                world.forget_links();
+                world.reset_links();
                 let start = world.now;
-                while !world.whole() && world.now < start + LONGEST {
+                while !world.is_converged() && world.now < start + LONGEST {
                     world.run(200 * MS);
                 }
                 healed.note(world.now - start);
@@ -120,13 +120,13 @@
 }
 
 /// Notes when each of the others comes to hold one to be something, within a time that passes.
-fn learned(world: &mut World, node: usize, what: State, within: Micros, times: &mut Times) {
+fn learned(world: &mut Simulation, node: usize, what: NodeState, within: Micros, times: &mut Times) {
     let start = world.now;
-    world.changes.clear();
+    world.events.clear();
     world.run(within);
     let mut at: Vec<Option<Micros>> = vec![None; world.nodes.len()];
-    for (time, by, change) in &world.changes {
-        if let Change::State { node: of, is, .. } = change
+    for (time, by, change) in &world.events {
+        if let MembershipEvent::StateChanged { node: of, current: is, .. } = change
             && (*of, *is) == (node, what)
         {
             at[*by].get_or_insert(*time);
@@ -141,9 +141,9 @@
 /// when nothing came for as many of them as makes a false alarm as rare as one a day and pair.
 fn heartbeats(nodes: usize, loss: u32, bytes: u64, rng: &mut fastrand::Rng) -> Times {
     // A datagram of 40 bytes: the same header, and who it is.
-    let period = (nodes as u64 - 1) * 40 * S / bytes.max(1);
+    let period = (nodes as u64 - 1) * 40 * SEC / bytes.max(1);
     let mut missed = 1;
-    let rare = period as f64 / (86_400.0 * S as f64);
+    let rare = period as f64 / (86_400.0 * SEC as f64);
     while loss > 0 && (f64::from(loss) / 1_000.0).powi(missed) > rare && missed < 100 {
         missed += 1;
     }
@@ -157,22 +157,26 @@
 /// An hour at 300 nodes with 20 % loss, each paused for a second once a minute.
 fn an_hour() {
     let nodes = 300;
-    let mut world = World::new(nodes, 60);
-    (world.checks, world.usual) = (false, link(200));
-    world.start_all(S);
-    world.run(30 * S);
-    world.changes.clear();
+    let mut world = Simulation::new(nodes, 60);
+    (world.checks_invariants, world.default_link) = (false, link(200));
+    world.start_all(SEC);
+    world.run(30 * SEC);
+    world.events.clear();
     let (mut gone, mut unconfirmed, mut unknown) = (0, 0, 0);
     for second in 0..3_600_usize {
         let some: Vec<usize> = (0..nodes).filter(|node| node % 60 == second % 60).collect();
         some.iter().for_each(|&node| world.pause(node));
-        world.run(S);
+        world.run(SEC);
         some.iter().for_each(|&node| world.resume(node));
-        for (_, _, change) in world.changes.drain(..) {
+        for (_, _, change) in world.events.drain(..) {
             match change {
-                Change::State { is: State::Gone, why: Why::Expired { .. }, .. } => gone += 1,
-                Change::State { is: State::Unknown, .. } => unknown += 1,
-                Change::Confirmed(false) => unconfirmed += 1,
+                MembershipEvent::StateChanged {
+                    current: NodeState::Gone,
+                    reason: StateReason::LeaseExpired { .. },
+                    ..
+                } => gone += 1,
+                MembershipEvent::StateChanged { current: NodeState::Unknown, .. } => unknown += 1,
+                MembershipEvent::ConfirmationChanged(false) => unconfirmed += 1,
                 _ => {}
             }
         }
--- a/crates/replica/src/endpoint_reports.rs
+++ b/crates/replica/src/endpoint_reports.rs
@@ -9,7 +9,7 @@
 use bytes::{Buf, BufMut};
 use lilacquay_codec::replica::MOST_NAME;
 
-use crate::store::Held;
+use crate::store::StoredRecord;
 use crate::{Micros, Replica, kind};
 
 /// Word lives for so long: a list that is silent for longer is found out by the module's own rules.
@@ -20,7 +20,7 @@
 
 /// A server, as a node's own list has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// Whether it serves; else it drains.
     pub serves: bool,
     /// When it last started, Unix time in milliseconds; 0 is long ago.
@@ -29,15 +29,15 @@
 
 /// What a node's own list says.
 #[derive(Debug, Clone, Default)]
-pub struct OwnList {
+pub struct LocalServerList {
     /// By name. Without the origin: nothing could stand in for it.
-    servers: BTreeMap<String, Listed>,
+    servers: BTreeMap<String, ServerEntry>,
     version: u64,
 }
 
 /// What a list has taken away.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ended {
+pub struct WithdrawnServer {
     /// The server.
     pub server: String,
     /// Its start.
@@ -46,15 +46,15 @@
     pub drains: bool,
 }
 
-impl OwnList {
+impl LocalServerList {
     /// Goes by a list of the node's own source, whole or what has changed; tells what it has taken away. The first list
     /// takes nothing away.
-    pub fn told(
+    pub fn apply_update(
         &mut self,
         full: bool,
         version: Option<u64>,
-        list: impl IntoIterator<Item = (String, Option<Listed>)>,
-    ) -> Vec<Ended> {
+        list: impl IntoIterator<Item = (String, Option<ServerEntry>)>,
+    ) -> Vec<WithdrawnServer> {
         let first = self.servers.is_empty();
         let before = if full { std::mem::take(&mut self.servers) } else { BTreeMap::new() };
         let mut ended = Vec::new();
@@ -66,7 +66,7 @@
             let ends = was.filter(|was| was.serves).is_some() && listed.is_none_or(|is| !is.serves);
             if ends {
                 let started_ms = listed.or(was).map_or(0, |listed| listed.started_ms);
-                ended.push(Ended { server: server.clone(), started_ms, drains: listed.is_some() });
+                ended.push(WithdrawnServer { server: server.clone(), started_ms, drains: listed.is_some() });
             }
             match listed {
                 Some(listed) => _ = self.servers.insert(server, listed),
@@ -74,7 +74,7 @@
             }
         }
         let missing = before.into_iter().filter(|(server, _)| !self.servers.contains_key(server));
-        ended.extend(missing.filter(|(_, was)| was.serves).map(|(server, was)| Ended {
+        ended.extend(missing.filter(|(_, was)| was.serves).map(|(server, was)| WithdrawnServer {
             server,
             started_ms: was.started_ms,
             drains: false,
@@ -112,7 +112,7 @@
         value
     }
 
-    fn read(held: &Held) -> Option<(&str, u16, Word)> {
+    fn read(held: &StoredRecord) -> Option<(&str, u16, Word)> {
         let mut body = &held.record.value[..];
         let server = std::str::from_utf8(&held.record.name).ok()?;
         let word = (body.len() >= BODY).then(|| Word {
@@ -125,15 +125,15 @@
 }
 
 /// Says what the node's own list has taken away, unless enough others have said it.
-pub fn say(replica: &mut Replica, now: Micros, own: &OwnList, ended: &[Ended]) {
-    for Ended { server, started_ms, drains } in ended {
-        let same = |held: &&Held| {
+pub fn publish(replica: &mut Replica, now: Micros, own: &LocalServerList, ended: &[WithdrawnServer]) {
+    for WithdrawnServer { server, started_ms, drains } in ended {
+        let same = |held: &&StoredRecord| {
             Word::read(held).is_some_and(|(of, _, word)| of == server && word.started_ms == *started_ms)
         };
-        let said = replica.of_kind(kind::WORD).filter(same).count();
+        let said = replica.records_of_kind(kind::ENDPOINT_REPORT).filter(same).count();
         if said < ENOUGH && server.len() <= MOST_NAME {
             let word = Word { drains: *drains, version: own.version, started_ms: *started_ms };
-            replica.write(now, kind::WORD, server.as_bytes(), word.value(), Some(LIFE));
+            replica.write(now, kind::ENDPOINT_REPORT, server.as_bytes(), word.value(), Some(LIFE));
         }
     }
 }
@@ -149,9 +149,9 @@
 }
 
 /// Which servers are left out, on the word of others.
-pub fn left_out(replica: &Replica, me: u16, own: &OwnList) -> BTreeSet<String> {
+pub fn excluded_servers(replica: &Replica, me: u16, own: &LocalServerList) -> BTreeSet<String> {
     let mut observers: BTreeMap<&str, BTreeSet<u16>> = BTreeMap::new();
-    for (server, origin, word) in replica.of_kind(kind::WORD).filter_map(Word::read) {
+    for (server, origin, word) in replica.records_of_kind(kind::ENDPOINT_REPORT).filter_map(Word::read) {
         let listed = own.servers.get(server).filter(|listed| listed.serves);
         let same_start = listed.is_some_and(|listed| listed.started_ms == word.started_ms);
         let newer = own.version == 0 || word.version == 0 || word.version > own.version;
--- a/crates/replica/src/evidence.rs
+++ b/crates/replica/src/evidence.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, BufMut};
 use lilacquay_codec::replica::MOST_NAME;
 
-use crate::store::{Held, id_of};
+use crate::store::{StoredRecord, record_id};
 use crate::{Micros, Replica, kind};
 
 /// Evidence lives for so long, and is told again after so long while it holds.
@@ -23,7 +23,7 @@
 
 /// What a node has seen of a server.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct SlownessObservation {
     /// Its name.
     pub server: String,
     /// Its answer times in comparison with all caches, 1 being usual.
@@ -31,12 +31,12 @@
 }
 
 /// Tells what this node sees by itself.
-pub fn say(replica: &mut Replica, now: Micros, me: u16, mut seen: Vec<Seen>) {
+pub fn publish(replica: &mut Replica, now: Micros, me: u16, mut seen: Vec<SlownessObservation>) {
     seen.retain(|seen| seen.slowness >= SLOW && seen.server.len() <= MOST_NAME);
     seen.sort_by(|a, b| b.slowness.total_cmp(&a.slowness).then(a.server.cmp(&b.server)));
-    for Seen { server, slowness } in seen.into_iter().take(MOST) {
-        let before = replica.record(id_of(kind::EVIDENCE, me, server.as_bytes()));
-        let lately = before.and_then(|held| held.until).is_some_and(|until| until > now + LIFE - AGAIN);
+    for SlownessObservation { server, slowness } in seen.into_iter().take(MOST) {
+        let before = replica.record(record_id(kind::EVIDENCE, me, server.as_bytes()));
+        let lately = before.and_then(|held| held.expires_at).is_some_and(|until| until > now + LIFE - AGAIN);
         if !lately {
             let mut value = Vec::with_capacity(2);
             value.put_u16((slowness.min(SILENT) * 100.0) as u16);
@@ -45,16 +45,16 @@
     }
 }
 
-fn read(held: &Held) -> Option<(&str, u16, f64)> {
+fn read(held: &StoredRecord) -> Option<(&str, u16, f64)> {
     let mut body = &held.record.value[..];
     let server = std::str::from_utf8(&held.record.name).ok()?;
     (body.len() >= 2).then(|| (server, held.record.origin, f64::from(body.get_u16()) / 100.0))
 }
 
 /// What is believed of servers, on the sight of others: how much slower than others each is.
-pub fn believed(replica: &Replica, me: u16) -> BTreeMap<String, f64> {
+pub fn corroborated(replica: &Replica, me: u16) -> BTreeMap<String, f64> {
     let mut worst: BTreeMap<&str, [f64; 2]> = BTreeMap::new();
-    for (server, origin, slowness) in replica.of_kind(kind::EVIDENCE).filter_map(read) {
+    for (server, origin, slowness) in replica.records_of_kind(kind::EVIDENCE).filter_map(read) {
         if origin != me && slowness.is_finite() {
             let two = worst.entry(server).or_default();
             let slowness = slowness.clamp(0.0, SILENT);
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -6,7 +6,7 @@
 //! back what another takes away: [`orders`], [`endpoint_reports`], [`evidence`]. What may not be used twice is not
 //! held in common but lent: [`leases`]. `docs/design/replica.md` has the reasons and the bounds.
 //!
-//! No I/O, no clock, no thread: [`Replica::heard`] and [`Replica::tick`] are told the time and say what is to be sent.
+//! No I/O, no clock, no thread: [`Replica::handle_datagram`] and [`Replica::tick`] are told the time and say what is to be sent.
 
 pub mod endpoint_reports;
 pub mod evidence;
@@ -18,8 +18,8 @@
 pub mod simulation;
 mod store;
 
-pub use replica::{Counts, Full, Out, Peer, Replica, Setup, Stage};
-pub use store::{Held, Taken, id_of, sum_of};
+pub use replica::{Counters, OrdersFull, OutgoingDatagram, PeerSync, Replica, Setup, SyncState};
+pub use store::{MergeOutcome, StoredRecord, record_checksum, record_id};
 
 /// A time, or a length of it, in microseconds.
 pub type Micros = u64;
@@ -29,7 +29,7 @@
     /// An operator's order.
     pub const ORDER: u8 = 1;
     /// Word that a server drains or is gone.
-    pub const WORD: u8 = 2;
+    pub const ENDPOINT_REPORT: u8 = 2;
     /// What a node has seen of a server.
     pub const EVIDENCE: u8 = 3;
 }
--- a/crates/replica/src/orders.rs
+++ b/crates/replica/src/orders.rs
@@ -3,7 +3,7 @@
 //!
 //! Orders are a set that only grows: each has a number of its own (a [`Dot`]) and names what it covers, so that merging
 //! copies is a union, less what is covered. A drain that is covered is dropped; what covers it is kept as its tombstone for
-//! [`KEPT`], a time that runs only while all nodes of the list are here: whoever was away for however long finds the
+//! [`TOMBSTONE_RETENTION_US`], a time that runs only while all nodes of the list are here: whoever was away for however long finds the
 //! tombstones of all that it still holds.
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use crate::{Micros, kind};
 
 /// A tombstone is kept for so long.
-pub const KEPT: Micros = 600_000_000;
+pub const TOMBSTONE_RETENTION_US: Micros = 600_000_000;
 const DOT: usize = 12;
 const HEAD: usize = 7;
 
@@ -56,7 +56,7 @@
     /// The server gets nothing new until that is lifted.
     Drain,
     /// All nodes log from this level on: the higher, the more.
-    Level(u8),
+    LogLevel(u8),
 }
 
 impl Action {
@@ -65,7 +65,7 @@
             Action::Undrain => 0,
             Action::LeaveOut => 1,
             Action::Drain => 2,
-            Action::Level(level) => 16 + level.min(15),
+            Action::LogLevel(level) => 16 + level.min(15),
         }
     }
 
@@ -74,18 +74,18 @@
             0 => Action::Undrain,
             1 => Action::LeaveOut,
             2 => Action::Drain,
-            16..=31 => Action::Level(code - 16),
+            16..=31 => Action::LogLevel(code - 16),
             _ => return None,
         })
     }
 
     /// What it is called.
-    pub fn word(self) -> String {
+    pub fn name(self) -> String {
         match self {
             Action::Undrain => "undrain".into(),
             Action::LeaveOut => "leave out".into(),
             Action::Drain => "drain".into(),
-            Action::Level(level) => format!("level {level}"),
+            Action::LogLevel(level) => format!("level {level}"),
         }
     }
 }
@@ -100,7 +100,7 @@
     /// Of which server; of none if it is of the nodes themselves.
     pub subject: Vec<u8>,
     /// When it was given, Unix time in seconds by the clock of its node: to be shown, not to be gone by.
-    pub at: u32,
+    pub issued_at_unix_s: u32,
     /// What it covers.
     pub covers: Vec<Dot>,
 }
@@ -121,7 +121,13 @@
         body.advance(length);
         let n = usize::from(body.get_u8());
         let covers = (0..n.min(body.len() / DOT)).map(|_| Dot::read(&mut body)).collect();
-        Some(Order { dot: Dot { origin: record.origin, version }, action, subject, at, covers })
+        Some(Order {
+            dot: Dot { origin: record.origin, version },
+            action,
+            subject,
+            issued_at_unix_s: at,
+            covers,
+        })
     }
 
     /// The record that holds it. Of a subject that is too long nothing is held.
@@ -134,7 +140,7 @@
         name.put_uint(version.incarnation, 6);
         name.put_u32(version.counter);
         value.put_u8(self.action.code());
-        value.put_u32(self.at);
+        value.put_u32(self.issued_at_unix_s);
         value.put_u8(self.subject.len() as u8);
         value.put_slice(&self.subject);
         let covers = &self.covers[..self.covers.len().min(Order::covers_most(&self.subject))];
@@ -163,15 +169,15 @@
     pub fn is_tombstone(&self, left: Option<Micros>) -> bool {
         match self.action {
             Action::Undrain => true,
-            Action::LeaveOut => left.is_some_and(|left| left <= KEPT),
-            Action::Drain | Action::Level(_) => false,
+            Action::LeaveOut => left.is_some_and(|left| left <= TOMBSTONE_RETENTION_US),
+            Action::Drain | Action::LogLevel(_) => false,
         }
     }
 }
 
 /// What holds for one subject.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing<'a> {
+pub struct EffectiveOrder<'a> {
     /// Whose.
     pub subject: &'a [u8],
     /// The order that stands.
@@ -179,13 +185,13 @@
     /// By which id it is held.
     pub id: u64,
     /// Others that had not seen it, nor it them: they wait for somebody to settle it.
-    pub beside: Vec<&'a Order>,
+    pub concurrent: Vec<&'a Order>,
 }
 
-impl Standing<'_> {
+impl EffectiveOrder<'_> {
     /// Whether orders stand that contradict each other.
     pub fn is_conflict(&self) -> bool {
-        self.beside.iter().any(|other| other.action != self.order.action)
+        self.concurrent.iter().any(|other| other.action != self.order.action)
     }
 }
 
@@ -244,11 +250,11 @@
     }
 
     /// What stands, by subject.
-    pub fn standing(&self) -> impl Iterator<Item = Standing<'_>> {
+    pub fn effective(&self) -> impl Iterator<Item = EffectiveOrder<'_>> {
         self.by_subject.iter().filter_map(|(subject, held)| {
             let ((id, order), beside) = held.split_first()?;
             let beside = beside.iter().map(|(_, other)| other).collect();
-            Some(Standing { subject, order, id: *id, beside })
+            Some(EffectiveOrder { subject, order, id: *id, concurrent: beside })
         })
     }
 
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -6,9 +6,9 @@
 use lilacquay_codec::replica::{BRANCHES, Have, Part, Record, Rights, Said, Sent, Sums, Version, put, read};
 
 use crate::gossip_queue::Rumours;
-use crate::orders::{Action, Dot, KEPT, Order, Orders, Standing};
+use crate::orders::{Action, Dot, EffectiveOrder, Order, Orders, TOMBSTONE_RETENTION_US};
 use crate::rate_limit::Pace;
-use crate::store::{Held, LEVELS, Store, Taken, id_of, sum_of};
+use crate::store::{LEVELS, MergeOutcome, Store, StoredRecord, record_checksum, record_id};
 use crate::{Micros, kind};
 
 /// How often a node speaks by itself.
@@ -39,11 +39,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Setup {
     /// Its place in the list of nodes.
-    pub me: usize,
+    pub own_index: usize,
     /// How many the list has.
-    pub nodes: usize,
+    pub node_count: usize,
     /// The site's number.
-    pub site: u32,
+    pub site_id: u32,
     /// For random choices.
     pub seed: u64,
     /// Higher with each start of this node, as its siblings know it.
@@ -52,7 +52,7 @@
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Out {
+pub struct OutgoingDatagram {
     /// To which node.
     pub to: usize,
     /// 256 bytes at most.
@@ -61,35 +61,35 @@
 
 /// How far a node has come that has started, was paused or was cut off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Stage {
+pub enum SyncState {
     /// It may lack what others hold, since then.
     Behind(Micros),
     /// It held what a level one held, since then.
-    Level(Micros),
+    UpToDate(Micros),
 }
 
 /// What is known of another's copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Peer {
+pub struct PeerSync {
     /// The sum of all that it held.
     pub root: u32,
     /// Whether it was behind by its own word.
     pub behind: bool,
     /// When it said so.
-    pub at: Micros,
+    pub reported_at: Micros,
 }
 
 /// What has come and gone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams that were read.
-    pub read: u64,
+    pub accepted: u64,
     /// Datagrams that could not be read.
-    pub unread: u64,
+    pub invalid: u64,
     /// Records that came and were news.
     pub news: u64,
     /// Records that a bound has kept out or taken away.
@@ -98,7 +98,7 @@
 
 /// So many orders are held that no further one is taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Full;
+pub struct OrdersFull;
 
 /// Random choices, that are a part of the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -130,11 +130,11 @@
     /// Who is here, as the siblings see it, and whether that is all of the list.
     here: Vec<usize>,
     all_here: bool,
-    peers: BTreeMap<usize, Peer>,
+    peers: BTreeMap<usize, PeerSync>,
     /// When each was last told that its copy is another.
     told: BTreeMap<usize, Micros>,
     holders: BTreeMap<u64, Holders>,
-    stage: Stage,
+    stage: SyncState,
     /// When one was last heard of that is level.
     level_heard: Option<Micros>,
     due: Micros,
@@ -143,7 +143,7 @@
     rights: Vec<(usize, Rights)>,
     /// What has changed since that was asked last: which kinds.
     changed: BTreeSet<u8>,
-    counts: Counts,
+    counts: Counters,
     dice: Dice,
 }
 
@@ -161,13 +161,13 @@
             peers: BTreeMap::new(),
             told: BTreeMap::new(),
             holders: BTreeMap::new(),
-            stage: Stage::Behind(now),
+            stage: SyncState::Behind(now),
             level_heard: None,
             due: now,
             ticked: now,
             rights: Vec::new(),
             changed: BTreeSet::new(),
-            counts: Counts::default(),
+            counts: Counters::default(),
             dice: Dice(fastrand::Rng::with_seed(setup.seed)),
             setup,
         }
@@ -176,38 +176,38 @@
     // ---- what happens ----
 
     /// When [`Replica::tick`] is to be called next, at the latest.
-    pub fn due(&self) -> Micros {
+    pub fn next_tick_at(&self) -> Micros {
         self.due
     }
 
     /// Who is here now, as the siblings see it.
-    pub fn set_here(&mut self, here: Vec<usize>) {
-        self.all_here = here.len() + 1 >= self.setup.nodes;
+    pub fn set_reachable(&mut self, here: Vec<usize>) {
+        self.all_here = here.len() + 1 >= self.setup.node_count;
         self.here = here;
     }
 
     /// This node was paused, cut off or not confirmed: what it holds may be old.
-    pub fn fell_behind(&mut self, now: Micros) {
-        if matches!(self.stage, Stage::Level(_)) {
-            (self.stage, self.level_heard, self.due) = (Stage::Behind(now), None, now);
+    pub fn mark_behind(&mut self, now: Micros) {
+        if matches!(self.stage, SyncState::UpToDate(_)) {
+            (self.stage, self.level_heard, self.due) = (SyncState::Behind(now), None, now);
         }
     }
 
     /// A datagram came from the address of this node. Tells what is to be sent.
-    pub fn heard(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<Out> {
+    pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let Ok(said) = read(self.setup.site, datagram) else {
-            self.counts.unread += 1;
+        let Ok(said) = read(self.setup.site_id, datagram) else {
+            self.counts.invalid += 1;
             return out;
         };
-        if from == self.setup.me || from >= self.setup.nodes {
-            self.counts.unread += 1;
+        if from == self.setup.own_index || from >= self.setup.node_count {
+            self.counts.invalid += 1;
             return out;
         }
-        self.counts.read += 1;
+        self.counts.accepted += 1;
         self.pace.passed(now);
         let Said { root, behind, parts } = said;
-        self.peers.insert(from, Peer { root, behind, at: now });
+        self.peers.insert(from, PeerSync { root, behind, reported_at: now });
         self.level_heard = if behind { self.level_heard } else { Some(now) };
         let (mut answers, mut compared) = (Vec::new(), false);
         for part in parts {
@@ -235,25 +235,25 @@
             let sums = self.branches(0, 0);
             self.answer(from, sums.map(Part::Sums).into_iter().collect(), &mut out);
         }
-        if let (Stage::Behind(_), false, false) = (self.stage, differs, behind) {
-            self.stage = Stage::Level(now);
+        if let (SyncState::Behind(_), false, false) = (self.stage, differs, behind) {
+            self.stage = SyncState::UpToDate(now);
         }
         out
     }
 
     /// Time has passed. Tells what is to be sent.
-    pub fn tick(&mut self, now: Micros) -> Vec<Out> {
+    pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
         self.pace.passed(now);
         self.age(now);
         self.due = now + PERIOD;
-        if let Stage::Behind(since) = self.stage
+        if let SyncState::Behind(since) = self.stage
             && now >= since + ALONE
             && self.level_heard.is_none_or(|heard| now >= heard + ALONE)
         {
-            self.stage = Stage::Level(now);
+            self.stage = SyncState::UpToDate(now);
         }
-        let behind = matches!(self.stage, Stage::Behind(_));
+        let behind = matches!(self.stage, SyncState::Behind(_));
         for _ in 0..SPOKEN_TO {
             let Some(to) = self.somebody(None) else { break };
             let mut said = self.opening();
@@ -284,9 +284,9 @@
         name: &[u8],
         value: Vec<u8>,
         life: Option<Micros>,
-    ) -> Taken {
-        let origin = self.setup.me as u16;
-        if let Some(before) = self.store.get(id_of(kind, origin, name)) {
+    ) -> MergeOutcome {
+        let origin = self.setup.own_index as u16;
+        if let Some(before) = self.store.get(record_id(kind, origin, name)) {
             // Of a life before, where the clock went back since.
             self.rise(before.record.version.incarnation);
         }
@@ -300,26 +300,26 @@
     ///
     /// # Errors
     /// If there is no room for a further one.
-    pub fn order(
+    pub fn issue_order(
         &mut self,
         now: Micros,
         subject: &[u8],
         action: Action,
         life: Option<Micros>,
         at: u32,
-    ) -> Result<u64, Full> {
-        let dot = Dot { origin: self.setup.me as u16, version: self.next_version() };
+    ) -> Result<u64, OrdersFull> {
+        let dot = Dot { origin: self.setup.own_index as u16, version: self.next_version() };
         let covers = self.orders.seen(subject);
-        let order = Order { dot, action, subject: subject.into(), at, covers };
-        let record = order.record().ok_or(Full)?;
+        let order = Order { dot, action, subject: subject.into(), issued_at_unix_s: at, covers };
+        let record = order.record().ok_or(OrdersFull)?;
         let until = match action {
-            Action::Undrain => Some(now + KEPT),
-            Action::LeaveOut => Some(now + life.unwrap_or(0) + KEPT),
-            Action::Drain | Action::Level(_) => None,
+            Action::Undrain => Some(now + TOMBSTONE_RETENTION_US),
+            Action::LeaveOut => Some(now + life.unwrap_or(0) + TOMBSTONE_RETENTION_US),
+            Action::Drain | Action::LogLevel(_) => None,
         };
-        let (id, sum) = (id_of(kind::ORDER, dot.origin, &record.name), sum_of(&record));
+        let (id, sum) = (record_id(kind::ORDER, dot.origin, &record.name), record_checksum(&record));
         match self.take(now, record, until) {
-            Taken::New | Taken::Newer => {
+            MergeOutcome::New | MergeOutcome::Replaced => {
                 while self.holders.len() >= COUNTED {
                     self.holders.pop_first();
                 }
@@ -327,52 +327,55 @@
                 self.due = now; // told without waiting for the next period
                 Ok(id)
             }
-            _ => Err(Full),
+            _ => Err(OrdersFull),
         }
     }
 
     /// Takes back a record of an order that was kept over a restart; one that was covered meanwhile is covered again.
-    pub fn restore(&mut self, now: Micros, record: Record, left: Option<Micros>) -> Taken {
+    pub fn restore(&mut self, now: Micros, record: Record, left: Option<Micros>) -> MergeOutcome {
         self.take(now, record, left.map(|left| now + left))
     }
 
     // ---- what is known ----
 
     /// What stands, by subject, and for how long yet.
-    pub fn orders(&self, now: Micros) -> impl Iterator<Item = (Standing<'_>, Option<Micros>)> {
-        self.orders.standing().map(move |standing| {
-            let until = self.store.get(standing.id).and_then(|held| held.until);
+    pub fn effective_orders(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (EffectiveOrder<'_>, Option<Micros>)> {
+        self.orders.effective().map(move |standing| {
+            let until = self.store.get(standing.id).and_then(|held| held.expires_at);
             (standing, until.map(|until| until.saturating_sub(now)))
         })
     }
 
     /// The records of a kind.
-    pub fn of_kind(&self, kind: u8) -> impl Iterator<Item = &Held> {
-        self.store.of_kind(kind).map(|(_, held)| held)
+    pub fn records_of_kind(&self, kind: u8) -> impl Iterator<Item = &StoredRecord> {
+        self.store.records_of_kind(kind).map(|(_, held)| held)
     }
 
     /// A record by its id.
-    pub fn record(&self, id: u64) -> Option<&Held> {
+    pub fn record(&self, id: u64) -> Option<&StoredRecord> {
         self.store.get(id)
     }
 
     /// All records, by id, with a number of what they say.
-    pub fn all(&self) -> impl Iterator<Item = (u64, u32, &Held)> {
+    pub fn records(&self) -> impl Iterator<Item = (u64, u32, &StoredRecord)> {
         self.store.all().map(|(id, held)| (id, held.sum(), held))
     }
 
     /// How many nodes hold an order of this one, itself included, as far as they have said so.
-    pub fn holders(&self, id: u64) -> usize {
+    pub fn holder_count(&self, id: u64) -> usize {
         1 + self.holders.get(&id).map_or(0, |holders| holders.nodes.len())
     }
 
     /// How far this node has come.
-    pub fn stage(&self) -> Stage {
+    pub fn sync_state(&self) -> SyncState {
         self.stage
     }
 
     /// Who is known to hold what.
-    pub fn peers(&self) -> &BTreeMap<usize, Peer> {
+    pub fn peers(&self) -> &BTreeMap<usize, PeerSync> {
         &self.peers
     }
 
@@ -392,22 +395,22 @@
     }
 
     /// What has come and gone.
-    pub fn counts(&self) -> Counts {
-        Counts { dropped: self.store.dropped, ..self.counts }
+    pub fn counters(&self) -> Counters {
+        Counters { dropped: self.store.dropped, ..self.counts }
     }
 
     /// Which kinds have changed since this was asked last.
-    pub fn changed(&mut self) -> BTreeSet<u8> {
+    pub fn take_changed_kinds(&mut self) -> BTreeSet<u8> {
         std::mem::take(&mut self.changed)
     }
 
     /// What was said of rights since this was asked last.
-    pub fn rights(&mut self) -> Vec<(usize, Rights)> {
+    pub fn take_lease_messages(&mut self) -> Vec<(usize, Rights)> {
         std::mem::take(&mut self.rights)
     }
 
     /// A datagram that says something of rights.
-    pub fn say(&mut self, to: usize, rights: Rights) -> Out {
+    pub fn lease_datagram(&mut self, to: usize, rights: Rights) -> OutgoingDatagram {
         let mut said = self.opening();
         said.add(Part::Rights(rights));
         let mut out = Vec::new();
@@ -430,34 +433,42 @@
     }
 
     /// A record came.
-    fn came(&mut self, now: Micros, from: usize, sent: Sent, answers: &mut Vec<Part>, out: &mut Vec<Out>) {
+    fn came(
+        &mut self,
+        now: Micros,
+        from: usize,
+        sent: Sent,
+        answers: &mut Vec<Part>,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let Sent { record, left, asks } = sent;
         let origin = usize::from(record.origin);
-        if origin >= self.setup.nodes {
+        if origin >= self.setup.node_count {
             return; // no node of the list
         }
-        if origin == self.setup.me {
+        if origin == self.setup.own_index {
             self.rise(record.version.incarnation);
         }
-        let (kind, id, sum) = (record.kind, id_of(record.kind, record.origin, &record.name), sum_of(&record));
+        let (kind, id, sum) =
+            (record.kind, record_id(record.kind, record.origin, &record.name), record_checksum(&record));
         let until = left.map(|left| now + u64::from(left) * 100_000);
         let taken = self.take(now, record, until);
         match taken {
-            Taken::New | Taken::Newer => {
+            MergeOutcome::New | MergeOutcome::Replaced => {
                 self.counts.news += 1;
                 if kind != kind::EVIDENCE {
                     self.pass_on(now, id, from, out);
                 }
             }
-            Taken::Same => self.rumours.known(id),
-            Taken::Old | Taken::Over | Taken::Full => {}
+            MergeOutcome::Unchanged => self.rumours.known(id),
+            MergeOutcome::Outdated | MergeOutcome::Expired | MergeOutcome::RejectedFull => {}
         }
         // Its origin counts who holds an order: at the first word of it, and whenever it asks.
-        let held = matches!(taken, Taken::New | Taken::Newer | Taken::Same);
-        if kind == kind::ORDER && held && origin != self.setup.me {
-            if from == origin && (asks || taken.is_news()) {
+        let held = matches!(taken, MergeOutcome::New | MergeOutcome::Replaced | MergeOutcome::Unchanged);
+        if kind == kind::ORDER && held && origin != self.setup.own_index {
+            if from == origin && (asks || taken.is_change()) {
                 answers.push(Part::Held(vec![(id, sum)]));
-            } else if taken.is_news() && self.here.contains(&origin) && self.pace.take(0) {
+            } else if taken.is_change() && self.here.contains(&origin) && self.pace.take(0) {
                 let mut said = self.opening();
                 said.add(Part::Held(vec![(id, sum)]));
                 self.put_out(origin, &said, out);
@@ -465,22 +476,22 @@
         }
     }
 
-    fn take(&mut self, now: Micros, record: Record, until: Option<Micros>) -> Taken {
+    fn take(&mut self, now: Micros, record: Record, until: Option<Micros>) -> MergeOutcome {
         let (of, origin) = (record.kind, record.origin);
-        let id = id_of(of, origin, &record.name);
+        let id = record_id(of, origin, &record.name);
         let order = Order::read(&record);
         if order.as_ref().is_some_and(|order| self.orders.is_covered(order)) {
-            return Taken::Old;
+            return MergeOutcome::Outdated;
         }
         let taken = self.store.take(now, record, until);
-        if taken.is_news() {
+        if taken.is_change() {
             if let Some(order) = order {
                 for covered in self.orders.enter(id, order) {
                     self.store.remove(covered);
                 }
             }
             self.changed.insert(of);
-            let times = (usize::BITS - self.setup.nodes.leading_zeros()) as u8;
+            let times = (usize::BITS - self.setup.node_count.leading_zeros()) as u8;
             self.rumours.news(id, times);
         }
         taken
@@ -493,7 +504,7 @@
         let still = if self.all_here { passed.saturating_sub(4 * PERIOD) } else { passed };
         if still > 0 {
             let tombstone = |(id, order): (u64, &Order)| {
-                let until = self.store.get(id)?.until?;
+                let until = self.store.get(id)?.expires_at?;
                 order.is_tombstone(Some(until.saturating_sub(now - passed))).then_some((id, until + still))
             };
             let later: Vec<(u64, Micros)> = self.orders.all().filter_map(tombstone).collect();
@@ -508,7 +519,7 @@
             self.changed.insert(held.record.kind);
         }
         self.holders.retain(|_, holders| now < holders.until + 10 * INSISTS);
-        self.peers.retain(|_, peer| now < peer.at + 60_000_000);
+        self.peers.retain(|_, peer| now < peer.reported_at + 60_000_000);
         self.told.retain(|_, told| now < *told + AGAIN);
     }
 
@@ -520,7 +531,7 @@
     // ---- news ----
 
     /// What can't wait for the next period.
-    fn pass_on(&mut self, now: Micros, id: u64, from: usize, out: &mut Vec<Out>) {
+    fn pass_on(&mut self, now: Micros, id: u64, from: usize, out: &mut Vec<OutgoingDatagram>) {
         for _ in 0..PASSED_ON {
             let Some(to) = self.somebody(Some(from)).filter(|_| self.pace.take(FOR_ANSWERS)) else { return };
             let mut said = self.opening();
@@ -543,7 +554,7 @@
     }
 
     /// Brings orders of its own to those who have not said that they hold them.
-    fn insist(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn insist(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
         let mut left = INSISTED;
         let open: Vec<(u64, Vec<usize>)> = self
             .holders
@@ -632,7 +643,7 @@
     }
 
     /// Sends parts to one, as many datagrams as there are sends left.
-    fn answer(&mut self, to: usize, parts: Vec<Part>, out: &mut Vec<Out>) {
+    fn answer(&mut self, to: usize, parts: Vec<Part>, out: &mut Vec<OutgoingDatagram>) {
         let (mut said, mut datagrams) = (self.opening(), 0);
         for part in parts {
             if said.add(part.clone()) {
@@ -654,7 +665,7 @@
     // ---- sending ----
 
     fn opening(&self) -> Said {
-        let behind = matches!(self.stage, Stage::Behind(_));
+        let behind = matches!(self.stage, SyncState::Behind(_));
         Said { root: self.store.root(), behind, parts: Vec::new() }
     }
 
@@ -664,10 +675,10 @@
         self.here.iter().copied().filter(|&node| Some(node) != but).nth(nth)
     }
 
-    fn put_out(&mut self, to: usize, said: &Said, out: &mut Vec<Out>) {
-        let datagram = put(self.setup.site, said);
+    fn put_out(&mut self, to: usize, said: &Said, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = put(self.setup.site_id, said);
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
-        out.push(Out { to, datagram });
+        out.push(OutgoingDatagram { to, datagram });
     }
 }
--- a/crates/replica/src/simulation.rs
+++ b/crates/replica/src/simulation.rs
@@ -3,12 +3,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Micros, Out, Replica, Setup};
+use crate::{Micros, OutgoingDatagram, Replica, Setup};
 
 /// A millisecond.
 pub const MS: Micros = 1_000;
 /// A second.
-pub const S: Micros = 1_000_000;
+pub const SEC: Micros = 1_000_000;
 /// Who is here is looked at so often.
 const LOOK: Micros = 500 * MS;
 /// What a socket holds of what comes to one that is paused.
@@ -34,7 +34,7 @@
 }
 
 /// All nodes, and the ways between them.
-pub struct World {
+pub struct Simulation {
     /// The true time.
     pub now: Micros,
     /// By number.
@@ -42,9 +42,11 @@
     /// For all choices.
     pub rng: fastrand::Rng,
     /// Datagrams lost, and those doubled, in a thousand.
-    pub loss: (u32, u32),
+    pub loss_permille: u32,
+    /// Datagrams delivered twice, per thousand.
+    pub duplicate_permille: u32,
     /// Shortest and longest time on a way.
-    pub delay: (Micros, Micros),
+    pub delay_range: (Micros, Micros),
     /// Who is here is told so late.
     pub lag: Micros,
     cut: BTreeSet<(usize, usize)>,
@@ -54,17 +56,18 @@
     number: u64,
 }
 
-impl World {
+impl Simulation {
     /// So many nodes that have just started.
-    pub fn new(nodes: usize, seed: u64) -> World {
+    pub fn new(nodes: usize, seed: u64) -> Simulation {
         let node = |_| Node { replica: None, life: 0, paused: None, off: 0, sent_bytes: 0, sent: 0 };
-        let mut world = World {
-            now: 10 * S,
+        let mut world = Simulation {
+            now: 10 * SEC,
             nodes: (0..nodes).map(node).collect(),
             rng: fastrand::Rng::with_seed(seed),
-            loss: (0, 0),
-            delay: (MS, 20 * MS),
-            lag: S,
+            loss_permille: 0,
+            duplicate_permille: 0,
+            delay_range: (MS, 20 * MS),
+            lag: SEC,
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
             seen: BTreeMap::new(),
@@ -90,7 +93,7 @@
     pub fn start(&mut self, node: usize) {
         let life = self.nodes[node].life + 1;
         let (seed, nodes) = (self.rng.u64(..), self.nodes.len());
-        let setup = Setup { me: node, nodes, site: 7, seed, incarnation: life };
+        let setup = Setup { own_index: node, node_count: nodes, site_id: 7, seed, incarnation: life };
         let now = self.clock(node);
         let place = &mut self.nodes[node];
         (place.replica, place.life, place.paused) = (Some(Replica::new(setup, now)), life, None);
@@ -113,7 +116,7 @@
         let (now, life) = (self.clock(node), self.nodes[node].life);
         let held = self.nodes[node].paused.take().unwrap_or_default();
         if let Some(replica) = &mut self.nodes[node].replica {
-            replica.fell_behind(now);
+            replica.mark_behind(now);
         }
         for (from, datagram) in held {
             self.comes(from, node, &datagram);
@@ -153,12 +156,12 @@
     }
 
     /// Does something at a node that runs.
-    pub fn on<T>(&mut self, node: usize, work: impl FnOnce(&mut Replica, Micros) -> T) -> T {
+    pub fn with_replica<T>(&mut self, node: usize, work: impl FnOnce(&mut Replica, Micros) -> T) -> T {
         let now = self.clock(node);
         let replica = self.nodes[node].replica.as_mut().expect("it runs");
         let done = work(replica, now);
         // It is told that it is due at once where it is.
-        if replica.due() <= now {
+        if replica.next_tick_at() <= now {
             let out = replica.tick(now);
             self.gather(node, out);
         }
@@ -209,7 +212,7 @@
         self.seen = self.seen.split_off(&at);
         for (node, here) in seen.into_iter().enumerate() {
             let Node { replica: Some(replica), paused: None, .. } = &mut self.nodes[node] else { continue };
-            replica.set_here(here);
+            replica.set_reachable(here);
         }
     }
 
@@ -219,7 +222,7 @@
         }
         let now = self.clock(node);
         let Some(replica) = &mut self.nodes[node].replica else { return };
-        let (out, due) = (replica.tick(now), replica.due());
+        let (out, due) = (replica.tick(now), replica.next_tick_at());
         let at = self.now + due.saturating_sub(now) + self.rng.u64(0..2 * MS);
         self.at(at, Happens::Tick { node, life });
         self.gather(node, out);
@@ -234,20 +237,20 @@
         }
         let now = self.clock(to);
         let Some(replica) = &mut self.nodes[to].replica else { return };
-        let out = replica.heard(now, from, datagram);
+        let out = replica.handle_datagram(now, from, datagram);
         self.gather(to, out);
     }
 
     /// Sends what a node says.
-    pub fn gather(&mut self, node: usize, out: Vec<Out>) {
+    pub fn gather(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
         for out in out {
             assert!(out.datagram.len() <= 256 && out.to != node);
             self.nodes[node].sent_bytes += out.datagram.len() as u64;
             self.nodes[node].sent += 1;
-            let times = 1 + u32::from(self.rng.u32(0..1000) < self.loss.1);
+            let times = 1 + u32::from(self.rng.u32(0..1000) < self.duplicate_permille);
             for _ in 0..times {
-                if !self.cut.contains(&(node, out.to)) && self.rng.u32(0..1000) >= self.loss.0 {
-                    let at = self.now + self.rng.u64(self.delay.0..=self.delay.1);
+                if !self.cut.contains(&(node, out.to)) && self.rng.u32(0..1000) >= self.loss_permille {
+                    let at = self.now + self.rng.u64(self.delay_range.0..=self.delay_range.1);
                     self.at(at, Happens::Comes { from: node, to: out.to, datagram: out.datagram.clone() });
                 }
             }
@@ -255,14 +258,14 @@
     }
 
     /// Whether all that run hold the same.
-    pub fn alike(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         let roots: BTreeSet<u32> =
             (0..self.nodes.len()).filter(|&n| self.runs(n)).map(|n| self.replica(n).root()).collect();
         roots.len() <= 1
     }
 
     /// Runs until something holds; tells after what time.
-    pub fn until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Micros {
+    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Simulation) -> bool) -> Micros {
         let start = self.now;
         while !holds(self) {
             let roots: Vec<u32> = (0..self.nodes.len().min(12))
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -18,7 +18,7 @@
 fn most(of: u8) -> (usize, usize) {
     match of {
         kind::ORDER => (1024, 256),
-        kind::WORD => (4096, 512),
+        kind::ENDPOINT_REPORT => (4096, 512),
         kind::EVIDENCE => (4096, 16),
         _ => (512, 64),
     }
@@ -29,13 +29,13 @@
 fn quiet(of: u8) -> Micros {
     match of {
         kind::ORDER => 20_000_000,
-        kind::WORD => 5_000_000,
+        kind::ENDPOINT_REPORT => 5_000_000,
         _ => 1_500_000,
     }
 }
 
 /// By what a record is known: 48 bits of a hash over kind, origin and name.
-pub fn id_of(kind: u8, origin: u16, name: &[u8]) -> u64 {
+pub fn record_id(kind: u8, origin: u16, name: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(&[kind]);
     hash.update(&origin.to_be_bytes());
@@ -44,7 +44,7 @@
 }
 
 /// A number of a record's contents.
-pub fn sum_of(record: &Record) -> u32 {
+pub fn record_checksum(record: &Record) -> u32 {
     let mut hash = Xxh3::new();
     hash.update(&[record.kind]);
     hash.update(&record.origin.to_be_bytes());
@@ -58,20 +58,21 @@
 
 /// A record that is held.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct StoredRecord {
     /// The record.
     pub record: Record,
     /// When its life ends, by this node's clock.
-    pub until: Option<Micros>,
+    pub expires_at: Option<Micros>,
     sum: u32,
     /// It is told, and counts in the sums.
     counted: bool,
 }
 
-impl Held {
+impl StoredRecord {
     /// How long it lives yet, as it is sent.
     pub(crate) fn left(&self, now: Micros) -> Option<u32> {
-        self.until.map(|until| (until.saturating_sub(now) / 100_000).clamp(1, u64::from(u32::MAX)) as u32)
+        self.expires_at
+            .map(|until| (until.saturating_sub(now) / 100_000).clamp(1, u64::from(u32::MAX)) as u32)
     }
 
     /// What both copies of a record are compared by.
@@ -82,32 +83,32 @@
 
 /// What has become of a record that came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// None of that name was held.
     New,
     /// It has taken the place of an older one.
-    Newer,
+    Replaced,
     /// It was held.
-    Same,
+    Unchanged,
     /// A newer one is held.
-    Old,
+    Outdated,
     /// Its life is all but over.
-    Over,
+    Expired,
     /// A bound keeps it out.
-    Full,
+    RejectedFull,
 }
 
-impl Taken {
+impl MergeOutcome {
     /// Whether it is held now and was not before.
-    pub fn is_news(self) -> bool {
-        matches!(self, Taken::New | Taken::Newer)
+    pub fn is_change(self) -> bool {
+        matches!(self, MergeOutcome::New | MergeOutcome::Replaced)
     }
 }
 
 /// All that a node holds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Store {
-    records: BTreeMap<u64, Held>,
+    records: BTreeMap<u64, StoredRecord>,
     by_kind: BTreeSet<(u8, u64)>,
     by_origin: BTreeSet<(u8, u16, u64)>,
     /// How many there are of a kind, and of a kind and an origin.
@@ -128,7 +129,7 @@
         Store { records, by_kind, by_origin, numbers, ends, sums, root: 0, dropped: 0 }
     }
 
-    pub fn get(&self, id: u64) -> Option<&Held> {
+    pub fn get(&self, id: u64) -> Option<&StoredRecord> {
         self.records.get(&id)
     }
 
@@ -137,13 +138,13 @@
     }
 
     /// All of a kind, by id.
-    pub fn of_kind(&self, kind: u8) -> impl Iterator<Item = (u64, &Held)> {
+    pub fn records_of_kind(&self, kind: u8) -> impl Iterator<Item = (u64, &StoredRecord)> {
         let ids = self.by_kind.range((kind, 0)..=(kind, u64::MAX));
         ids.filter_map(|(_, id)| Some((*id, self.records.get(id)?)))
     }
 
     /// All, by id.
-    pub fn all(&self) -> impl Iterator<Item = (u64, &Held)> {
+    pub fn all(&self) -> impl Iterator<Item = (u64, &StoredRecord)> {
         self.records.iter().map(|(id, held)| (*id, held))
     }
 
@@ -153,36 +154,36 @@
     }
 
     /// Takes a record that lives until then.
-    pub fn take(&mut self, now: Micros, record: Record, until: Option<Micros>) -> Taken {
-        let id = id_of(record.kind, record.origin, &record.name);
+    pub fn take(&mut self, now: Micros, record: Record, until: Option<Micros>) -> MergeOutcome {
+        let id = record_id(record.kind, record.origin, &record.name);
         let over = until.is_some_and(|until| until <= now + quiet(record.kind));
         let held = self.records.get(&id);
         let newer =
             held.map(|held| (record.version, &record.value).cmp(&(held.record.version, &held.record.value)));
         // Guards against: a life that is cut short by the copy that was longest on its way.
-        let held_until = held.and_then(|held| held.until);
+        let held_until = held.and_then(|held| held.expires_at);
         let longer = held_until.is_some_and(|held| until.is_none_or(|until| until > held));
         let taken = match newer {
-            Some(Ordering::Less) => return Taken::Old,
+            Some(Ordering::Less) => return MergeOutcome::Outdated,
             Some(Ordering::Equal) => {
                 if longer && !over {
                     self.set_until(id, until);
                 }
-                return Taken::Same;
+                return MergeOutcome::Unchanged;
             }
-            _ if over => return Taken::Over,
-            Some(Ordering::Greater) => Taken::Newer,
-            None if !self.makes_room(id, &record) => return Taken::Full,
-            None => Taken::New,
+            _ if over => return MergeOutcome::Expired,
+            Some(Ordering::Greater) => MergeOutcome::Replaced,
+            None if !self.makes_room(id, &record) => return MergeOutcome::RejectedFull,
+            None => MergeOutcome::New,
         };
         self.remove(id);
-        let sum = sum_of(&record);
-        self.enter(id, Held { record, until, sum, counted: true });
+        let sum = record_checksum(&record);
+        self.enter(id, StoredRecord { record, expires_at: until, sum, counted: true });
         taken
     }
 
     /// Enters one that was not there.
-    fn enter(&mut self, id: u64, held: Held) {
+    fn enter(&mut self, id: u64, held: StoredRecord) {
         let (kind, origin, sum) = (held.record.kind, held.record.origin, held.sum);
         self.by_kind.insert((kind, id));
         self.by_origin.insert((kind, origin, id));
@@ -212,7 +213,7 @@
     }
 
     /// Takes one away; tells what it was.
-    pub fn remove(&mut self, id: u64) -> Option<Held> {
+    pub fn remove(&mut self, id: u64) -> Option<StoredRecord> {
         let held = self.records.remove(&id)?;
         let (kind, origin) = (held.record.kind, held.record.origin);
         self.by_kind.remove(&(kind, id));
@@ -224,7 +225,7 @@
                 self.numbers.remove(&(kind, of));
             }
         }
-        if let Some(until) = held.until {
+        if let Some(until) = held.expires_at {
             self.ends.remove(&(until.saturating_sub(quiet(held.record.kind)), id));
             self.ends.remove(&(until, id));
         }
@@ -237,25 +238,25 @@
     /// Sets when one's life ends.
     pub fn set_until(&mut self, id: u64, until: Option<Micros>) {
         if let Some(mut held) = self.remove(id) {
-            (held.until, held.counted) = (until, true);
+            (held.expires_at, held.counted) = (until, true);
             self.enter(id, held);
         }
     }
 
     fn look_at(&mut self, id: u64) {
         let held = &self.records[&id];
-        if let Some(until) = held.until {
+        if let Some(until) = held.expires_at {
             self.ends.insert((until.saturating_sub(quiet(held.record.kind)), id));
         }
     }
 
     /// Ends what is over; tells what has gone.
-    pub fn expire(&mut self, now: Micros) -> Vec<(u64, Held)> {
+    pub fn expire(&mut self, now: Micros) -> Vec<(u64, StoredRecord)> {
         let mut gone = Vec::new();
         while let Some(&(at, id)) = self.ends.first().filter(|(at, _)| *at <= now) {
             self.ends.remove(&(at, id));
             let Some(held) = self.records.get_mut(&id) else { continue };
-            let until = held.until.unwrap_or(Micros::MAX);
+            let until = held.expires_at.unwrap_or(Micros::MAX);
             if until <= now {
                 gone.extend(self.remove(id).map(|held| (id, held)));
             } else if held.counted {
@@ -268,7 +269,7 @@
         gone
     }
 
-    /// Counts one in, or out again.
+    /// Counters one in, or out again.
     fn count(&mut self, id: u64, sum: u32) {
         self.root ^= sum;
         for (level, sums) in (1u32..).zip(&mut self.sums) {
@@ -303,7 +304,7 @@
 
     use super::*;
 
-    const S: Micros = 1_000_000;
+    const SEC: Micros = 1_000_000;
 
     fn record(kind: u8, origin: u16, name: u32, counter: u32) -> Record {
         let version = Version { incarnation: 1, counter };
@@ -326,7 +327,7 @@
                 let mut store = Store::new();
                 rng.shuffle(&mut all);
                 for record in all.iter().chain(&all[..all.len() / 2]) {
-                    let until = (record.kind == kind::EVIDENCE).then_some(90 * S);
+                    let until = (record.kind == kind::EVIDENCE).then_some(90 * SEC);
                     store.take(0, record.clone(), until);
                 }
                 roots.insert((store.root(), store.len()));
@@ -344,17 +345,20 @@
     #[test]
     fn a_life_ends_quietly_and_a_copy_that_was_under_way_does_not_cut_it_short() {
         let mut store = Store::new();
-        let one = record(kind::WORD, 1, 1, 1);
-        assert_eq!(store.take(0, one.clone(), Some(60 * S)), Taken::New);
-        assert_eq!(store.take(0, one.clone(), Some(50 * S)), Taken::Same);
-        assert_eq!(store.get(id_of(kind::WORD, 1, &one.name)).unwrap().until, Some(60 * S));
-        store.expire(56 * S);
+        let one = record(kind::ENDPOINT_REPORT, 1, 1, 1);
+        assert_eq!(store.take(0, one.clone(), Some(60 * SEC)), MergeOutcome::New);
+        assert_eq!(store.take(0, one.clone(), Some(50 * SEC)), MergeOutcome::Unchanged);
+        assert_eq!(
+            store.get(record_id(kind::ENDPOINT_REPORT, 1, &one.name)).unwrap().expires_at,
+            Some(60 * SEC)
+        );
+        store.expire(56 * SEC);
         assert_eq!((store.len(), store.root()), (1, 0), "held, and told no more");
-        assert_eq!(store.take(56 * S, one.clone(), Some(58 * S)), Taken::Same);
-        assert_eq!(store.expire(60 * S).len(), 1);
+        assert_eq!(store.take(56 * SEC, one.clone(), Some(58 * SEC)), MergeOutcome::Unchanged);
+        assert_eq!(store.expire(60 * SEC).len(), 1);
         assert_eq!(
-            store.take(60 * S, one.clone(), Some(63 * S)),
-            Taken::Over,
+            store.take(60 * SEC, one.clone(), Some(63 * SEC)),
+            MergeOutcome::Expired,
             "not back for its last seconds"
         );
         assert_eq!((store.len(), store.ends.len(), store.by_kind.len()), (0, 0, 0));
--- a/crates/replica/tests/orders.rs
+++ b/crates/replica/tests/orders.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 
 use lilacquay_replica::orders::Action;
-use lilacquay_replica::{Micros, Out, Replica, Setup, kind};
+use lilacquay_replica::{Micros, OutgoingDatagram, Replica, Setup, kind};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
-const S: Micros = 1_000_000;
+const SEC: Micros = 1_000_000;
 const BOX: &[u8] = b"box";
 
 /// An order as the model knows it: its number, what it ordered, and which orders its node held or had lifted by then.
@@ -43,7 +43,7 @@
 
 impl Site {
     fn new(left: u8) -> Site {
-        let (now, met) = (100 * S, vec![BTreeSet::new(); NODES]);
+        let (now, met) = (100 * SEC, vec![BTreeSet::new(); NODES]);
         let mut site = Site { now, copies: Vec::new(), lives: 0, given: Vec::new(), met, left };
         site.copies = (0..NODES).map(|me| site.copy(me)).collect();
         site
@@ -51,36 +51,37 @@
 
     fn copy(&mut self, me: usize) -> Replica {
         self.lives += 1;
-        let setup = Setup { me, nodes: NODES, site: 1, seed: me as u64, incarnation: self.lives };
+        let setup =
+            Setup { own_index: me, node_count: NODES, site_id: 1, seed: me as u64, incarnation: self.lives };
         let mut copy = Replica::new(setup, self.now);
-        copy.set_here((0..NODES).filter(|&other| other != me).collect());
+        copy.set_reachable((0..NODES).filter(|&other| other != me).collect());
         copy
     }
 
     fn held(&self, node: usize) -> BTreeSet<u64> {
-        let orders = self.copies[node].all().filter(|(_, _, held)| held.record.kind == kind::ORDER);
+        let orders = self.copies[node].records().filter(|(_, _, held)| held.record.kind == kind::ORDER);
         orders.map(|(id, ..)| id).collect()
     }
 
     fn order(&mut self, node: usize, action: Action) {
         let seen = self.met[node].clone();
-        let id = self.copies[node].order(self.now, BOX, action, None, 0).expect("there is room");
+        let id = self.copies[node].issue_order(self.now, BOX, action, None, 0).expect("there is room");
         self.given.push(Given { id, drains: action == Action::Drain, seen });
     }
 
     /// What a node says by itself comes to another; tells what that answers.
-    fn word(&mut self, from: usize, to: usize) -> Vec<Out> {
+    fn word(&mut self, from: usize, to: usize) -> Vec<OutgoingDatagram> {
         let mut all: Vec<usize> = (0..NODES).filter(|&node| node != from).collect();
-        self.copies[from].set_here(vec![to]);
+        self.copies[from].set_reachable(vec![to]);
         let out = self.copies[from].tick(self.now);
-        self.copies[from].set_here(std::mem::take(&mut all));
+        self.copies[from].set_reachable(std::mem::take(&mut all));
         self.carry(from, to, out)
     }
 
-    fn carry(&mut self, from: usize, to: usize, out: Vec<Out>) -> Vec<Out> {
+    fn carry(&mut self, from: usize, to: usize, out: Vec<OutgoingDatagram>) -> Vec<OutgoingDatagram> {
         let to_it = out.into_iter().filter(|out| out.to == to);
-        let answers: Vec<Out> =
-            to_it.flat_map(|out| self.copies[to].heard(self.now, from, &out.datagram)).collect();
+        let answers: Vec<OutgoingDatagram> =
+            to_it.flat_map(|out| self.copies[to].handle_datagram(self.now, from, &out.datagram)).collect();
         let held = self.held(to);
         self.met[to].extend(held);
         answers
@@ -97,7 +98,7 @@
     }
 
     fn step(&mut self, step: Step) {
-        self.now += S;
+        self.now += SEC;
         match step {
             Step::Drain(node) => self.order(node, Action::Drain),
             Step::Undrain(node) => self.order(node, Action::Undrain),
@@ -120,7 +121,7 @@
     }
 
     fn drains(&self, node: usize) -> bool {
-        let mut standing = self.copies[node].orders(self.now);
+        let mut standing = self.copies[node].effective_orders(self.now);
         standing.any(|(standing, _)| standing.order.action == Action::Drain)
     }
 
@@ -137,7 +138,7 @@
     fn ends_alike(&self) -> bool {
         let mut end = self.clone();
         for _ in 0..4 {
-            end.now += S;
+            end.now += SEC;
             for (one, other) in [(0, 1), (1, 2), (0, 2)] {
                 end.talk(one, other);
             }
--- a/crates/siblings/src/lib.rs
+++ b/crates/siblings/src/lib.rs
@@ -6,7 +6,7 @@
 //! who has ended an incarnation never confirms it again: so nobody is held to be gone who still uses its part.
 //! `docs/design/siblings.md` has the reasons and the bounds.
 //!
-//! No I/O, no clock, no thread: [`Siblings::heard`] and [`Siblings::tick`] are told both clocks and say what is to be
+//! No I/O, no clock, no thread: [`Membership::handle_datagram`] and [`Membership::tick`] are told both clocks and say what is to be
 //! sent.
 
 mod gossip_queue;
@@ -20,11 +20,11 @@
 pub mod simulation;
 mod view;
 
-pub use parameters::Terms;
+pub use parameters::Parameters;
 pub use ring::Ring;
-pub use share::{Part, WHOLE};
-pub use siblings::{Change, Counts, Fellow, Out, Setup, Siblings, Way};
-pub use view::{State, Why};
+pub use share::{FULL_SHARE, ResourceShare};
+pub use siblings::{Counters, LinkState, Membership, MembershipEvent, OutgoingDatagram, PeerStatus, Setup};
+pub use view::{NodeState, StateReason};
 
 /// A time, or a length of it, in microseconds.
 pub type Micros = u64;
--- a/crates/siblings/src/parameters.rs
+++ b/crates/siblings/src/parameters.rs
@@ -2,42 +2,47 @@
 
 use crate::Micros;
 
-/// Times and bounds. The same at all nodes of a site.
+/// Times and bounds. The same at all node_count of a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct Parameters {
     /// A node speaks to each that it watches once in so long.
-    pub period: Micros,
+    pub heartbeat_interval: Micros,
     /// A node may use its part for so long, by its own clock, after it sent a beat that was confirmed.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// By how much a clock may be too quick or too slow, in thousandths.
-    pub drift: u64,
+    pub max_drift_permille: u64,
     /// A loop that is late by more was paused.
-    pub late: Micros,
+    pub late_threshold: Micros,
 }
 
-impl Default for Terms {
+impl Default for Parameters {
     /// A lease of six periods: a pause of two seconds, or five lost datagrams in a row, end none.
     fn default() -> Self {
-        Terms { period: 500_000, lease: 3_000_000, drift: 10, late: 200_000 }
+        Parameters {
+            heartbeat_interval: 500_000,
+            lease_duration: 3_000_000,
+            max_drift_permille: 10,
+            late_threshold: 200_000,
+        }
     }
 }
 
-impl Terms {
+impl Parameters {
     /// A watcher waits for so long before it holds a lease to have run out: longer than the lease is by the slowest clock.
-    pub fn outlasts(&self) -> Micros {
-        self.lease + self.lease * 2 * self.drift / 1_000 + 10_000
+    pub fn expiry_timeout(&self) -> Micros {
+        self.lease_duration + self.lease_duration * 2 * self.max_drift_permille / 1_000 + 10_000
     }
 
-    /// The longest pause of a node that changes nothing in anybody's view: the lease less two periods, for what was on
+    /// The longest pause of a node that events nothing in anybody's view: the lease less two periods, for what was on
     /// its way before and after.
-    pub fn unnoticed(&self) -> Micros {
-        self.lease.saturating_sub(2 * self.period)
+    pub fn longest_unnoticed_pause(&self) -> Micros {
+        self.lease_duration.saturating_sub(2 * self.heartbeat_interval)
     }
 
     /// Word of a node that is older than this is no word that it is here.
     ///
-    /// Word of a node far off on the ring comes by rotation, which is the slower the more nodes there are.
-    pub fn fresh(&self, nodes: usize) -> Micros {
-        2 * self.lease + self.period * 2 / 5 * nodes as u64
+    /// Word of a node far off on the ring comes by rotation, which is the slower the more node_count there are.
+    pub fn freshness_limit(&self, node_count: usize) -> Micros {
+        2 * self.lease_duration + self.heartbeat_interval * 2 / 5 * node_count as u64
     }
 }
--- a/crates/siblings/src/peer_monitor.rs
+++ b/crates/siblings/src/peer_monitor.rs
@@ -3,7 +3,7 @@
 use lilacquay_codec::siblings::Heard;
 
 use crate::Micros;
-use crate::parameters::Terms;
+use crate::parameters::Parameters;
 
 /// A node that is watched.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -38,8 +38,8 @@
     }
 
     /// Ends its lease if it has run out. `patience`: thousandths by which a node that doubts itself waits longer.
-    pub fn tick(&mut self, now: Micros, terms: &Terms, patience: u64) -> bool {
-        let outlasts = terms.outlasts() * (1_000 + patience) / 1_000;
+    pub fn tick(&mut self, now: Micros, parameters: &Parameters, patience: u64) -> bool {
+        let outlasts = parameters.expiry_timeout() * (1_000 + patience) / 1_000;
         let over = self.fresh.is_some_and(|fresh| now > fresh + outlasts);
         let ends = over && !self.expired;
         self.expired |= over;
@@ -47,8 +47,8 @@
     }
 
     /// Nothing could be heard for so long: that says nothing of it. It has two periods at least to be heard again.
-    pub fn paused(&mut self, now: Micros, time: Micros, terms: &Terms) {
-        let least = (now + 2 * terms.period).saturating_sub(terms.outlasts());
+    pub fn paused(&mut self, now: Micros, time: Micros, parameters: &Parameters) {
+        let least = (now + 2 * parameters.heartbeat_interval).saturating_sub(parameters.expiry_timeout());
         self.fresh = self.fresh.map(|fresh| (fresh + time).max(least).min(now));
     }
 
@@ -57,8 +57,8 @@
         self.fresh.is_some_and(|fresh| now > fresh + time)
     }
 
-    pub fn is_direct(&self, now: Micros, terms: &Terms) -> bool {
-        self.was_direct(now, 4 * terms.period)
+    pub fn is_direct(&self, now: Micros, parameters: &Parameters) -> bool {
+        self.was_direct(now, 4 * parameters.heartbeat_interval)
     }
 
     /// Whether a datagram of its own came within this time.
@@ -80,11 +80,11 @@
     }
 
     /// What is told of it.
-    pub fn told(&self, now: Micros, terms: &Terms) -> Heard {
+    pub fn told(&self, now: Micros, parameters: &Parameters) -> Heard {
         Heard {
             incarnation: self.incarnation as u32,
             beat: self.beat as u16,
-            direct: self.is_direct(now, terms),
+            direct: self.is_direct(now, parameters),
             expired: self.expired,
         }
     }
--- a/crates/siblings/src/ring.rs
+++ b/crates/siblings/src/ring.rs
@@ -25,33 +25,33 @@
     }
 
     /// How many nodes there are.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes
     }
 
     /// How many watch each node.
-    pub fn watchers(&self) -> usize {
+    pub fn watcher_count(&self) -> usize {
         WATCHERS.min(self.nodes - 1)
     }
 
     /// So many watchers at least say that a node's lease has run out when it counts as gone.
-    pub fn to_be_gone(&self) -> usize {
+    pub fn expiry_quorum(&self) -> usize {
         // One that has a single watcher is never held to be gone for its silence: that would be one's word against another's.
-        (self.watchers() / 2 + 1).max(2)
+        (self.watcher_count() / 2 + 1).max(2)
     }
 
-    /// So many watchers at least confirm a node that may use its part. Any so many and any of [`Ring::to_be_gone`] have
+    /// So many watchers at least confirm a node that may use its part. Any so many and any of [`Ring::expiry_quorum`] have
     /// one in common.
-    pub fn to_be_confirmed(&self) -> usize {
-        (self.watchers() + 1).saturating_sub(self.to_be_gone())
+    pub fn confirmation_quorum(&self) -> usize {
+        (self.watcher_count() + 1).saturating_sub(self.expiry_quorum())
     }
 
     /// Those that a node watches, and that watch it: the nearest first, in the same order at every node.
-    pub fn of(&self, node: usize) -> impl Iterator<Item = usize> + use<> {
+    pub fn neighbours(&self, node: usize) -> impl Iterator<Item = usize> + use<> {
         let (nodes, stride, place) = (self.nodes, self.stride, node * self.back % self.nodes);
         let steps = [1, nodes - 1, 2, nodes.saturating_sub(2)];
         let mut seen = Vec::with_capacity(WATCHERS);
-        for step in steps.into_iter().take(self.watchers()) {
+        for step in steps.into_iter().take(self.watcher_count()) {
             let at = (place + step) % nodes * stride % nodes;
             if at != node && !seen.contains(&at) {
                 seen.push(at);
@@ -59,7 +59,7 @@
         }
         // Of few nodes the steps meet; whoever is left fills up.
         for at in 0..nodes {
-            if seen.len() < self.watchers() && at != node && !seen.contains(&at) {
+            if seen.len() < self.watcher_count() && at != node && !seen.contains(&at) {
                 seen.push(at);
             }
         }
@@ -67,13 +67,13 @@
     }
 
     /// The place of one node among those that another watches.
-    pub fn place(&self, watcher: usize, watched: usize) -> Option<usize> {
-        self.of(watcher).position(|node| node == watched)
+    pub fn neighbour_index(&self, watcher: usize, watched: usize) -> Option<usize> {
+        self.neighbours(watcher).position(|node| node == watched)
     }
 
     /// Whether two stand side by side: these two alone take over each other's part, half each.
-    pub fn side_by_side(&self, one: usize, other: usize) -> bool {
-        one != other && self.of(one).take(2).any(|node| node == other)
+    pub fn are_adjacent(&self, one: usize, other: usize) -> bool {
+        one != other && self.neighbours(one).take(2).any(|node| node == other)
     }
 }
 
@@ -90,21 +90,24 @@
         for nodes in (1..130).chain([300, 1000, 1024]) {
             let ring = Ring::new(nodes);
             for node in 0..nodes {
-                let watched: Vec<usize> = ring.of(node).collect();
-                assert_eq!(watched.len(), ring.watchers(), "{nodes}");
+                let watched: Vec<usize> = ring.neighbours(node).collect();
+                assert_eq!(watched.len(), ring.watcher_count(), "{nodes}");
                 assert!(watched.iter().all(|&other| other != node && other < nodes));
-                assert!(watched.iter().all(|&other| ring.place(other, node).is_some()), "{nodes}: {node}");
                 assert!(
-                    watched.iter().take(2).all(|&other| ring.side_by_side(other, node)),
+                    watched.iter().all(|&other| ring.neighbour_index(other, node).is_some()),
+                    "{nodes}: {node}"
+                );
+                assert!(
+                    watched.iter().take(2).all(|&other| ring.are_adjacent(other, node)),
                     "{nodes}: {node}"
                 );
             }
             if nodes > 2 {
-                assert!(ring.to_be_gone() + ring.to_be_confirmed() > ring.watchers());
-                assert!(ring.to_be_confirmed() >= 1 && ring.to_be_gone() <= ring.watchers());
+                assert!(ring.expiry_quorum() + ring.confirmation_quorum() > ring.watcher_count());
+                assert!(ring.confirmation_quorum() >= 1 && ring.expiry_quorum() <= ring.watcher_count());
             } else {
-                assert_eq!(ring.to_be_confirmed(), 0, "nobody can take anything of one of two");
-                assert!(ring.to_be_gone() > ring.watchers());
+                assert_eq!(ring.confirmation_quorum(), 0, "nobody can take anything of one of two");
+                assert!(ring.expiry_quorum() > ring.watcher_count());
             }
         }
     }
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -3,7 +3,7 @@
 use lilacquay_codec::siblings::{Heard, WATCHERS};
 
 use crate::Micros;
-use crate::parameters::Terms;
+use crate::parameters::Parameters;
 use crate::ring::Ring;
 
 /// Beats whose times are remembered: more than are sent in a lease.
@@ -46,7 +46,7 @@
 
 impl Own {
     /// A node that starts: its first incarnation is the wall clock's time, in hundredths of a second, and the nonce.
-    pub fn new(ring: &Ring, terms: &Terms, now: Micros, wall: Micros, nonce: u8) -> Own {
+    pub fn new(ring: &Ring, parameters: &Parameters, now: Micros, wall: Micros, nonce: u8) -> Own {
         Own {
             incarnation: (wall / 10_000).max(1) << 8 | u64::from(nonce),
             nonce,
@@ -56,10 +56,10 @@
             witnesses: Default::default(),
             confirmed_since: None,
             patience: IN_NEED,
-            lease: terms.lease,
-            needed: ring.to_be_confirmed(),
-            watchers: ring.watchers(),
-            settle: terms.outlasts(),
+            lease: parameters.lease_duration,
+            needed: ring.confirmation_quorum(),
+            watchers: ring.watcher_count(),
+            settle: parameters.expiry_timeout(),
         }
     }
 
@@ -221,25 +221,25 @@
     /// It may have held this incarnation to be gone in its life before, and has forgotten that.
     #[test]
     fn a_watcher_that_begins_anew_confirms_only_what_began_after_it() {
-        let (ring, terms) = (Ring::new(3), Terms::default());
-        let mut own = Own::new(&ring, &terms, 0, 0, 7);
+        let (ring, parameters) = (Ring::new(3), Parameters::default());
+        let mut own = Own::new(&ring, &parameters, 0, 0, 7);
         own.met(0, 100 * MS);
         confirmed(&mut own, 0, 200 * MS);
-        assert_eq!(own.confirmed_until(), 200 * MS + terms.lease);
-        let later = terms.lease + 500 * MS;
+        assert_eq!(own.confirmed_until(), 200 * MS + parameters.lease_duration);
+        let later = parameters.lease_duration + 500 * MS;
         own.met(0, later);
         confirmed(&mut own, 0, later);
         assert!(own.confirmed_until() <= later, "its word doesn't count");
         assert!(own.should_begin(later + 10 * MS));
         own.begin(later + 10 * MS, 0);
         confirmed(&mut own, 0, later + 20 * MS);
-        assert_eq!(own.confirmed_until(), later + 20 * MS + terms.lease);
+        assert_eq!(own.confirmed_until(), later + 20 * MS + parameters.lease_duration);
     }
 
     #[test]
     fn word_of_an_incarnation_before_or_of_a_beat_never_sent_confirms_nothing() {
-        let (ring, terms) = (Ring::new(3), Terms::default());
-        let mut own = Own::new(&ring, &terms, 0, 0, 7);
+        let (ring, parameters) = (Ring::new(3), Parameters::default());
+        let mut own = Own::new(&ring, &parameters, 0, 0, 7);
         own.met(0, 0);
         let before = own.incarnation() as u32;
         own.beats(10 * MS);
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -7,13 +7,13 @@
 
 use crate::Micros;
 use crate::gossip_queue::Spread;
-use crate::parameters::Terms;
+use crate::parameters::Parameters;
 use crate::pause_detector::{Noticed, Pulse};
 use crate::peer_monitor::Watch;
 use crate::ring::Ring;
 use crate::self_state::Own;
-use crate::share::{HALF, Part, WHOLE};
-use crate::view::{Known, State, Taken, View, Why};
+use crate::share::{FULL_SHARE, HALF_SHARE, ResourceShare};
+use crate::view::{Known, NodeState, StateReason, Taken, View};
 
 /// Nodes off the ring's neighbourhood that are spoken to in each period: these learn of all nodes in turn.
 const FAR: usize = 3;
@@ -44,20 +44,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Setup {
     /// Its place in the list of nodes.
-    pub me: usize,
+    pub own_index: usize,
     /// How many the list has.
-    pub nodes: usize,
+    pub node_count: usize,
     /// The site's number; datagrams of others are not read.
-    pub site: u32,
+    pub site_id: u32,
     /// For random choices. Another one with each start.
     pub seed: u64,
     /// Times and bounds.
-    pub terms: Terms,
+    pub parameters: Parameters,
 }
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Out {
+pub struct OutgoingDatagram {
     /// To which node.
     pub to: usize,
     /// 256 bytes at most.
@@ -66,87 +66,87 @@
 
 /// Something that has changed, for the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Change {
+pub enum MembershipEvent {
     /// Another node is held to be something else.
-    State {
+    StateChanged {
         /// Which node.
         node: usize,
         /// What it was.
-        was: State,
+        previous: NodeState,
         /// What it is.
-        is: State,
+        current: NodeState,
         /// Its incarnation.
         incarnation: u64,
         /// On what evidence.
-        why: Why,
+        reason: StateReason,
     },
     /// This node was paused: it takes nothing of that time for a sign.
     Paused {
         /// For how long, by the clock that showed it.
-        time: Micros,
+        duration: Micros,
     },
     /// This node has begun a new incarnation.
-    Began {
+    IncarnationStarted {
         /// Which.
         incarnation: u64,
         /// How many of its watchers held the one before to be gone.
-        denied: usize,
+        denials: usize,
     },
     /// Enough watchers confirm this node again, or no longer.
-    Confirmed(bool),
+    ConfirmationChanged(bool),
     /// Another process runs under this node's name, and this one has given way.
     Superseded,
 }
 
 /// What has come and gone, for whoever runs the node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct Counters {
     /// Datagrams sent, and their bytes.
     pub sent: u64,
     /// Bytes of those.
     pub sent_bytes: u64,
     /// Datagrams that were read.
-    pub read: u64,
+    pub accepted: u64,
     /// Datagrams that were none, cut, garbled, or of another than their sender.
-    pub unread: u64,
+    pub invalid: u64,
     /// Datagrams of another site or list.
-    pub strangers: u64,
+    pub other_site: u64,
     /// Pauses of its own.
     pub pauses: u64,
 }
 
 /// Another node, for whoever looks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fellow {
+pub struct PeerStatus {
     /// Its place in the list.
     pub node: usize,
     /// What it is.
-    pub state: State,
+    pub state: NodeState,
     /// On what evidence.
-    pub why: Why,
+    pub reason: StateReason,
     /// Since when.
     pub since: Micros,
     /// Its incarnation; 0 if none is known.
     pub incarnation: u64,
     /// When its newest row came, and by whom.
-    pub heard: Option<(Micros, usize)>,
+    pub last_heard: Option<(Micros, usize)>,
     /// Whether its own datagrams come, where we watch it.
     pub we_hear: Option<bool>,
     /// Whether ours come to it, by its own word, where it watches us.
     pub hears_us: Option<bool>,
     /// It is watched, and was silent for three periods.
-    pub suspected: bool,
+    pub is_suspected: bool,
 }
 
 /// A way from one node to another, as the one at its end tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Way {
+pub struct LinkState {
     /// Whose datagrams.
     pub from: usize,
     /// Come to whom.
     pub to: usize,
     /// Or do not.
-    pub open: bool,
+    pub is_up: bool,
 }
 
 /// Random choices, that are a part of the state.
@@ -161,7 +161,7 @@
 
 /// One node among its siblings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Siblings {
+pub struct Membership {
     setup: Setup,
     ring: Ring,
     started: Micros,
@@ -173,7 +173,7 @@
     view: View,
     spread: Spread,
     /// What each was last told to be, and since when.
-    states: Vec<(State, Micros, Why)>,
+    states: Vec<(NodeState, Micros, StateReason)>,
     /// Sends at once that are left, in millionths.
     tokens: u64,
     refilled: Micros,
@@ -192,42 +192,42 @@
     superseded: bool,
     rivals: (u32, Micros),
     confirmed: bool,
-    changes: VecDeque<Change>,
-    counts: Counts,
+    events: VecDeque<MembershipEvent>,
+    counts: Counters,
     dice: Dice,
 }
 
-impl Siblings {
+impl Membership {
     /// A node that starts and knows nobody. Both clocks are handed in: a steady one from any start, and Unix time.
-    pub fn new(setup: Setup, now: Micros, wall: Micros) -> Siblings {
-        let (ring, mut dice) = (Ring::new(setup.nodes), fastrand::Rng::with_seed(setup.seed));
-        let own = Own::new(&ring, &setup.terms, now, wall, dice.u8(..));
-        let watched: Vec<usize> = ring.of(setup.me).collect();
+    pub fn new(setup: Setup, now: Micros, wall: Micros) -> Membership {
+        let (ring, mut dice) = (Ring::new(setup.node_count), fastrand::Rng::with_seed(setup.seed));
+        let own = Own::new(&ring, &setup.parameters, now, wall, dice.u8(..));
+        let watched: Vec<usize> = ring.neighbours(setup.own_index).collect();
         let watched_count = watched.len();
-        Siblings {
+        Membership {
             started: now,
             own,
-            pulse: Pulse::new(now, wall, setup.terms.late),
+            pulse: Pulse::new(now, wall, setup.parameters.late_threshold),
             watches: vec![Watch::default(); watched.len()],
             watched,
-            view: View::new(setup.nodes, setup.terms.period / 2),
-            spread: Spread::new(setup.nodes, dice.usize(..setup.nodes.max(1))),
-            states: vec![(State::Unknown, now, Why::NeverHeard); setup.nodes],
+            view: View::new(setup.node_count, setup.parameters.heartbeat_interval / 2),
+            spread: Spread::new(setup.node_count, dice.usize(..setup.node_count.max(1))),
+            states: vec![(NodeState::Unknown, now, StateReason::NeverHeard); setup.node_count],
             tokens: AT_ONCE * 1_000_000,
             refilled: now,
             differs: vec![true; watched_count],
             disagreed: now,
-            direct: vec![None; setup.nodes],
-            sought: vec![None; setup.nodes],
-            answered: vec![None; setup.nodes],
+            direct: vec![None; setup.node_count],
+            sought: vec![None; setup.node_count],
+            answered: vec![None; setup.node_count],
             paused: false,
             doubt: 0,
             leaving: false,
             superseded: false,
             rivals: (0, now),
             confirmed: false,
-            changes: VecDeque::new(),
-            counts: Counts::default(),
+            events: VecDeque::new(),
+            counts: Counters::default(),
             dice: Dice(dice),
             ring,
             setup,
@@ -236,32 +236,39 @@
 
     // ---- what happens ----
 
-    /// When [`Siblings::tick`] is to be called next, at the latest.
-    pub fn due(&self) -> Micros {
+    /// When [`Membership::tick`] is to be called next, at the latest.
+    pub fn next_tick_at(&self) -> Micros {
         self.pulse.due()
     }
 
     /// A datagram came from the address of this node. Tells what is to be sent.
-    pub fn heard(&mut self, now: Micros, wall: Micros, from: usize, datagram: &[u8]) -> Vec<Out> {
+    pub fn handle_datagram(
+        &mut self,
+        now: Micros,
+        wall: Micros,
+        from: usize,
+        datagram: &[u8],
+    ) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let said = match read(self.setup.site, datagram) {
+        let said = match read(self.setup.site_id, datagram) {
             Ok(said) => said,
             Err(Unread::Site) => {
-                self.counts.strangers += 1;
+                self.counts.other_site += 1;
                 return out;
             }
             Err(Unread::Form | Unread::Sum) => {
-                self.counts.unread += 1;
+                self.counts.invalid += 1;
                 return out;
             }
         };
         let first = said.rows.first().copied();
         // Guards against: a datagram that was led astray, or sent again by another.
-        let Some(first) = first.filter(|row| usize::from(row.origin) == from && from != self.setup.me) else {
-            self.counts.unread += 1;
+        let Some(first) = first.filter(|row| usize::from(row.origin) == from && from != self.setup.own_index)
+        else {
+            self.counts.invalid += 1;
             return out;
         };
-        self.counts.read += 1;
+        self.counts.accepted += 1;
         self.wake(now, wall);
         if self.superseded {
             return out;
@@ -284,7 +291,7 @@
                 self.take(now, *row, true, from, false);
             }
         }
-        let differs = said.epoch != self.view.epoch();
+        let differs = said.epoch != self.view.view_digest();
         self.disagreed = if differs { now } else { self.disagreed };
         match self.watched.iter().position(|&watched| watched == from) {
             Some(at) => self.differs[at] = differs,
@@ -306,10 +313,13 @@
         self.answer_digests(now, from, said.digests, &mut out);
         let lacks = !first.standing.confirmed || first.standing.calling;
         // Guards against: two that both lack word and answer one another's answers without end.
-        let lately = self.answered[from].is_some_and(|at| now < at + self.setup.terms.period / 5);
+        let lately =
+            self.answered[from].is_some_and(|at| now < at + self.setup.parameters.heartbeat_interval / 5);
         let missed = self.watched.iter().position(|&watched| watched == from).is_some_and(|at| {
             // It has heard nothing of us for longer than it should: what was sent is lost.
-            self.own.acked(at).is_none_or(|sent| now > sent + self.setup.terms.period * 5 / 4)
+            self.own
+                .acked(at)
+                .is_none_or(|sent| now > sent + self.setup.parameters.heartbeat_interval * 5 / 4)
         });
         if behind || met || !lately && (missed || lacks || self.in_need(now)) {
             self.answered[from] = Some(now);
@@ -319,8 +329,8 @@
     }
 
     /// Tells one that asks what it lacks, as far as that is known here for certain and of late.
-    fn answer_wants(&mut self, now: Micros, to: usize, wants: &[u16], out: &mut Vec<Out>) {
-        let stale = self.setup.terms.fresh(self.setup.nodes) / 2;
+    fn answer_wants(&mut self, now: Micros, to: usize, wants: &[u16], out: &mut Vec<OutgoingDatagram>) {
+        let stale = self.setup.parameters.freshness_limit(self.setup.node_count) / 2;
         let lately = |node: &u16| {
             let known = self.view.get(usize::from(*node))?;
             let good = now <= known.at + stale && known.row.standing.confirmed;
@@ -336,7 +346,13 @@
     }
 
     /// Tells one whose view is another what it may lack: the nodes of a bucket in which they differ.
-    fn answer_digests(&mut self, now: Micros, to: usize, theirs: Option<[u16; BUCKETS]>, out: &mut Vec<Out>) {
+    fn answer_digests(
+        &mut self,
+        now: Micros,
+        to: usize,
+        theirs: Option<[u16; BUCKETS]>,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let Some(theirs) = theirs else { return };
         let ours = self.view.digests();
         let differ: Vec<usize> = (0..BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
@@ -352,7 +368,9 @@
             for known in nodes.into_iter().filter_map(|node| self.view.get(node)) {
                 // Who is gone is so by its watchers' words, which no brief tells.
                 let by = match &known.gone {
-                    Some((_, Why::Expired { by })) if known.is_gone() => by.as_slice(),
+                    Some((_, StateReason::LeaseExpired { reported_by: by })) if known.is_gone() => {
+                        by.as_slice()
+                    }
                     _ => &[],
                 };
                 let words = by.iter().filter_map(|&by| self.view.get(by)).map(|known| (known.row, false));
@@ -368,22 +386,22 @@
 
     /// What it knows nothing certain of, a few at a time.
     fn wants(&mut self) -> Vec<u16> {
-        let lacks = |&node: &usize| self.states[node].0 == State::Unknown && node != self.setup.me;
-        let first = if self.numbers()[2] > MOST_WANTED { self.spread.in_turn() } else { 0 };
-        let (low, high) = (0..first, first..self.setup.nodes);
+        let lacks = |&node: &usize| self.states[node].0 == NodeState::Unknown && node != self.setup.own_index;
+        let first = if self.state_counts()[2] > MOST_WANTED { self.spread.in_turn() } else { 0 };
+        let (low, high) = (0..first, first..self.setup.node_count);
         high.chain(low).filter(lacks).take(MOST_WANTED).map(|node| node as u16).collect()
     }
 
     /// Time has passed. Tells what is to be sent.
-    pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<Out> {
+    pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
         self.wake(now, wall);
-        self.pulse.next(now, self.setup.terms.period);
+        self.pulse.next(now, self.setup.parameters.heartbeat_interval);
         if self.superseded {
             return out;
         }
         for at in 0..self.watches.len() {
-            if self.watches[at].tick(now, &self.setup.terms, self.doubt * DOUBT) {
+            if self.watches[at].tick(now, &self.setup.parameters, self.doubt * DOUBT) {
                 self.own_row(now);
                 self.view.judge(&self.ring, self.watched[at]);
             }
@@ -394,7 +412,7 @@
         for at in 0..self.watched.len() {
             self.send(now, self.watched[at], false, &mut out);
             // Asked again before anybody else is: what was lost is lost on one way more often than on all.
-            let (watch, wait) = (&self.watches[at], self.setup.terms.period * 5 / 4);
+            let (watch, wait) = (&self.watches[at], self.setup.parameters.heartbeat_interval * 5 / 4);
             if !watch.is_expired() && watch.silent_for(now, wait) {
                 self.at_once(now, self.watched[at], false, &mut out);
             }
@@ -405,14 +423,14 @@
             }
         }
         self.paused = false;
-        for node in 0..self.setup.nodes {
+        for node in 0..self.setup.node_count {
             self.tell_state(now, node);
         }
         out
     }
 
     /// It leaves: from here on it uses nothing shared. Tells what is to be sent; the ticks after it say so again.
-    pub fn leave(&mut self, now: Micros) -> Vec<Out> {
+    pub fn leave(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
         if !self.superseded {
             self.leaving = true;
@@ -432,26 +450,26 @@
     // ---- what is known ----
 
     /// What it may use.
-    pub fn part(&self, now: Micros) -> Part {
+    pub fn resource_share(&self, now: Micros) -> ResourceShare {
         if self.leaving || self.superseded {
-            return Part::NOTHING;
+            return ResourceShare::NONE;
         }
-        if self.ring.to_be_confirmed() == 0 {
-            return Part::ALWAYS;
+        if self.ring.confirmation_quorum() == 0 {
+            return ResourceShare::PERMANENT;
         }
         let until = self.own.confirmed_until();
         if now >= until {
-            return Part::NOTHING;
+            return ResourceShare::NONE;
         }
         let beside = 0..self.watched.len().min(2);
         let own = if self.own.settled(now) {
-            Part { thousandths: WHOLE, until }
+            ResourceShare { thousandths: FULL_SHARE, until }
         } else {
             let confirms = beside.clone().map(|at| self.own.confirmed_by(at)).filter(|&until| now < until);
-            confirms.fold(Part::NOTHING, |part, until| part.with(HALF, until))
+            confirms.fold(ResourceShare::NONE, |part, until| part.with(HALF_SHARE, until))
         };
         let taken = beside.filter_map(|at| self.taken_until(at)).filter(|&until| now < until);
-        taken.fold(own, |part, until| part.with(HALF, until)).no_longer_than(until)
+        taken.fold(own, |part, until| part.with(HALF_SHARE, until)).no_longer_than(until)
     }
 
     /// Until when a piece of the part of a node beside it is its own, if it is: enough watchers hold that one to be
@@ -463,7 +481,7 @@
             return None;
         }
         let says = |&(at, &watcher): &(usize, &usize)| {
-            let place = self.ring.place(watcher, node).filter(|_| watcher != node);
+            let place = self.ring.neighbour_index(watcher, node).filter(|_| watcher != node);
             let row = self.view.get(watcher).map(|known| &known.row);
             self.own.acked(at).is_some()
                 && row.zip(place).is_some_and(|(row, place)| {
@@ -472,97 +490,105 @@
                 })
         };
         let words = self.watched.iter().enumerate().filter(says).filter_map(|(at, _)| self.own.acked(at));
-        let mut words: Vec<Micros> = words.map(|sent| sent + self.setup.terms.lease).collect();
+        let mut words: Vec<Micros> = words.map(|sent| sent + self.setup.parameters.lease_duration).collect();
         words.sort_unstable_by(|a, b| b.cmp(a));
         // This node is one of those that it takes.
-        words.get(self.ring.to_be_gone().checked_sub(2)?).copied()
+        words.get(self.ring.expiry_quorum().checked_sub(2)?).copied()
     }
 
     /// What a node is, and on what evidence.
-    pub fn state(&self, now: Micros, node: usize) -> (State, Why) {
-        let terms = &self.setup.terms;
-        let Some(known) = self.view.get(node) else { return (State::Unknown, Why::NeverHeard) };
+    pub fn state(&self, now: Micros, node: usize) -> (NodeState, StateReason) {
+        let parameters = &self.setup.parameters;
+        let Some(known) = self.view.get(node) else { return (NodeState::Unknown, StateReason::NeverHeard) };
         if let Some((_, why)) = known.gone.as_ref().filter(|_| known.is_gone()) {
-            return (State::Gone, why.clone());
+            return (NodeState::Gone, why.clone());
         }
-        if now > known.at + terms.fresh(self.setup.nodes) {
-            return (State::Unknown, Why::Silent);
+        if now > known.at + parameters.freshness_limit(self.setup.node_count) {
+            return (NodeState::Unknown, StateReason::Silent);
         }
         if !known.row.standing.confirmed {
-            return (State::Unknown, Why::Unconfirmed);
+            return (NodeState::Unknown, StateReason::Unconfirmed);
         }
         if let Some(at) = self.watched.iter().position(|&watched| watched == node) {
-            if self.watches[at].silent_for(now, terms.outlasts()) {
-                return (State::Unknown, Why::Silent);
+            if self.watches[at].silent_for(now, parameters.expiry_timeout()) {
+                return (NodeState::Unknown, StateReason::Silent);
             }
-            if self.own.acked(at).is_none_or(|sent| now > sent + terms.outlasts()) {
-                return (State::Unknown, Why::Deaf);
+            if self.own.acked(at).is_none_or(|sent| now > sent + parameters.expiry_timeout()) {
+                return (NodeState::Unknown, StateReason::DoesNotHearUs);
             }
         }
         let by = known.by;
-        (State::Here, known.newer_than.map_or(Why::Heard { by }, |than| Why::Newer { than, by }))
+        (
+            NodeState::Here,
+            known.newer_than.map_or(StateReason::Heard { via: by }, |than| StateReason::NewIncarnation {
+                previous: than,
+                via: by,
+            }),
+        )
     }
 
     /// How many of the others are here, gone and not known.
-    pub fn numbers(&self) -> [usize; 3] {
-        let others = self.states.iter().enumerate().filter(|(node, _)| *node != self.setup.me);
+    pub fn state_counts(&self) -> [usize; 3] {
+        let others = self.states.iter().enumerate().filter(|(node, _)| *node != self.setup.own_index);
         others.fold([0; 3], |mut all, (_, (state, ..))| {
             all[match state {
-                State::Here => 0,
-                State::Gone => 1,
-                State::Unknown => 2,
+                NodeState::Here => 0,
+                NodeState::Gone => 1,
+                NodeState::Unknown => 2,
             }] += 1;
             all
         })
     }
 
     /// All others.
-    pub fn fellows(&self, now: Micros) -> Vec<Fellow> {
-        let others = (0..self.setup.nodes).filter(|&node| node != self.setup.me);
-        others.map(|node| self.fellow(now, node)).collect()
+    pub fn peers(&self, now: Micros) -> Vec<PeerStatus> {
+        let others = (0..self.setup.node_count).filter(|&node| node != self.setup.own_index);
+        others.map(|node| self.peer_status(now, node)).collect()
     }
 
-    fn fellow(&self, now: Micros, node: usize) -> Fellow {
-        let terms = &self.setup.terms;
+    fn peer_status(&self, now: Micros, node: usize) -> PeerStatus {
+        let parameters = &self.setup.parameters;
         let (state, why) = self.state(now, node);
         let known = self.view.get(node);
         let at = self.watched.iter().position(|&watched| watched == node);
-        let hears_us =
-            |known: &Known| self.ring.place(node, self.setup.me).map(|place| known.row.heard[place].direct);
-        Fellow {
+        let hears_us = |known: &Known| {
+            self.ring.neighbour_index(node, self.setup.own_index).map(|place| known.row.heard[place].direct)
+        };
+        PeerStatus {
             node,
             state,
-            why,
+            reason: why,
             since: self.states[node].1,
             incarnation: known.map_or(0, |known| known.row.incarnation),
-            heard: known.map(|known| (known.at, known.by)),
-            we_hear: at.map(|at| self.watches[at].is_direct(now, terms)),
+            last_heard: known.map(|known| (known.at, known.by)),
+            we_hear: at.map(|at| self.watches[at].is_direct(now, parameters)),
             hears_us: known.and_then(hears_us),
-            suspected: at.is_some_and(|at| self.watches[at].silent_for(now, 3 * terms.period)),
+            is_suspected: at
+                .is_some_and(|at| self.watches[at].silent_for(now, 3 * parameters.heartbeat_interval)),
         }
     }
 
     /// The ways on the ring, as far as a fresh row tells of them.
-    pub fn ways(&self, now: Micros) -> Vec<Way> {
+    pub fn link_states(&self, now: Micros) -> Vec<LinkState> {
         let fresh = |to: &usize| {
             let known = self.view.get(*to);
             known.is_some_and(|known| {
                 known.told.is_some()
                     && !known.is_gone()
-                    && now <= known.at + self.setup.terms.fresh(self.setup.nodes)
+                    && now <= known.at + self.setup.parameters.freshness_limit(self.setup.node_count)
             })
         };
         let into = |to: usize| {
             let row = self.view.get(to).map(|known| known.row);
-            let told = self.ring.of(to).enumerate();
-            told.filter_map(move |(at, from)| Some(Way { from, to, open: row?.heard[at].direct }))
+            let told = self.ring.neighbours(to).enumerate();
+            told.filter_map(move |(at, from)| Some(LinkState { from, to, is_up: row?.heard[at].direct }))
         };
-        (0..self.setup.nodes).filter(fresh).flat_map(into).collect()
+        (0..self.setup.node_count).filter(fresh).flat_map(into).collect()
     }
 
     /// A number of the view: those who agree on who lives in which incarnation, and who is gone, have the same.
-    pub fn epoch(&self) -> u32 {
-        self.view.epoch()
+    pub fn view_digest(&self) -> u32 {
+        self.view.view_digest()
     }
 
     /// The node's own incarnation.
@@ -571,7 +597,7 @@
     }
 
     /// The incarnation of another that it knows, and whether that is held to be gone.
-    pub fn known(&self, node: usize) -> Option<(u64, bool)> {
+    pub fn incarnation_of(&self, node: usize) -> Option<(u64, bool)> {
         self.view.get(node).map(|known| (known.row.incarnation, known.is_gone()))
     }
 
@@ -586,23 +612,23 @@
     }
 
     /// How much the node doubts its own hearing, from 0 to 8: each point makes it wait longer, up to twice as long.
-    pub fn doubt(&self) -> u64 {
+    pub fn health_penalty(&self) -> u64 {
         self.doubt
     }
 
     /// What has come and gone.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> Counters {
         self.counts
     }
 
     /// Rows that are news and not yet told often enough.
-    pub fn pending(&self) -> usize {
+    pub fn pending_updates(&self) -> usize {
         self.spread.pending()
     }
 
     /// What has changed since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
-        self.changes.drain(..).collect()
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
+        self.events.drain(..).collect()
     }
 
     /// Which node this is, among how many, by which figures.
@@ -612,9 +638,9 @@
 
     // ---- inside ----
 
-    fn change(&mut self, change: Change) {
-        if self.changes.len() < CHANGES {
-            self.changes.push_back(change);
+    fn change(&mut self, change: MembershipEvent) {
+        if self.events.len() < CHANGES {
+            self.events.push_back(change);
         }
     }
 
@@ -629,12 +655,12 @@
         }
         if noticed.any() {
             for watch in &mut self.watches {
-                watch.paused(now, late, &self.setup.terms);
+                watch.paused(now, late, &self.setup.parameters);
             }
             self.paused = true;
             self.counts.pauses += 1;
             self.doubt = (self.doubt + 2).min(MOST_DOUBT);
-            self.change(Change::Paused { time: late.max(slept) });
+            self.change(MembershipEvent::Paused { duration: late.max(slept) });
         }
         let passed = now.saturating_sub(self.refilled);
         (self.tokens, self.refilled) = ((self.tokens + passed * A_SECOND).min(AT_ONCE * 1_000_000), now);
@@ -643,14 +669,14 @@
     /// Takes one row, or a brief. `direct`: it came from the node itself. Tells whether it says what can't wait.
     fn take(&mut self, now: Micros, row: Row, brief: bool, by: usize, direct: bool) -> bool {
         let node = usize::from(row.origin);
-        if node >= self.setup.nodes {
+        if node >= self.setup.node_count {
             return false;
         }
-        if node == self.setup.me {
+        if node == self.setup.own_index {
             self.rival(now, row);
             return false;
         }
-        let stale = self.setup.terms.fresh(self.setup.nodes) * 3 / 4;
+        let stale = self.setup.parameters.freshness_limit(self.setup.node_count) * 3 / 4;
         let taken = self.view.take(now, row, brief, by, stale);
         if !matches!(taken, Taken::News | Taken::Ends) {
             self.spread.told_by_another(node, taken == Taken::Same);
@@ -665,7 +691,7 @@
             if direct {
                 self.watches[at].spoke(now);
             }
-            if let Some(place) = self.ring.place(node, self.setup.me) {
+            if let Some(place) = self.ring.neighbour_index(node, self.setup.own_index) {
                 self.own.heard_by(at, row.heard[place]);
             }
         }
@@ -674,7 +700,7 @@
             Taken::Ends => self.spread.news(node, true, row.standing.calling),
             Taken::Old | Taken::Same | Taken::Beat => {}
         }
-        let near: Vec<usize> = self.ring.of(node).collect();
+        let near: Vec<usize> = self.ring.neighbours(node).collect();
         for (place, &other) in near.iter().enumerate() {
             if row.heard[place].expired {
                 self.view.judge(&self.ring, other);
@@ -687,13 +713,14 @@
     }
 
     /// Speaks to those that others miss: there may be a way from here, and no other.
-    fn seek(&mut self, now: Micros, rows: &[Row], out: &mut Vec<Out>) {
+    fn seek(&mut self, now: Micros, rows: &[Row], out: &mut Vec<OutgoingDatagram>) {
         for row in rows.iter().filter(|row| row.standing.calling) {
-            let near: Vec<usize> = self.ring.of(usize::from(row.origin)).collect();
+            let near: Vec<usize> = self.ring.neighbours(usize::from(row.origin)).collect();
             for (place, node) in near.into_iter().enumerate() {
                 let heard = row.heard[place];
-                let missed = !heard.direct && !heard.expired && node != self.setup.me;
-                let lately = self.sought[node].is_some_and(|sought| now < sought + self.setup.terms.lease);
+                let missed = !heard.direct && !heard.expired && node != self.setup.own_index;
+                let lately = self.sought[node]
+                    .is_some_and(|sought| now < sought + self.setup.parameters.lease_duration);
                 if missed && !lately && !self.watched.contains(&node) {
                     self.sought[node] = Some(now);
                     self.at_once(now, node, false, out);
@@ -715,7 +742,7 @@
         let enough = if lower { RIVALS } else { 4 * RIVALS };
         if now > self.started + ESTABLISHED && self.rivals.0 >= enough {
             self.superseded = true;
-            return self.change(Change::Superseded);
+            return self.change(MembershipEvent::Superseded);
         }
         self.begin(now, row.incarnation);
     }
@@ -724,11 +751,14 @@
     fn begin(&mut self, now: Micros, other: u64) {
         let denied = self.own.denied();
         self.own.begin(now, other);
-        self.change(Change::Began { incarnation: self.own.incarnation(), denied });
+        self.change(MembershipEvent::IncarnationStarted {
+            incarnation: self.own.incarnation(),
+            denials: denied,
+        });
     }
 
     /// Goes by what has been heard: begins anew where it must, tells whether it is confirmed.
-    fn settle(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn settle(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
         let before = self.own.incarnation();
         if self.own.should_begin(now) {
             self.begin(now, 0);
@@ -737,7 +767,7 @@
         let confirmed = self.is_confirmed(now);
         if confirmed != self.confirmed {
             self.confirmed = confirmed;
-            self.change(Change::Confirmed(confirmed));
+            self.change(MembershipEvent::ConfirmationChanged(confirmed));
         }
         if self.own.incarnation() != before {
             for at in 0..self.watched.len() {
@@ -748,20 +778,22 @@
 
     /// Whether it lacks word of one that it watches, or theirs of it, or has it by a way round alone.
     fn in_need(&self, now: Micros) -> bool {
-        let terms = &self.setup.terms;
+        let parameters = &self.setup.parameters;
         let missed = |watch: &Watch| {
             !watch.is_expired()
-                && (watch.silent_for(now, 7 * terms.period / 2)
-                    || watch.is_heard() && !watch.was_direct(now, 6 * terms.period))
+                && (watch.silent_for(now, 7 * parameters.heartbeat_interval / 2)
+                    || watch.is_heard() && !watch.was_direct(now, 6 * parameters.heartbeat_interval))
         };
         // One that has just begun is about to be confirmed.
-        self.own.lacks(now) && self.own.has_run(now, terms.period) || self.watches.iter().any(missed)
+        self.own.lacks(now) && self.own.has_run(now, parameters.heartbeat_interval)
+            || self.watches.iter().any(missed)
     }
 
     /// Points of doubt: many silent at once, or a pause of its own, tell more of this node than of the others.
     fn mind_health(&mut self, now: Micros) {
-        let quiet =
-            |watch: &&Watch| !watch.is_expired() && watch.silent_for(now, 3 * self.setup.terms.period);
+        let quiet = |watch: &&Watch| {
+            !watch.is_expired() && watch.silent_for(now, 3 * self.setup.parameters.heartbeat_interval)
+        };
         let silent = self.watches.iter().filter(quiet).count();
         self.doubt = match 2 * silent > self.watches.len() {
             true => (self.doubt + 1).min(MOST_DOUBT),
@@ -773,7 +805,7 @@
     fn own_row(&mut self, now: Micros) {
         self.own.beats(now);
         let mut row = Row {
-            origin: self.setup.me as u16,
+            origin: self.setup.own_index as u16,
             incarnation: self.own.incarnation(),
             beat: self.own.beat(),
             standing: Standing {
@@ -786,13 +818,13 @@
             ..Row::default()
         };
         for (heard, watch) in row.heard.iter_mut().zip(&self.watches) {
-            *heard = watch.told(now, &self.setup.terms);
+            *heard = watch.told(now, &self.setup.parameters);
         }
-        self.view.take(now, row, false, self.setup.me, Micros::MAX / 2);
+        self.view.take(now, row, false, self.setup.own_index, Micros::MAX / 2);
     }
 
     /// Sends to one beyond the turn, as far as there is room for that.
-    fn at_once(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<Out>) {
+    fn at_once(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<OutgoingDatagram>) {
         if self.has_token() {
             self.own_row(now);
             self.send(now, to, with_its_own, out);
@@ -806,46 +838,47 @@
         left
     }
 
-    fn put(&mut self, to: usize, said: &Said, out: &mut Vec<Out>) {
-        let datagram = put(self.setup.site, said);
+    fn put(&mut self, to: usize, said: &Said, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = put(self.setup.site_id, said);
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
-        out.push(Out { to, datagram });
+        out.push(OutgoingDatagram { to, datagram });
     }
 
     /// What each datagram begins with.
     fn opening(&self) -> Said {
-        let rows = self.view.get(self.setup.me).map(|known| known.row).into_iter().collect();
-        Said { epoch: self.view.epoch(), rows, ..Said::default() }
+        let rows = self.view.get(self.setup.own_index).map(|known| known.row).into_iter().collect();
+        Said { epoch: self.view.view_digest(), rows, ..Said::default() }
     }
 
     /// One that it doesn't watch, for word to get round: one that is here, or any, and one whose datagrams come where
     /// word is missing.
     fn somebody_far(&mut self, now: Micros) -> Option<usize> {
-        if self.setup.nodes <= self.watched.len() + 1 {
+        if self.setup.node_count <= self.watched.len() + 1 {
             return None;
         }
         let (any, known_way) = (self.dice.0.bool(), self.in_need(now) && self.dice.0.bool());
-        let near = |direct: Option<Micros>| direct.is_some_and(|at| now < at + self.setup.terms.lease);
+        let near =
+            |direct: Option<Micros>| direct.is_some_and(|at| now < at + self.setup.parameters.lease_duration);
         if known_way {
-            let ways =
-                (0..self.setup.nodes).filter(|node| near(self.direct[*node]) && !self.watched.contains(node));
+            let ways = (0..self.setup.node_count)
+                .filter(|node| near(self.direct[*node]) && !self.watched.contains(node));
             let ways: Vec<usize> = ways.collect();
             if !ways.is_empty() {
                 return Some(ways[self.dice.0.usize(..ways.len())]);
             }
         }
         for _ in 0..8 {
-            let node = self.dice.0.usize(..self.setup.nodes);
-            let good = any || self.states[node].0 == State::Here;
-            if node != self.setup.me && !self.watched.contains(&node) && good {
+            let node = self.dice.0.usize(..self.setup.node_count);
+            let good = any || self.states[node].0 == NodeState::Here;
+            if node != self.setup.own_index && !self.watched.contains(&node) && good {
                 return Some(node);
             }
         }
         None
     }
 
-    fn send(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<Out>) {
+    fn send(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<OutgoingDatagram>) {
         let row = |view: &View, node: usize| view.get(node).map(|known| known.row);
         let mut said = self.opening();
         let beside = self.watched.iter().position(|&watched| watched == to);
@@ -854,14 +887,14 @@
         }
         if beside.is_none() {
             said.wants = self.wants();
-            let lately = now < self.disagreed + 2 * self.setup.terms.period;
+            let lately = now < self.disagreed + 2 * self.setup.parameters.heartbeat_interval;
             said.digests = lately.then(|| self.view.digests());
         }
         // Any way round: what one hears and another doesn't.
         for &node in &self.watched {
-            let fresh = |known: &&Known| now <= known.at + 2 * self.setup.terms.period;
+            let fresh = |known: &&Known| now <= known.at + 2 * self.setup.parameters.heartbeat_interval;
             let Some(known) = self.view.get(node).filter(fresh) else { continue };
-            let place = self.ring.place(to, node);
+            let place = self.ring.neighbour_index(to, node);
             let deaf = row(&self.view, to).zip(place).is_some_and(|(row, place)| !row.heard[place].direct);
             if node != to && deaf && said.length() + known.row.length() <= LONGEST {
                 said.rows.push(known.row);
@@ -877,7 +910,7 @@
         }
         // One beside it that sees the same learns nothing from all others' rows.
         let agrees = beside.is_some_and(|at| !self.differs[at]);
-        for _ in 0..self.setup.nodes.min(if agrees { 0 } else { 32 }) {
+        for _ in 0..self.setup.node_count.min(if agrees { 0 } else { 32 }) {
             let node = self.spread.in_turn();
             let other = row(&self.view, node).filter(|_| node != to && !said.has(node as u16));
             if other.is_some_and(|row| !said.add(row, true, IN_TURN)) {
@@ -889,7 +922,7 @@
 
     /// Tells what a node has become, if that is something else.
     fn tell_state(&mut self, now: Micros, node: usize) {
-        if node == self.setup.me {
+        if node == self.setup.own_index {
             return;
         }
         let (is, why) = self.state(now, node);
@@ -897,7 +930,13 @@
         if is != was {
             self.states[node] = (is, now, why.clone());
             let incarnation = self.view.get(node).map_or(0, |known| known.row.incarnation);
-            self.change(Change::State { node, was, is, incarnation, why });
+            self.change(MembershipEvent::StateChanged {
+                node,
+                previous: was,
+                current: is,
+                incarnation,
+                reason: why,
+            });
         }
     }
 }
--- a/crates/siblings/src/simulation.rs
+++ b/crates/siblings/src/simulation.rs
@@ -3,31 +3,33 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Change, Micros, Out, Setup, Siblings, State, Terms, WHOLE};
+use crate::{
+    FULL_SHARE, Membership, MembershipEvent, Micros, NodeState, OutgoingDatagram, Parameters, Setup,
+};
 
 /// A millisecond.
 pub const MS: Micros = 1_000;
 /// A second.
-pub const S: Micros = 1_000_000;
+pub const SEC: Micros = 1_000_000;
 /// Unix time at the start, in microseconds.
-const WALL: Micros = 1_700_000_000 * S;
+const WALL: Micros = 1_700_000_000 * SEC;
 
 /// One way, from one node to another.
 #[derive(Debug, Clone, Copy)]
 pub struct Link {
     /// Datagrams lost, in a thousand.
-    pub loss: u32,
+    pub loss_permille: u32,
     /// Datagrams that come twice, in a thousand.
-    pub double: u32,
+    pub duplicate_permille: u32,
     /// Shortest and longest time on the way.
-    pub delay: (Micros, Micros),
+    pub delay_range: (Micros, Micros),
     /// Nothing comes.
     pub cut: bool,
 }
 
 impl Default for Link {
     fn default() -> Self {
-        Link { loss: 0, double: 0, delay: (MS, 5 * MS), cut: false }
+        Link { loss_permille: 0, duplicate_permille: 0, delay_range: (MS, 5 * MS), cut: false }
     }
 }
 
@@ -39,7 +41,7 @@
 /// A process, or the place of one.
 pub struct Node {
     /// While it runs.
-    pub siblings: Option<Siblings>,
+    pub membership: Option<Membership>,
     /// How often it was started.
     life: u32,
     /// Its steady clock runs so many thousandths too quick or too slow.
@@ -53,7 +55,7 @@
 }
 
 /// All nodes, and the ways between them.
-pub struct World {
+pub struct Simulation {
     /// The true time.
     pub now: Micros,
     /// By number.
@@ -61,23 +63,23 @@
     /// For all choices.
     pub rng: fastrand::Rng,
     /// The ways that are not named otherwise.
-    pub usual: Link,
+    pub default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
     queue: BTreeMap<(Micros, u64), Happens>,
     number: u64,
-    terms: Terms,
+    parameters: Parameters,
     /// What each has told, and when.
-    pub changes: Vec<(Micros, usize, Change)>,
+    pub events: Vec<(Micros, usize, MembershipEvent)>,
     /// Looks after each step that the rules hold.
-    pub checks: bool,
+    pub checks_invariants: bool,
 }
 
-impl World {
+impl Simulation {
     /// So many that have not started yet.
-    pub fn new(nodes: usize, seed: u64) -> World {
+    pub fn new(nodes: usize, seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let node = |rng: &mut fastrand::Rng| Node {
-            siblings: None,
+            membership: None,
             life: 0,
             drift: rng.i64(-5..=5),
             wall_off: 0,
@@ -85,17 +87,17 @@
             sent_bytes: 0,
         };
         let nodes: Vec<Node> = (0..nodes).map(|_| node(&mut rng)).collect();
-        World {
-            now: S,
+        Simulation {
+            now: SEC,
             nodes,
             rng,
-            usual: Link::default(),
+            default_link: Link::default(),
             links: BTreeMap::new(),
             queue: BTreeMap::new(),
             number: 0,
-            terms: Terms::default(),
-            changes: Vec::new(),
-            checks: true,
+            parameters: Parameters::default(),
+            events: Vec::new(),
+            checks_invariants: true,
         }
     }
 
@@ -131,7 +133,7 @@
 
     /// A node dies, in one instant.
     pub fn kill(&mut self, node: usize) {
-        (self.nodes[node].siblings, self.nodes[node].paused) = (None, None);
+        (self.nodes[node].membership, self.nodes[node].paused) = (None, None);
         self.nodes[node].life += 1;
     }
 
@@ -153,7 +155,7 @@
 
     /// A way of its own.
     pub fn link(&mut self, from: usize, to: usize) -> &mut Link {
-        let usual = self.usual;
+        let usual = self.default_link;
         self.links.entry((from, to)).or_insert(usual)
     }
 
@@ -163,7 +165,7 @@
     }
 
     /// All ways are as usual again.
-    pub fn forget_links(&mut self) {
+    pub fn reset_links(&mut self) {
         self.links.clear();
     }
 
@@ -189,7 +191,7 @@
                 Happens::Comes { from, to, datagram } => self.comes(from, to, &datagram),
             }
             // Of few nodes after each step, of many after some.
-            if self.checks && (self.nodes.len() <= 7 || self.number.is_multiple_of(16)) {
+            if self.checks_invariants && (self.nodes.len() <= 7 || self.number.is_multiple_of(16)) {
                 self.check();
             }
         }
@@ -202,9 +204,10 @@
         }
         let (now, wall, nodes) = (self.clock(node), self.wall(node), self.nodes.len());
         let seed = self.rng.u64(..);
-        let setup = Setup { me: node, nodes, site: 7, seed, terms: self.terms };
-        let siblings = self.nodes[node].siblings.get_or_insert_with(|| Siblings::new(setup, now, wall));
-        let (out, due) = (siblings.tick(now, wall), siblings.due());
+        let setup =
+            Setup { own_index: node, node_count: nodes, site_id: 7, seed, parameters: self.parameters };
+        let siblings = self.nodes[node].membership.get_or_insert_with(|| Membership::new(setup, now, wall));
+        let (out, due) = (siblings.tick(now, wall), siblings.next_tick_at());
         let jitter = self.rng.u64(0..2 * MS);
         let wait = due.saturating_sub(now) + jitter;
         let at = self.now + wait;
@@ -220,8 +223,8 @@
             return;
         }
         let (now, wall) = (self.clock(to), self.wall(to));
-        let Some(siblings) = &mut self.nodes[to].siblings else { return };
-        let out = siblings.heard(now, wall, from, datagram);
+        let Some(siblings) = &mut self.nodes[to].membership else { return };
+        let out = siblings.handle_datagram(now, wall, from, datagram);
         self.gather(to, out);
     }
 
@@ -230,18 +233,18 @@
         self.comes(from, to, datagram);
     }
 
-    fn gather(&mut self, node: usize, out: Vec<Out>) {
-        for change in self.nodes[node].siblings.as_mut().map(Siblings::changes).unwrap_or_default() {
-            self.changes.push((self.now, node, change));
+    fn gather(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
+        for change in self.nodes[node].membership.as_mut().map(Membership::take_events).unwrap_or_default() {
+            self.events.push((self.now, node, change));
         }
         for out in out {
             assert!(out.datagram.len() <= 256 && out.to != node);
             self.nodes[node].sent_bytes += out.datagram.len() as u64;
-            let link = *self.links.get(&(node, out.to)).unwrap_or(&self.usual);
-            let times = 1 + u32::from(self.rng.u32(0..1000) < link.double);
+            let link = *self.links.get(&(node, out.to)).unwrap_or(&self.default_link);
+            let times = 1 + u32::from(self.rng.u32(0..1000) < link.duplicate_permille);
             for _ in 0..times {
-                if !link.cut && self.rng.u32(0..1000) >= link.loss {
-                    let at = self.now + self.rng.u64(link.delay.0..=link.delay.1);
+                if !link.cut && self.rng.u32(0..1000) >= link.loss_permille {
+                    let at = self.now + self.rng.u64(link.delay_range.0..=link.delay_range.1);
                     self.at(at, Happens::Comes { from: node, to: out.to, datagram: out.datagram.clone() });
                 }
             }
@@ -249,50 +252,51 @@
     }
 
     /// A node that runs.
-    pub fn siblings(&self, node: usize) -> &Siblings {
-        self.nodes[node].siblings.as_ref().expect("it runs")
+    pub fn membership(&self, node: usize) -> &Membership {
+        self.nodes[node].membership.as_ref().expect("it runs")
     }
 
     /// Whether a node runs, paused or not.
     pub fn runs(&self, node: usize) -> bool {
-        self.nodes[node].siblings.is_some()
+        self.nodes[node].membership.is_some()
     }
 
     /// What one is, as another sees it.
-    pub fn state(&self, of: usize, at: usize) -> State {
-        self.siblings(at).state(self.clock(at), of).0
+    pub fn state(&self, of: usize, at: usize) -> NodeState {
+        self.membership(at).state(self.clock(at), of).0
     }
 
     /// What a process may use, whether or not it is paused: it may wake up in the midst of a use.
-    pub fn part(&self, node: usize) -> u32 {
+    pub fn usable_share(&self, node: usize) -> u32 {
         self.nodes[node]
-            .siblings
+            .membership
             .as_ref()
-            .map_or(0, |siblings| siblings.part(self.clock(node)).at(self.clock(node)))
+            .map_or(0, |siblings| siblings.resource_share(self.clock(node)).thousandths_at(self.clock(node)))
     }
 
     /// The rules that hold at each step.
     pub fn check(&self) {
-        let parts: u64 = (0..self.nodes.len()).map(|node| u64::from(self.part(node))).sum();
-        let whole = u64::from(WHOLE) * self.nodes.len() as u64;
+        let parts: u64 = (0..self.nodes.len()).map(|node| u64::from(self.usable_share(node))).sum();
+        let whole = u64::from(FULL_SHARE) * self.nodes.len() as u64;
         assert!(parts <= whole, "{} of {whole} at {}", parts, self.now);
-        for used in (0..self.nodes.len()).filter(|&node| self.nodes.len() > 2 && self.part(node) > 0) {
-            let incarnation = self.siblings(used).incarnation();
+        for used in (0..self.nodes.len()).filter(|&node| self.nodes.len() > 2 && self.usable_share(node) > 0)
+        {
+            let incarnation = self.membership(used).incarnation();
             for node in (0..self.nodes.len()).filter(|&node| node != used && self.runs(node)) {
-                let told = self.siblings(node).known(used);
+                let told = self.membership(node).incarnation_of(used);
                 assert_ne!(told, Some((incarnation, true)), "{node} holds {used} to be gone at {}", self.now);
             }
         }
     }
 
     /// Whether all that run hold all that run to be here, and are of one mind.
-    pub fn whole(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         let live: Vec<usize> = (0..self.nodes.len()).filter(|&node| self.runs(node)).collect();
         let Some(&first) = live.first() else { return false };
-        let epoch = self.siblings(first).epoch();
+        let epoch = self.membership(first).view_digest();
         live.iter().all(|&at| {
-            self.siblings(at).epoch() == epoch
-                && live.iter().all(|&of| of == at || self.state(of, at) == State::Here)
+            self.membership(at).view_digest() == epoch
+                && live.iter().all(|&of| of == at || self.state(of, at) == NodeState::Here)
         })
     }
 
@@ -300,12 +304,16 @@
     fn told(&self) -> String {
         let live = (0..self.nodes.len()).filter(|&node| self.runs(node));
         live.map(|node| {
-            let (siblings, now) = (self.siblings(node), self.clock(node));
-            let fellows = siblings.fellows(now);
-            let odd = fellows.iter().filter(|fellow| fellow.state != State::Here);
+            let (siblings, now) = (self.membership(node), self.clock(node));
+            let fellows = siblings.peers(now);
+            let odd = fellows.iter().filter(|fellow| fellow.state != NodeState::Here);
             let odd: Vec<String> =
-                odd.map(|f| format!("{} {} {:?}", f.node, f.state.word(), f.why)).take(3).collect();
-            format!("\n{node} epoch {:08x} part {} odd {odd:?}", siblings.epoch(), self.part(node))
+                odd.map(|f| format!("{} {} {:?}", f.node, f.state.as_str(), f.reason)).take(3).collect();
+            format!(
+                "\n{node} epoch {:08x} part {} odd {odd:?}",
+                siblings.view_digest(),
+                self.usable_share(node)
+            )
         })
         .filter(|line| !line.ends_with("1000 odd []") || self.nodes.len() < 7)
         .take(20)
@@ -314,13 +322,13 @@
                 "{:?}",
                 (0..self.nodes.len())
                     .filter(|&n| self.runs(n))
-                    .map(|n| self.siblings(n).epoch())
+                    .map(|n| self.membership(n).view_digest())
                     .collect::<BTreeSet<_>>()
             )
     }
 
     /// Runs until something holds; tells after what time.
-    pub fn until(&mut self, most: Micros, holds: impl Fn(&World) -> bool) -> Micros {
+    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Simulation) -> bool) -> Micros {
         let start = self.now;
         while !holds(self) {
             assert!(self.now < start + most, "not within {most} us: {}", self.told());
--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -7,7 +7,7 @@
 
 /// What a node is, as far as this one knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum State {
+pub enum NodeState {
     /// It was heard of within a bound, its watchers confirm it, and it has confirmed hearing us where it watches us.
     Here,
     /// This incarnation uses no part of anything shared any more.
@@ -16,47 +16,47 @@
     Unknown,
 }
 
-impl State {
+impl NodeState {
     /// The word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Here => "here",
-            State::Gone => "gone",
-            State::Unknown => "unknown",
+            NodeState::Here => "here",
+            NodeState::Gone => "gone",
+            NodeState::Unknown => "unknown",
         }
     }
 }
 
-/// Why a node is held to be what it is.
+/// StateReason a node is held to be what it is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum StateReason {
     /// Nothing was heard of it yet.
     NeverHeard,
     /// Its row came, through this node.
     Heard {
         /// Who brought it: itself, or another.
-        by: usize,
+        via: usize,
     },
     /// It has begun a new incarnation; the one before is gone.
-    Newer {
+    NewIncarnation {
         /// The incarnation before.
-        than: u64,
+        previous: u64,
         /// Who brought the word.
-        by: usize,
+        via: usize,
     },
     /// It said that it leaves.
     Left,
     /// So many of its watchers say that its lease has run out.
-    Expired {
+    LeaseExpired {
         /// Who say so.
-        by: Vec<usize>,
+        reported_by: Vec<usize>,
     },
     /// Nothing new was heard of it for too long.
     Silent,
     /// It is not confirmed itself, by its own word.
     Unconfirmed,
     /// It hasn't confirmed hearing us, though it should.
-    Deaf,
+    DoesNotHearUs,
 }
 
 /// What is known of one node.
@@ -69,7 +69,7 @@
     pub at: Micros,
     pub by: usize,
     /// The incarnation that is gone, and why.
-    pub gone: Option<(u64, Why)>,
+    pub gone: Option<(u64, StateReason)>,
     /// When it was last heard to call.
     called: Option<Micros>,
     /// When it began the present incarnation, as heard here, and the one before.
@@ -119,7 +119,7 @@
     }
 
     /// The view's number.
-    pub fn epoch(&self) -> u32 {
+    pub fn view_digest(&self) -> u32 {
         let mixed =
             self.epoch.iter().zip(0..).fold(0, |sum: u64, (epoch, turn)| sum ^ epoch.rotate_left(turn));
         (mixed ^ mixed >> 32) as u32
@@ -193,7 +193,7 @@
             }
         };
         if row.standing.leaving {
-            self.known[node].as_mut().expect("set above").gone = Some((row.incarnation, Why::Left));
+            self.known[node].as_mut().expect("set above").gone = Some((row.incarnation, StateReason::Left));
         }
         self.epoch[node % BUCKETS] ^= before ^ self.share(node);
         taken
@@ -205,17 +205,17 @@
         let incarnation = known.row.incarnation;
         let says = |&watcher: &usize| {
             let row = self.get(watcher).map(|known| &known.row);
-            let place = ring.place(watcher, node);
+            let place = ring.neighbour_index(watcher, node);
             row.zip(place).is_some_and(|(row, place)| {
                 let heard = row.heard[place];
                 heard.expired && heard.incarnation == incarnation as u32
             })
         };
-        let by: Vec<usize> = ring.of(node).filter(says).collect();
-        if by.len() >= ring.to_be_gone() {
+        let by: Vec<usize> = ring.neighbours(node).filter(says).collect();
+        if by.len() >= ring.expiry_quorum() {
             let before = self.share(node);
             self.known[node].as_mut().expect("looked at above").gone =
-                Some((incarnation, Why::Expired { by }));
+                Some((incarnation, StateReason::LeaseExpired { reported_by: by }));
             self.epoch[node % BUCKETS] ^= before ^ self.share(node);
         }
     }
--- a/crates/siblings/tests/model.rs
+++ b/crates/siblings/tests/model.rs
@@ -2,19 +2,24 @@
 //! restarts and refutations in all orders. The parts never come to more than the whole, and nobody is held to be gone who
 //! still uses its part.
 
-use lilacquay_siblings::{Micros, Out, Setup, Siblings, State, Terms, WHOLE};
+use lilacquay_siblings::{FULL_SHARE, Membership, Micros, NodeState, OutgoingDatagram, Parameters, Setup};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
 /// A lease of two steps, so that few steps tell all.
 const STEP: Micros = 500_000;
-const TERMS: Terms = Terms { period: STEP, lease: 2 * STEP, drift: 10, late: 100_000 };
+const PARAMETERS: Parameters = Parameters {
+    heartbeat_interval: STEP,
+    lease_duration: 2 * STEP,
+    max_drift_permille: 10,
+    late_threshold: 100_000,
+};
 const WALL: Micros = 1_700_000_000_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: Micros,
-    nodes: Vec<Option<Siblings>>,
+    nodes: Vec<Option<Membership>>,
     /// Stopped; it wakes up with what it believed.
     paused: [bool; NODES],
     /// Ways that are cut, by sender and receiver.
@@ -47,16 +52,22 @@
 impl World {
     fn start(&mut self, node: usize) {
         self.starts += 1;
-        let setup = Setup { me: node, nodes: NODES, site: 1, seed: self.starts, terms: TERMS };
+        let setup = Setup {
+            own_index: node,
+            node_count: NODES,
+            site_id: 1,
+            seed: self.starts,
+            parameters: PARAMETERS,
+        };
         // Its clock went back: each start is at the same time by the wall.
-        self.nodes[node] = Some(Siblings::new(setup, self.now, WALL));
+        self.nodes[node] = Some(Membership::new(setup, self.now, WALL));
     }
 
     /// Carries datagrams, and what they bring about, until nothing more is said.
-    fn carry(&mut self, from: usize, out: Vec<Out>, held: Option<(usize, usize)>) {
-        let mut all: Vec<(usize, Out)> = out.into_iter().map(|out| (from, out)).collect();
+    fn carry(&mut self, from: usize, out: Vec<OutgoingDatagram>, held: Option<(usize, usize)>) {
+        let mut all: Vec<(usize, OutgoingDatagram)> = out.into_iter().map(|out| (from, out)).collect();
         for _ in 0..12 {
-            for (from, Out { to, datagram }) in std::mem::take(&mut all) {
+            for (from, OutgoingDatagram { to, datagram }) in std::mem::take(&mut all) {
                 if held == Some((from, to)) {
                     self.held.retain(|(f, t, _)| (*f, *t) != (from, to));
                     self.held.push((from, to, datagram));
@@ -68,11 +79,11 @@
         }
     }
 
-    fn come(&mut self, from: usize, to: usize, datagram: &[u8]) -> Vec<Out> {
+    fn come(&mut self, from: usize, to: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         let now = self.now;
         let Some(siblings) = &mut self.nodes[to] else { return Vec::new() };
-        let out = siblings.heard(now, WALL + now, from, datagram);
-        siblings.changes();
+        let out = siblings.handle_datagram(now, WALL + now, from, datagram);
+        siblings.take_events();
         out
     }
 
@@ -80,7 +91,7 @@
         let now = self.now;
         let Some(siblings) = &mut self.nodes[node] else { return };
         let out = siblings.tick(now, WALL + now);
-        siblings.changes();
+        siblings.take_events();
         self.carry(node, out, held);
     }
 
@@ -94,15 +105,18 @@
     }
 
     fn part(&self, node: usize) -> u32 {
-        self.nodes[node].as_ref().map_or(0, |siblings| siblings.part(self.now).at(self.now))
+        self.nodes[node]
+            .as_ref()
+            .map_or(0, |siblings| siblings.resource_share(self.now).thousandths_at(self.now))
     }
 
     /// Whether somebody holds a process to be gone that may use something.
     fn slanders(&self) -> bool {
         let used = |&node: &usize| self.part(node) > 0;
         (0..NODES).filter(used).any(|node| {
-            let incarnation = self.nodes[node].as_ref().map(Siblings::incarnation);
-            let told = |other: &Siblings| other.known(node).filter(|known| known.1).map(|known| known.0);
+            let incarnation = self.nodes[node].as_ref().map(Membership::incarnation);
+            let told =
+                |other: &Membership| other.incarnation_of(node).filter(|known| known.1).map(|known| known.0);
             self.nodes.iter().flatten().any(|other| told(other).is_some() && told(other) == incarnation)
         })
     }
@@ -185,15 +199,16 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always("the parts never come to more than the whole", |_, world| {
-                (0..NODES).map(|node| world.part(node)).sum::<u32>() <= NODES as u32 * WHOLE
+                (0..NODES).map(|node| world.part(node)).sum::<u32>() <= NODES as u32 * FULL_SHARE
             }),
             Property::<Self>::always("nobody is gone who uses its part", |_, world| !world.slanders()),
             Property::<Self>::sometimes("one is held to be gone", |_, world| {
-                let gone = |node: &Siblings| (0..NODES).any(|of| node.state(world.now, of).0 == State::Gone);
+                let gone =
+                    |node: &Membership| (0..NODES).any(|of| node.state(world.now, of).0 == NodeState::Gone);
                 world.nodes.iter().flatten().any(gone)
             }),
             Property::<Self>::sometimes("another takes its part", |_, world| {
-                (0..NODES).any(|node| world.part(node) > WHOLE)
+                (0..NODES).any(|node| world.part(node) > FULL_SHARE)
             }),
         ]
     }
--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -1,17 +1,17 @@
-//! Siblings in virtual time: who is known to be what, within which bounds, through whatever happens on the ways.
+//! Membership in virtual time: who is known to be what, within which bounds, through whatever happens on the ways.
 
-use lilacquay_siblings::simulation::{Link, MS, S, World};
-use lilacquay_siblings::{Change, State, Terms, WHOLE, Why};
+use lilacquay_siblings::simulation::{Link, MS, SEC, Simulation};
+use lilacquay_siblings::{FULL_SHARE, MembershipEvent, NodeState, Parameters, StateReason};
 
 /// A death is known to all of so many within this, and a start.
-const KNOWN: u64 = 10 * S;
+const KNOWN: u64 = 10 * SEC;
 
-fn settled(nodes: usize, seed: u64) -> World {
-    let mut world = World::new(nodes, seed);
-    world.checks = nodes <= 30;
-    world.start_all(S);
-    world.until(30 * S, World::whole);
-    let settle = 2 * Terms::default().outlasts();
+fn settled(nodes: usize, seed: u64) -> Simulation {
+    let mut world = Simulation::new(nodes, seed);
+    world.checks_invariants = nodes <= 30;
+    world.start_all(SEC);
+    world.run_until(30 * SEC, Simulation::is_converged);
+    let settle = 2 * Parameters::default().expiry_timeout();
     world.run(settle);
     world
 }
@@ -20,8 +20,8 @@
 fn all_are_here_and_use_their_whole_parts_soon_after_their_start() {
     for (nodes, seed) in [(1, 1), (2, 2), (3, 3), (4, 4), (5, 5), (6, 6), (30, 7), (300, 8)] {
         let world = settled(nodes, seed);
-        assert!((0..nodes).all(|node| world.part(node) == WHOLE), "{nodes}");
-        assert!((0..nodes).all(|node| world.siblings(node).numbers() == [nodes - 1, 0, 0]));
+        assert!((0..nodes).all(|node| world.usable_share(node) == FULL_SHARE), "{nodes}");
+        assert!((0..nodes).all(|node| world.membership(node).state_counts() == [nodes - 1, 0, 0]));
     }
 }
 
@@ -32,75 +32,95 @@
         let mut world = settled(nodes, seed);
         let dead = seed as usize % nodes;
         world.kill(dead);
-        let known = |w: &World| (0..nodes).all(|at| at == dead || w.state(dead, at) == State::Gone);
-        world.until(KNOWN, known);
-        world.until(KNOWN, |w| (0..nodes).map(|node| w.part(node)).sum::<u32>() == nodes as u32 * WHOLE);
+        let known = |w: &Simulation| (0..nodes).all(|at| at == dead || w.state(dead, at) == NodeState::Gone);
+        world.run_until(KNOWN, known);
+        world.run_until(KNOWN, |w| {
+            (0..nodes).map(|node| w.usable_share(node)).sum::<u32>() == nodes as u32 * FULL_SHARE
+        });
         let now = world.now;
         world.start_at(dead, now);
-        world.until(5 * S, |w| w.runs(dead) && w.part(dead) == WHOLE);
-        world.until(KNOWN, World::whole);
+        world.run_until(5 * SEC, |w| w.runs(dead) && w.usable_share(dead) == FULL_SHARE);
+        world.run_until(KNOWN, Simulation::is_converged);
     }
 }
 
 #[test]
 fn loss_spread_and_doubling_alone_make_nobody_gone() {
     for (nodes, loss, seed) in [(3, 100, 1), (5, 200, 2), (30, 200, 3), (30, 100, 4)] {
-        let mut world = World::new(nodes, seed);
-        world.usual = Link { loss, double: 50, delay: (MS, 200 * MS), cut: false };
-        world.start_all(S);
-        world.until(30 * S, World::whole);
-        world.changes.clear();
+        let mut world = Simulation::new(nodes, seed);
+        world.default_link =
+            Link { loss_permille: loss, duplicate_permille: 50, delay_range: (MS, 200 * MS), cut: false };
+        world.start_all(SEC);
+        world.run_until(30 * SEC, Simulation::is_converged);
+        world.events.clear();
         for _ in 0..6 {
-            world.run(20 * S);
+            world.run(20 * SEC);
             let node = world.rng.usize(0..nodes);
             world.pause(node); // a second of each minute or less
-            world.run(S);
+            world.run(SEC);
             world.resume(node);
         }
-        let gone = |(_, _, change): &&(u64, usize, Change)| {
-            matches!(change, Change::State { is: State::Gone, why: Why::Expired { .. }, .. })
+        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+            matches!(
+                change,
+                MembershipEvent::StateChanged {
+                    current: NodeState::Gone,
+                    reason: StateReason::LeaseExpired { .. },
+                    ..
+                }
+            )
         };
-        assert_eq!(world.changes.iter().find(gone), None, "{nodes} at {loss}");
+        assert_eq!(world.events.iter().find(gone), None, "{nodes} at {loss}");
     }
 }
 
 #[test]
 fn a_pause_within_the_bound_changes_nothing_and_a_longer_one_heals() {
-    for pause in [100 * MS, S, Terms::default().unnoticed()] {
+    for pause in [100 * MS, SEC, Parameters::default().longest_unnoticed_pause()] {
         let mut world = settled(5, pause);
-        world.changes.clear();
+        world.events.clear();
         world.pause(2);
         world.run(pause);
         world.resume(2);
-        world.run(10 * S);
-        let told = |(_, _, change): &&(u64, usize, Change)| matches!(change, Change::State { .. });
-        assert_eq!(world.changes.iter().find(told), None, "a pause of {pause}");
+        world.run(10 * SEC);
+        let told = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+            matches!(change, MembershipEvent::StateChanged { .. })
+        };
+        assert_eq!(world.events.iter().find(told), None, "a pause of {pause}");
     }
-    for pause in [3 * S, 10 * S] {
+    for pause in [3 * SEC, 10 * SEC] {
         let mut world = settled(5, pause);
-        world.changes.clear();
+        world.events.clear();
         world.pause(2);
         world.run(pause);
         world.resume(2);
-        let accused = world.changes.len();
-        world.until(5 * S, World::whole);
+        let accused = world.events.len();
+        world.run_until(5 * SEC, Simulation::is_converged);
         // Whoever wakes up accuses nobody: it says nothing of the others but that they are here.
-        let accuses = |(_, at, change): &&(u64, usize, Change)| {
-            *at == 2 && matches!(change, Change::State { is: State::Gone, why: Why::Expired { .. }, .. })
+        let accuses = |(_, at, change): &&(u64, usize, MembershipEvent)| {
+            *at == 2
+                && matches!(
+                    change,
+                    MembershipEvent::StateChanged {
+                        current: NodeState::Gone,
+                        reason: StateReason::LeaseExpired { .. },
+                        ..
+                    }
+                )
         };
-        assert_eq!(world.changes[accused..].iter().find(accuses), None);
+        assert_eq!(world.events[accused..].iter().find(accuses), None);
     }
 }
 
 #[test]
 fn all_paused_at_once_and_late_all_the_time_accuse_nobody() {
     let mut world = settled(6, 1);
-    world.changes.clear();
+    world.events.clear();
     for _ in 0..5 {
         (0..6).for_each(|node| world.pause(node));
-        world.run(10 * S);
+        world.run(10 * SEC);
         (0..6).for_each(|node| world.resume(node));
-        world.until(5 * S, World::whole);
+        world.run_until(5 * SEC, Simulation::is_converged);
     }
     for _ in 0..40 {
         (0..6).for_each(|node| world.pause(node));
@@ -108,27 +128,38 @@
         (0..6).for_each(|node| world.resume(node));
         world.run(300 * MS);
     }
-    let gone = |(_, _, change): &&(u64, usize, Change)| {
-        matches!(change, Change::State { is: State::Gone, why: Why::Expired { .. }, .. })
+    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        matches!(
+            change,
+            MembershipEvent::StateChanged {
+                current: NodeState::Gone,
+                reason: StateReason::LeaseExpired { .. },
+                ..
+            }
+        )
     };
-    assert_eq!(world.changes.iter().find(gone), None);
+    assert_eq!(world.events.iter().find(gone), None);
 }
 
 #[test]
 fn a_one_sided_cut_shows_as_one_and_ends_no_lease() {
     for nodes in [3, 5, 30] {
         let mut world = settled(nodes, 9);
-        let (a, b) = (0, world.siblings(0).fellows(0).iter().find(|f| f.we_hear.is_some()).unwrap().node);
-        world.changes.clear();
+        let (a, b) = (0, world.membership(0).peers(0).iter().find(|f| f.we_hear.is_some()).unwrap().node);
+        world.events.clear();
         world.cut(a, b, true); // b doesn't hear a
-        world.run(60 * S);
-        let ways = world.siblings(b).ways(world.clock(b));
-        let open = |from, to| ways.iter().find(|way| (way.from, way.to) == (from, to)).unwrap().open;
+        world.run(60 * SEC);
+        let ways = world.membership(b).link_states(world.clock(b));
+        let open = |from, to| ways.iter().find(|way| (way.from, way.to) == (from, to)).unwrap().is_up;
         assert!(!open(a, b) && open(b, a), "{nodes}: {ways:?}");
-        let gone = |(_, _, change): &&(u64, usize, Change)| {
-            matches!(change, Change::State { is: State::Gone, .. } | Change::Confirmed(false))
+        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+            matches!(
+                change,
+                MembershipEvent::StateChanged { current: NodeState::Gone, .. }
+                    | MembershipEvent::ConfirmationChanged(false)
+            )
         };
-        assert_eq!(world.changes.iter().find(gone), None, "{nodes}");
+        assert_eq!(world.events.iter().find(gone), None, "{nodes}");
     }
 }
 
@@ -136,31 +167,39 @@
 #[test]
 fn in_a_ring_of_one_sided_ways_all_stay_here() {
     let mut world = settled(5, 3);
-    world.changes.clear();
+    world.events.clear();
     for from in 0..5 {
         (0..5).filter(|&to| to != from && to != (from + 1) % 5).for_each(|to| world.cut(from, to, true));
     }
-    world.run(60 * S);
-    let gone =
-        |(_, _, change): &&(u64, usize, Change)| matches!(change, Change::State { is: State::Gone, .. });
-    assert_eq!(world.changes.iter().find(gone), None);
+    world.run(60 * SEC);
+    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        matches!(change, MembershipEvent::StateChanged { current: NodeState::Gone, .. })
+    };
+    assert_eq!(world.events.iter().find(gone), None);
 }
 
 #[test]
 fn one_that_is_cut_from_all_but_one_can_be_heard_by_a_way_round() {
     for nodes in [5, 30, 100] {
         let mut world = settled(nodes, 4);
-        world.changes.clear();
+        world.events.clear();
         let (cut, friend) = (1, (1 + nodes / 2) % nodes);
         for other in (0..nodes).filter(|&other| other != cut && other != friend) {
             world.cut(cut, other, true);
             world.cut(other, cut, true);
         }
-        world.run(60 * S);
-        let gone = |(_, _, change): &&(u64, usize, Change)| {
-            matches!(change, Change::State { is: State::Gone, why: Why::Expired { .. }, .. })
+        world.run(60 * SEC);
+        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+            matches!(
+                change,
+                MembershipEvent::StateChanged {
+                    current: NodeState::Gone,
+                    reason: StateReason::LeaseExpired { .. },
+                    ..
+                }
+            )
         };
-        assert_eq!(world.changes.iter().find(gone), None, "{nodes}");
+        assert_eq!(world.events.iter().find(gone), None, "{nodes}");
     }
 }
 
@@ -169,39 +208,39 @@
     for (nodes, seed) in [(5, 1), (6, 2), (30, 3), (100, 4)] {
         let mut world = settled(nodes, seed);
         world.split(|node| node < nodes / 2, true);
-        world.run(60 * S);
+        world.run(60 * SEC);
         for at in 0..nodes {
             let own = (0..nodes).filter(|&of| of != at && (of < nodes / 2) == (at < nodes / 2));
-            let gone: Vec<usize> = own.filter(|&of| world.state(of, at) == State::Gone).collect();
+            let gone: Vec<usize> = own.filter(|&of| world.state(of, at) == NodeState::Gone).collect();
             assert!(gone.is_empty(), "{at} holds {gone:?} to be gone, whom it can hear");
         }
         world.split(|node| node < nodes / 2, false);
-        world.until(5 * S, World::whole);
+        world.run_until(5 * SEC, Simulation::is_converged);
     }
 }
 
 #[test]
 fn eighty_of_a_hundred_are_killed_and_back_under_their_names() {
     let mut world = settled(100, 5);
-    world.checks = false;
+    world.checks_invariants = false;
     for node in 0..80 {
-        let at = world.now + world.rng.u64(0..S);
+        let at = world.now + world.rng.u64(0..SEC);
         let back = 300 * MS;
-        world.run(at.saturating_sub(world.now).min(S / 80));
+        world.run(at.saturating_sub(world.now).min(SEC / 80));
         world.kill(node);
         let again = world.now + back;
         world.start_at(node, again);
         world.check();
     }
-    world.until(KNOWN, World::whole);
-    world.until(KNOWN, |w| (0..100).all(|node| w.part(node) == WHOLE));
+    world.run_until(KNOWN, Simulation::is_converged);
+    world.run_until(KNOWN, |w| (0..100).all(|node| w.usable_share(node) == FULL_SHARE));
     world.check();
 }
 
 #[test]
 fn one_that_flaps_twice_a_second_troubles_nobody_else() {
     let mut world = settled(6, 6);
-    world.changes.clear();
+    world.events.clear();
     for _ in 0..40 {
         world.kill(0);
         world.run(150 * MS);
@@ -209,61 +248,64 @@
         world.start_at(0, now);
         world.run(350 * MS);
     }
-    let others = |(_, _, change): &&(u64, usize, Change)| matches!(change, Change::State { node, is: State::Gone, .. } if *node != 0);
-    assert_eq!(world.changes.iter().find(others), None);
-    world.until(5 * S, World::whole);
+    let others = |(_, _, change): &&(u64, usize, MembershipEvent)| matches!(change, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node != 0);
+    assert_eq!(world.events.iter().find(others), None);
+    world.run_until(5 * SEC, Simulation::is_converged);
 }
 
 /// A name in the list under which nothing ever ran.
 #[test]
 fn one_that_never_was_is_not_known_and_the_others_are_here() {
-    let mut world = World::new(5, 7);
-    (0..4).for_each(|node| world.start_at(node, S));
-    world.run(S);
-    world.until(10 * S, World::whole);
-    world.run(30 * S);
-    assert!((0..4).all(|at| world.state(4, at) == State::Unknown));
-    assert!((0..4).all(|node| world.part(node) == WHOLE), "nobody takes the part of one that is not known");
+    let mut world = Simulation::new(5, 7);
+    (0..4).for_each(|node| world.start_at(node, SEC));
+    world.run(SEC);
+    world.run_until(10 * SEC, Simulation::is_converged);
+    world.run(30 * SEC);
+    assert!((0..4).all(|at| world.state(4, at) == NodeState::Unknown));
+    assert!(
+        (0..4).all(|node| world.usable_share(node) == FULL_SHARE),
+        "nobody takes the part of one that is not known"
+    );
 }
 
 /// Clocks that are 5 s apart, and one that goes back over a restart that nobody noticed.
 #[test]
 fn one_that_comes_back_with_its_clock_put_back_is_newer_than_it_was() {
-    let mut world = World::new(5, 8);
+    let mut world = Simulation::new(5, 8);
     (0..5).for_each(|node| world.nodes[node].wall_off = node as i64 * 5_000_000 - 10_000_000);
-    world.start_all(S);
-    world.until(10 * S, World::whole);
-    let before = world.siblings(3).incarnation();
+    world.start_all(SEC);
+    world.run_until(10 * SEC, Simulation::is_converged);
+    let before = world.membership(3).incarnation();
     world.kill(3);
     world.nodes[3].wall_off -= 20_000_000;
     let now = world.now;
     world.start_at(3, now);
-    world.until(5 * S, |w| w.runs(3) && w.siblings(3).incarnation() > before && w.whole());
+    world.run_until(5 * SEC, |w| w.runs(3) && w.membership(3).incarnation() > before && w.is_converged());
 }
 
 /// At rest the bytes a node sends don't grow with the number of nodes; in a storm there is a bound.
 #[test]
 fn bytes_are_bounded_whatever_the_number_and_the_storm() {
     for (nodes, loss) in [(30, 0), (300, 0), (300, 200)] {
-        let mut world = World::new(nodes, 9);
-        world.checks = false;
-        world.usual = Link { loss, ..Link::default() };
-        world.start_all(S);
-        world.run(25 * S);
-        let sent = |world: &World| world.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
+        let mut world = Simulation::new(nodes, 9);
+        world.checks_invariants = false;
+        world.default_link = Link { loss_permille: loss, ..Link::default() };
+        world.start_all(SEC);
+        world.run(25 * SEC);
+        let sent = |world: &Simulation| world.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
         let before = sent(&world);
-        world.run(10 * S);
+        world.run(10 * SEC);
         let rest = (sent(&world) - before) / 10 / nodes as u64;
         assert!(rest <= 2_048, "{nodes}: {rest} bytes a second at rest");
         let odd: Vec<bool> = (0..nodes).map(|_| world.rng.bool()).collect();
         world.split(|node| odd[node], true);
-        world.run(15 * S);
+        world.run(15 * SEC);
         world.split(|node| odd[node], false);
-        world.forget_links();
+        world.reset_links();
         let before = sent(&world);
-        let healed = world.until(30 * S, World::whole);
-        assert!(healed <= if loss > 0 { 7 * S } else { 5 * S }, "{nodes}: healed after {healed}");
-        let storm = (sent(&world) - before) * S / healed / nodes as u64;
+        let healed = world.run_until(30 * SEC, Simulation::is_converged);
+        assert!(healed <= if loss > 0 { 7 * SEC } else { 5 * SEC }, "{nodes}: healed after {healed}");
+        let storm = (sent(&world) - before) * SEC / healed / nodes as u64;
         assert!(storm <= 16_000, "{nodes}: {storm} bytes a second in a storm");
     }
 }
@@ -272,22 +314,22 @@
 #[test]
 fn strays_change_nothing() {
     let world = settled(3, 10);
-    let (now, wall) = (world.clock(0), 1_700_000_100 * S);
-    let mut other = world.siblings(1).clone();
+    let (now, wall) = (world.clock(0), 1_700_000_100 * SEC);
+    let mut other = world.membership(1).clone();
     let good = other.tick(now, wall).into_iter().find(|out| out.to == 0).unwrap().datagram;
-    let mut node = world.siblings(0).clone();
-    node.heard(now, wall, 1, &good);
-    let before = (node.fellows(now), node.epoch(), node.part(now));
+    let mut node = world.membership(0).clone();
+    node.handle_datagram(now, wall, 1, &good);
+    let before = (node.peers(now), node.view_digest(), node.resource_share(now));
     let mut cases: Vec<(usize, Vec<u8>)> =
         vec![(2, good.clone()), (0, good.clone()), (1, good[..40].to_vec())];
     let mut stranger = good.clone();
     stranger[4] ^= 1;
     cases.extend([(1, stranger), (1, good)]);
     for (from, datagram) in cases {
-        node.heard(now, wall, from, &datagram);
-        assert_eq!((node.fellows(now), node.epoch(), node.part(now)), before);
+        node.handle_datagram(now, wall, from, &datagram);
+        assert_eq!((node.peers(now), node.view_digest(), node.resource_share(now)), before);
     }
-    assert!(node.counts().unread >= 4);
+    assert!(node.counters().invalid >= 4);
 }
 
 /// Whatever happens, in any order: the sum of the parts, and nobody gone who uses its own. In the end all heal.
@@ -295,11 +337,11 @@
 fn whatever_happens_the_parts_hold_and_all_heal() {
     for seed in 0..60 {
         let nodes = [3, 4, 5, 7][seed as usize % 4];
-        let mut world = World::new(nodes, seed);
-        world.usual.loss = world.rng.u32(0..250);
-        world.usual.delay.1 = world.rng.u64(2 * MS..800 * MS);
-        world.usual.double = 100;
-        world.start_all(2 * S);
+        let mut world = Simulation::new(nodes, seed);
+        world.default_link.loss_permille = world.rng.u32(0..250);
+        world.default_link.delay_range.1 = world.rng.u64(2 * MS..800 * MS);
+        world.default_link.duplicate_permille = 100;
+        world.start_all(2 * SEC);
         for _ in 0..60 {
             let (a, b) = (world.rng.usize(0..nodes), world.rng.usize(0..nodes));
             match world.rng.u8(0..10) {
@@ -315,10 +357,10 @@
                 9 => world.nodes[a].wall_off = world.rng.i64(-5_000_000..5_000_000),
                 _ => {}
             }
-            let wait = world.rng.u64(10 * MS..2 * S);
+            let wait = world.rng.u64(10 * MS..2 * SEC);
             world.run(wait);
         }
-        world.usual = Link::default();
+        world.default_link = Link::default();
         for a in 0..nodes {
             world.resume(a);
             (0..nodes).filter(|&b| b != a).for_each(|b| *world.link(a, b) = Link::default());
@@ -328,7 +370,7 @@
             }
         }
         world.run(MS);
-        world.until(30 * S, World::whole);
+        world.run_until(30 * SEC, Simulation::is_converged);
     }
 }
 
@@ -340,7 +382,7 @@
     for nodes in [2, 3, 5, 40] {
         let mut world = settled(nodes, 12);
         let (mut now, mut sent) = (world.clock(0), 0);
-        let node = world.nodes[0].siblings.as_mut().unwrap();
+        let node = world.nodes[0].membership.as_mut().unwrap();
         for _ in 0..20_000 {
             let number = |rng: &mut fastrand::Rng| [0, 1, u32::MAX, rng.u32(..)][rng.usize(..4)];
             let mut row = Row { origin: rng.u16(..50), watches: rng.u8(..5), ..Row::default() };
@@ -361,11 +403,11 @@
             said.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
             said.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
             now += rng.u64(..2 * MS);
-            sent += node.heard(now, 0, from, &put(7, &said)).len();
+            sent += node.handle_datagram(now, 0, from, &put(7, &said)).len();
             if rng.u8(..50) == 0 {
                 node.tick(now, 0);
             }
-            assert!(node.part(now).at(now) <= 2 * WHOLE);
+            assert!(node.resource_share(now).thousandths_at(now) <= 2 * FULL_SHARE);
         }
         assert!(sent < 40 + 20_000 / 25, "{nodes}: {sent} beyond the turn in 20 s");
     }
@@ -378,15 +420,15 @@
     assert_ne!(site("a", 3), site("a", 4));
     let mut world = settled(5, 13);
     world.kill(4);
-    world.run(10 * S);
-    world.changes.clear();
+    world.run(10 * SEC);
+    world.events.clear();
     let ring = lilacquay_siblings::Ring::new(5);
     for beat in 1..=120 {
         world.run(500 * MS);
-        let of = |node: usize| world.siblings(node).incarnation() as u32;
+        let of = |node: usize| world.membership(node).incarnation() as u32;
         let mut row = Row { origin: 4, incarnation: 1 << 47, beat, watches: 4, ..Row::default() };
         row.standing.confirmed = true;
-        for (heard, node) in row.heard.iter_mut().zip(ring.of(4)) {
+        for (heard, node) in row.heard.iter_mut().zip(ring.neighbours(4)) {
             *heard = Heard { incarnation: of(node), beat: 1, direct: true, expired: true };
         }
         let datagram = put(7, &Said { rows: vec![row], ..Said::default() });
@@ -394,35 +436,46 @@
             world.deliver(4, node, &datagram);
         }
     }
-    let gone = |(_, _, change): &&(u64, usize, Change)| {
-        matches!(change, Change::State { is: State::Gone, why: Why::Expired { .. }, .. })
+    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        matches!(
+            change,
+            MembershipEvent::StateChanged {
+                current: NodeState::Gone,
+                reason: StateReason::LeaseExpired { .. },
+                ..
+            }
+        )
     };
-    assert_eq!(world.changes.iter().find(gone), None);
-    let began = world.changes.iter().filter(|(_, _, change)| matches!(change, Change::Began { .. })).count();
+    assert_eq!(world.events.iter().find(gone), None);
+    let began = world
+        .events
+        .iter()
+        .filter(|(_, _, change)| matches!(change, MembershipEvent::IncarnationStarted { .. }))
+        .count();
     assert!(began <= 4 * 8, "{began} in a minute at four nodes: each ten seconds at the most");
-    assert!((0..4).all(|node| world.siblings(node).is_confirmed(world.clock(node))));
+    assert!((0..4).all(|node| world.membership(node).is_confirmed(world.clock(node))));
 }
 
 /// Two processes of one name hear of each other through the others: one gives way, and says so.
 #[test]
 fn of_two_processes_of_one_name_one_gives_way() {
-    use lilacquay_siblings::{Setup, Siblings};
+    use lilacquay_siblings::{Membership, Setup};
     for seed in 0..8 {
         // The places of the two are 2 and 3; both are node 2 of three.
-        let (mut now, wall) = (S, 1_700_000_000 * S);
+        let (mut now, wall) = (SEC, 1_700_000_000 * SEC);
         let name = |place: usize| place.min(2);
         let setup = |place: usize| Setup {
-            me: name(place),
-            nodes: 3,
-            site: 7,
+            own_index: name(place),
+            node_count: 3,
+            site_id: 7,
             seed: seed * 10 + place as u64,
-            terms: Terms::default(),
+            parameters: Parameters::default(),
         };
-        let mut all: Vec<Siblings> = (0..3).map(|place| Siblings::new(setup(place), now, wall)).collect();
+        let mut all: Vec<Membership> = (0..3).map(|place| Membership::new(setup(place), now, wall)).collect();
         let mut told = 0;
         for step in 0..120 {
             if step == 40 {
-                all.push(Siblings::new(setup(3), now, wall + now));
+                all.push(Membership::new(setup(3), now, wall + now));
             }
             for place in 0..all.len() {
                 let mut due: Vec<(usize, usize, Vec<u8>)> = Vec::new();
@@ -431,7 +484,7 @@
                 for _ in 0..8 {
                     for (from, to, datagram) in std::mem::take(&mut due) {
                         for at in (0..all.len()).filter(|&at| name(at) == to && at != from) {
-                            let out = all[at].heard(now, wall + now, name(from), &datagram);
+                            let out = all[at].handle_datagram(now, wall + now, name(from), &datagram);
                             due.extend(out.into_iter().map(|out| (at, out.to, out.datagram)));
                         }
                     }
@@ -441,9 +494,10 @@
             now += 500 * MS - 8 * MS * all.len() as u64;
         }
         for node in &mut all {
-            told += node.changes().iter().filter(|change| **change == Change::Superseded).count();
+            told +=
+                node.take_events().iter().filter(|change| **change == MembershipEvent::Superseded).count();
         }
-        let superseded: Vec<bool> = all.iter().map(Siblings::is_superseded).collect();
+        let superseded: Vec<bool> = all.iter().map(Membership::is_superseded).collect();
         assert_eq!(
             superseded.iter().filter(|superseded| **superseded).count(),
             1,
@@ -458,29 +512,35 @@
 #[test]
 fn with_a_tenth_or_a_fifth_lost_a_death_is_known_within_its_bounds() {
     for (nodes, loss) in [(30, 200), (100, 100)] {
-        let mut world = World::new(nodes, 3);
-        (world.checks, world.usual) = (false, Link { loss, delay: (MS, 20 * MS), ..Link::default() });
-        world.start_all(S);
-        world.run(20 * S);
+        let mut world = Simulation::new(nodes, 3);
+        (world.checks_invariants, world.default_link) =
+            (false, Link { loss_permille: loss, delay_range: (MS, 20 * MS), ..Link::default() });
+        world.start_all(SEC);
+        world.run(20 * SEC);
         let mut times: Vec<u64> = Vec::new();
         for round in 0..4 {
             let dead = (round * 37 + 5) % nodes;
             world.kill(dead);
             let start = world.now;
-            world.changes.clear();
-            world.run(12 * S);
-            for (time, _, change) in &world.changes {
-                if matches!(change, Change::State { node, is: State::Gone, .. } if *node == dead) {
+            world.events.clear();
+            world.run(12 * SEC);
+            for (time, _, change) in &world.events {
+                if matches!(change, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node == dead)
+                {
                     times.push(time - start);
                 }
             }
             let now = world.now;
             world.start_at(dead, now);
-            world.run(5 * S);
+            world.run(5 * SEC);
         }
         times.sort_unstable();
         assert_eq!(times.len(), 4 * (nodes - 1), "all know, each once");
-        assert!(times[times.len() / 2] <= 5 * S && times[times.len() - 1] <= 10 * S, "{:?}", times.last());
+        assert!(
+            times[times.len() / 2] <= 5 * SEC && times[times.len() - 1] <= 10 * SEC,
+            "{:?}",
+            times.last()
+        );
     }
 }
 
@@ -492,28 +552,28 @@
     let ring = lilacquay_siblings::Ring::new(7);
     let mut places = vec![0];
     while places.len() < 7 {
-        places.push(ring.of(places[places.len() - 1]).next().unwrap());
+        places.push(ring.neighbours(places[places.len() - 1]).next().unwrap());
     }
     let (back, beside) = (places[0], places[1]);
     world.kill(back);
-    world.until(KNOWN, |w| w.part(beside) > WHOLE);
+    world.run_until(KNOWN, |w| w.usable_share(beside) > FULL_SHARE);
     let far = [places[1], places[2], places[3]];
     world.split(|node| far.contains(&node), true);
     let now = world.now;
     world.start_at(back, now);
-    world.run(15 * S); // each step is checked
-    assert!(world.part(back) == WHOLE && world.part(beside) == WHOLE);
-    assert_eq!(world.state(back, beside), State::Gone, "it has heard nothing of the return");
+    world.run(15 * SEC); // each step is checked
+    assert!(world.usable_share(back) == FULL_SHARE && world.usable_share(beside) == FULL_SHARE);
+    assert_eq!(world.state(back, beside), NodeState::Gone, "it has heard nothing of the return");
 }
 
 #[test]
 fn a_machine_that_slept_uses_nothing_until_it_is_confirmed_anew() {
     let world = settled(3, 15);
-    let (now, wall) = (world.clock(0), 1_700_000_000 * S + world.now);
-    let mut node = world.siblings(0).clone();
+    let (now, wall) = (world.clock(0), 1_700_000_000 * SEC + world.now);
+    let mut node = world.membership(0).clone();
     node.tick(now, wall);
-    assert_eq!(node.part(now + MS).at(now + MS), WHOLE);
+    assert_eq!(node.resource_share(now + MS).thousandths_at(now + MS), FULL_SHARE);
     // Its steady clock stood still meanwhile.
-    node.tick(now + MS, wall + 10 * S);
-    assert_eq!(node.part(now + 2 * MS).at(now + 2 * MS), 0);
+    node.tick(now + MS, wall + 10 * SEC);
+    assert_eq!(node.resource_share(now + 2 * MS).thousandths_at(now + 2 * MS), 0);
 }
