--- a/crates/siblings/src/gossip_queue.rs
+++ b/crates/siblings/src/gossip_queue.rs
@@ -1,88 +1,92 @@
-//! Which rows go into a datagram: those that are news first, then others in turn.
+//! Chooses the rows that go into a datagram: changed rows first, then the others in rotation.
 
 use std::collections::VecDeque;
 
-/// How often one is sent that is newer soon.
-const SOON: u8 = 3;
+/// How often a row is sent that will be replaced by a newer one within a heartbeat interval.
+const SENDS_IF_SHORT_LIVED: u8 = 3;
 
-/// Rows that are news, and how often each is still to be sent.
+/// The changed rows, and how often each is still to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Spread {
-    left: Vec<u8>,
-    /// Whether it is to be told with all that it has heard.
-    whole: Vec<bool>,
+pub(crate) struct GossipQueue {
+    /// Remaining sends by node.
+    remaining_sends: Vec<u8>,
+    /// By node, whether the row is sent with all that the node reports of others.
+    send_full: Vec<bool>,
     queue: VecDeque<u16>,
-    /// How often one is sent: enough to reach all, as rumours go.
-    times: u8,
-    /// The next in turn.
-    turn: usize,
+    /// How often a changed row is sent: enough to reach all nodes, as gossip spreads.
+    sends_per_change: u8,
+    /// The next node in rotation.
+    rotation: usize,
 }
 
-impl Spread {
-    pub fn new(nodes: usize, first: usize) -> Spread {
-        let times = (usize::BITS - nodes.leading_zeros()) as u8 + 2;
-        Spread {
-            left: vec![0; nodes],
-            whole: vec![false; nodes],
+impl GossipQueue {
+    pub fn new(node_count: usize, first: usize) -> GossipQueue {
+        let sends_per_change = (usize::BITS - node_count.leading_zeros()) as u8 + 2;
+        GossipQueue {
+            remaining_sends: vec![0; node_count],
+            send_full: vec![false; node_count],
             queue: VecDeque::new(),
-            times,
-            turn: first % nodes.max(1),
+            sends_per_change,
+            rotation: first % node_count.max(1),
         }
     }
 
-    /// A node's row says something new.
+    /// Queues a node's row that has changed.
     ///
-    /// `whole`: with all that it has heard. `soon`: there will be newer word of it within a period.
-    pub fn news(&mut self, node: usize, whole: bool, soon: bool) {
-        // The newest first: what is older has reached many already.
+    /// `full`: send it with all that the node reports of others. `short_lived`: a newer row will follow within a heartbeat
+    /// interval.
+    pub fn enqueue(&mut self, node: usize, full: bool, short_lived: bool) {
+        // The newest goes first: older changes have reached many nodes already.
         self.queue.retain(|&other| usize::from(other) != node);
         self.queue.push_front(node as u16);
-        self.whole[node] = whole || self.whole[node] && self.left[node] > 0;
-        self.left[node] = if soon { SOON } else { self.times };
+        self.send_full[node] = full || self.send_full[node] && self.remaining_sends[node] > 0;
+        self.remaining_sends[node] = if short_lived { SENDS_IF_SHORT_LIVED } else { self.sends_per_change };
     }
 
-    /// Another has told of it too, `same`: just what is told here. It need not be told as often any more.
+    /// Reduces the remaining sends of a row that another node has sent as well. `identical`: it was exactly the row held
+    /// here.
     ///
-    /// Guards against: hundreds of rows that are news at once, each still told long after all have heard of it. A row with
-    /// all that its node has heard is told in no other way, so it is let go of more slowly.
-    pub fn told_by_another(&mut self, node: usize, same: bool) {
-        let less = match (self.whole[node], same) {
+    /// Without this, when hundreds of rows change at once each would be sent long after all nodes have received it. A full
+    /// row spreads in no other way, so its count is reduced more slowly.
+    pub fn record_duplicate(&mut self, node: usize, identical: bool) {
+        let reduction = match (self.send_full[node], identical) {
             (false, _) => 5,
             (true, true) => 1,
             (true, false) => 0,
         };
-        self.left[node] = self.left[node].saturating_sub(less);
+        self.remaining_sends[node] = self.remaining_sends[node].saturating_sub(reduction);
     }
 
-    /// The next that is news, and whether it is to be told whole.
-    pub fn next(&mut self) -> Option<(usize, bool)> {
+    /// The next changed row, and whether it is to be sent in full.
+    pub fn peek(&mut self) -> Option<(usize, bool)> {
         while let Some(&node) = self.queue.front() {
             let node = usize::from(node);
-            if self.left[node] > 0 {
-                return Some((node, self.whole[node]));
+            if self.remaining_sends[node] > 0 {
+                return Some((node, self.send_full[node]));
             }
             self.queue.pop_front();
         }
         None
     }
 
-    /// The next was told once more.
-    pub fn told(&mut self, node: usize) {
+    /// Counts one send of the row that [`GossipQueue::peek`] returned.
+    pub fn mark_sent(&mut self, node: usize) {
         self.queue.pop_front();
-        self.left[node] -= 1;
-        if self.left[node] > 0 {
+        self.remaining_sends[node] -= 1;
+        if self.remaining_sends[node] > 0 {
             self.queue.push_back(node as u16);
         }
     }
 
-    pub fn pending(&self) -> usize {
+    /// How many rows are queued.
+    pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// The next in turn.
-    pub fn in_turn(&mut self) -> usize {
-        let node = self.turn;
-        self.turn = (self.turn + 1) % self.left.len().max(1);
+    /// The next node in rotation.
+    pub fn next_in_rotation(&mut self) -> usize {
+        let node = self.rotation;
+        self.rotation = (self.rotation + 1) % self.remaining_sends.len().max(1);
         node
     }
 }
--- a/crates/siblings/src/lib.rs
+++ b/crates/siblings/src/lib.rs
@@ -1,13 +1,15 @@
-//! Membership among the nodes of a site: who is here, who is gone, who is not known, and whose part is whose.
+//! Membership among the nodes of a site: which nodes are here, gone or unknown, and which share of the common resources
+//! each may use.
 //!
-//! Each node is watched by four others and confirmed by them. It may use its part of what all share for a lease's time
-//! from when it sent a beat that enough of them have heard; when enough of them have heard nothing new of it, by any way
-//! round, for longer than that by the slowest clock, it is gone. Any that confirm and any that end have one in common, and
-//! who has ended an incarnation never confirms it again: so nobody is held to be gone who still uses its part.
+//! Each node is watched by up to four others, which acknowledge its heartbeats. It may use its share for one lease
+//! duration, counted from when it sent a heartbeat that a quorum of its watchers has acknowledged. It is gone when a
+//! quorum of them has heard nothing new of it, directly or relayed, for longer than a lease lasts by the slowest clock.
+//! Any confirmation quorum and any expiry quorum have a watcher in common, and a watcher that has expired an incarnation
+//! never confirms it again, so no node is held to be gone while it still uses its share.
 //! `docs/design/siblings.md` has the reasons and the bounds.
 //!
-//! No I/O, no clock, no thread: [`Membership::handle_datagram`] and [`Membership::tick`] are told both clocks and say what is to be
-//! sent.
+//! Does no I/O, reads no clock and starts no thread: [`Membership::handle_datagram`] and [`Membership::tick`] are given
+//! the time of both clocks and return the datagrams to send.
 
 mod gossip_queue;
 mod parameters;
@@ -26,5 +28,5 @@
 pub use siblings::{Counters, LinkState, Membership, MembershipEvent, OutgoingDatagram, PeerStatus, Setup};
 pub use view::{NodeState, StateReason};
 
-/// A time, or a length of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/siblings/src/ring.rs
+++ b/crates/siblings/src/ring.rs
@@ -1,77 +1,85 @@
-//! Who watches whom. The same at every node that has the same list.
+//! The ring that assigns watchers to nodes. It is computed from the number of nodes alone, so that all nodes with the same
+//! list have the same ring.
 
 use lilacquay_codec::siblings::WATCHERS;
 
-/// The ring on which the nodes stand. A node's watchers are its nearest on both sides, and it watches them.
+/// The ring of all nodes. A node's watchers are its nearest nodes on both sides, and it watches them in turn.
 ///
-/// Neighbours on the ring are far from one another in the list: nodes next to each other there often share a rack or a
-/// zone, and would be lost together.
+/// Neighbours on the ring are far apart in the list, because nodes next to each other in the list often share a rack or a
+/// zone and would fail together.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ring {
-    nodes: usize,
+    node_count: usize,
+    /// The distance in the list between neighbours on the ring.
     stride: usize,
-    /// The stride's inverse: from a node to its place.
-    back: usize,
+    /// The modular inverse of the stride, which gives a node's position on the ring.
+    stride_inverse: usize,
 }
 
 impl Ring {
-    /// Of so many nodes, one at least.
-    pub fn new(nodes: usize) -> Ring {
-        let nodes = nodes.max(1);
-        // About the golden section of the list, and without a factor in common.
-        let stride = (nodes * 382 / 1000..nodes).find(|&stride| gcd(stride, nodes) == 1).unwrap_or(1).max(1);
-        let back = (1..=nodes).find(|back| back * stride % nodes == 1 % nodes).unwrap_or(1);
-        Ring { nodes, stride, back }
+    /// The ring of so many nodes; 0 counts as 1.
+    pub fn new(node_count: usize) -> Ring {
+        let node_count = node_count.max(1);
+        // About the golden section of the list, and coprime to its length.
+        let stride = (node_count * 382 / 1000..node_count)
+            .find(|&stride| gcd(stride, node_count) == 1)
+            .unwrap_or(1)
+            .max(1);
+        let stride_inverse =
+            (1..=node_count).find(|inverse| inverse * stride % node_count == 1 % node_count).unwrap_or(1);
+        Ring { node_count, stride, stride_inverse }
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn node_count(&self) -> usize {
-        self.nodes
+        self.node_count
     }
 
-    /// How many watch each node.
+    /// How many nodes watch each node.
     pub fn watcher_count(&self) -> usize {
-        WATCHERS.min(self.nodes - 1)
+        WATCHERS.min(self.node_count - 1)
     }
 
-    /// So many watchers at least say that a node's lease has run out when it counts as gone.
+    /// How many watchers must report that a node's lease has expired before the node counts as gone.
     pub fn expiry_quorum(&self) -> usize {
-        // One that has a single watcher is never held to be gone for its silence: that would be one's word against another's.
+        // At least two: with a single watcher it would be one node's report against the other's, so a node with a single
+        // watcher is never held to be gone for its silence.
         (self.watcher_count() / 2 + 1).max(2)
     }
 
-    /// So many watchers at least confirm a node that may use its part. Any so many and any of [`Ring::expiry_quorum`] have
-    /// one in common.
+    /// How many watchers must confirm a node before it may use its share. Any such set and any set of
+    /// [`Ring::expiry_quorum`] watchers have a watcher in common.
     pub fn confirmation_quorum(&self) -> usize {
         (self.watcher_count() + 1).saturating_sub(self.expiry_quorum())
     }
 
-    /// Those that a node watches, and that watch it: the nearest first, in the same order at every node.
+    /// The nodes that a node watches, which are also its watchers: the nearest first, in the same order at every node.
     pub fn neighbours(&self, node: usize) -> impl Iterator<Item = usize> + use<> {
-        let (nodes, stride, place) = (self.nodes, self.stride, node * self.back % self.nodes);
-        let steps = [1, nodes - 1, 2, nodes.saturating_sub(2)];
-        let mut seen = Vec::with_capacity(WATCHERS);
-        for step in steps.into_iter().take(self.watcher_count()) {
-            let at = (place + step) % nodes * stride % nodes;
-            if at != node && !seen.contains(&at) {
-                seen.push(at);
+        let (node_count, stride, position) =
+            (self.node_count, self.stride, node * self.stride_inverse % self.node_count);
+        let offsets = [1, node_count - 1, 2, node_count.saturating_sub(2)];
+        let mut neighbours = Vec::with_capacity(WATCHERS);
+        for offset in offsets.into_iter().take(self.watcher_count()) {
+            let neighbour = (position + offset) % node_count * stride % node_count;
+            if neighbour != node && !neighbours.contains(&neighbour) {
+                neighbours.push(neighbour);
             }
         }
-        // Of few nodes the steps meet; whoever is left fills up.
-        for at in 0..nodes {
-            if seen.len() < self.watcher_count() && at != node && !seen.contains(&at) {
-                seen.push(at);
+        // On a small ring several offsets lead to the same node; the remaining nodes fill up the list.
+        for other in 0..node_count {
+            if neighbours.len() < self.watcher_count() && other != node && !neighbours.contains(&other) {
+                neighbours.push(other);
             }
         }
-        seen.into_iter()
+        neighbours.into_iter()
     }
 
-    /// The place of one node among those that another watches.
+    /// The index of `watched` among the neighbours of `watcher`.
     pub fn neighbour_index(&self, watcher: usize, watched: usize) -> Option<usize> {
         self.neighbours(watcher).position(|node| node == watched)
     }
 
-    /// Whether two stand side by side: these two alone take over each other's part, half each.
+    /// Whether two nodes are next to each other on the ring. Only adjacent nodes take over each other's share, half each.
     pub fn are_adjacent(&self, one: usize, other: usize) -> bool {
         one != other && self.neighbours(one).take(2).any(|node| node == other)
     }
@@ -86,23 +94,23 @@
     use super::*;
 
     #[test]
-    fn watching_is_mutual_and_any_two_quorums_meet() {
-        for nodes in (1..130).chain([300, 1000, 1024]) {
-            let ring = Ring::new(nodes);
-            for node in 0..nodes {
+    fn watching_is_mutual_and_any_two_quorums_share_a_watcher() {
+        for node_count in (1..130).chain([300, 1000, 1024]) {
+            let ring = Ring::new(node_count);
+            for node in 0..node_count {
                 let watched: Vec<usize> = ring.neighbours(node).collect();
-                assert_eq!(watched.len(), ring.watcher_count(), "{nodes}");
-                assert!(watched.iter().all(|&other| other != node && other < nodes));
+                assert_eq!(watched.len(), ring.watcher_count(), "{node_count}");
+                assert!(watched.iter().all(|&other| other != node && other < node_count));
                 assert!(
                     watched.iter().all(|&other| ring.neighbour_index(other, node).is_some()),
-                    "{nodes}: {node}"
+                    "{node_count}: {node}"
                 );
                 assert!(
                     watched.iter().take(2).all(|&other| ring.are_adjacent(other, node)),
-                    "{nodes}: {node}"
+                    "{node_count}: {node}"
                 );
             }
-            if nodes > 2 {
+            if node_count > 2 {
                 assert!(ring.expiry_quorum() + ring.confirmation_quorum() > ring.watcher_count());
                 assert!(ring.confirmation_quorum() >= 1 && ring.expiry_quorum() <= ring.watcher_count());
             } else {
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -1,4 +1,5 @@
-//! A node's own standing: its incarnation, its beats, who has confirmed them, and until when it may use its part.
+//! A node's own state: its incarnation, its heartbeats, which watchers have confirmed them, and until when it may use its
+//! share. Times are in microseconds by the node's monotonic clock unless said otherwise.
 
 use lilacquay_codec::siblings::{Heard, WATCHERS};
 
@@ -6,201 +7,219 @@
 use crate::parameters::Parameters;
 use crate::ring::Ring;
 
-/// Beats whose times are remembered: more than are sent in a lease.
-const REMEMBERED: usize = 256;
-/// A new incarnation without need is begun so long after the last one at the earliest.
-const AT_EASE: Micros = 10_000_000;
-/// One that is needed, at first; twice as long after each that came too soon.
-const IN_NEED: Micros = 100_000;
+/// How many heartbeats' send times are kept: more than are sent during a lease.
+const KEPT_SEND_TIMES: usize = 256;
+/// The least time between two incarnations while enough watchers confirm the node without the new one.
+const MIN_INCARNATION_INTERVAL_US: Micros = 10_000_000;
+/// The same while too few confirm it, at first; it doubles with each incarnation that follows too soon on the last.
+const INITIAL_INCARNATION_BACKOFF_US: Micros = 100_000;
 
-/// What a watcher has said of this node.
+/// What a watcher has reported of this node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-struct Witness {
-    /// When the newest of our beats was sent that it has heard.
-    acked: Option<Micros>,
+struct WatcherReport {
+    /// When the newest heartbeat that it has acknowledged was sent.
+    acked_sent_at: Option<Micros>,
     /// When its present incarnation was first heard of.
-    met: Option<Micros>,
-    /// It says that our incarnation's lease has run out.
-    denies: bool,
+    first_heard_at: Option<Micros>,
+    /// It reports that our incarnation's lease has expired.
+    reports_expired: bool,
 }
 
-/// The standing of the node itself.
+/// The state of the node itself.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Own {
+pub struct SelfState {
     incarnation: u64,
-    /// The low bits of all its incarnations, by which two processes of one name can be told apart.
+    /// The low bits of all its incarnations, which tell two processes of one name apart.
     nonce: u8,
-    began: Micros,
-    beat: u32,
-    sent: Vec<Micros>,
-    witnesses: [Witness; WATCHERS],
-    /// Since when it has been confirmed without a gap.
+    incarnation_started_at: Micros,
+    heartbeat: u32,
+    /// Send times of the last heartbeats, as a ring buffer indexed by heartbeat number.
+    sent_at: Vec<Micros>,
+    /// By index among the neighbours on the ring.
+    reports: [WatcherReport; WATCHERS],
+    /// Since when it has been confirmed without interruption.
     confirmed_since: Option<Micros>,
-    /// The least time to the next incarnation that is needed.
-    patience: Micros,
-    lease: Micros,
-    needed: usize,
-    watchers: usize,
-    settle: Micros,
+    /// The least time to the next incarnation while too few watchers confirm the node.
+    incarnation_backoff: Micros,
+    lease_duration: Micros,
+    confirmation_quorum: usize,
+    watcher_count: usize,
+    settling_time: Micros,
 }
 
-impl Own {
-    /// A node that starts: its first incarnation is the wall clock's time, in hundredths of a second, and the nonce.
-    pub fn new(ring: &Ring, parameters: &Parameters, now: Micros, wall: Micros, nonce: u8) -> Own {
-        Own {
+impl SelfState {
+    /// The state of a node that starts. Its first incarnation is made of the wall clock's time, in hundredths of a second,
+    /// and the nonce.
+    pub fn new(ring: &Ring, parameters: &Parameters, now: Micros, wall: Micros, nonce: u8) -> SelfState {
+        SelfState {
             incarnation: (wall / 10_000).max(1) << 8 | u64::from(nonce),
             nonce,
-            began: now,
-            beat: 0,
-            sent: vec![0; REMEMBERED],
-            witnesses: Default::default(),
+            incarnation_started_at: now,
+            heartbeat: 0,
+            sent_at: vec![0; KEPT_SEND_TIMES],
+            reports: Default::default(),
             confirmed_since: None,
-            patience: IN_NEED,
-            lease: parameters.lease_duration,
-            needed: ring.confirmation_quorum(),
-            watchers: ring.watcher_count(),
-            settle: parameters.expiry_timeout(),
+            incarnation_backoff: INITIAL_INCARNATION_BACKOFF_US,
+            lease_duration: parameters.lease_duration,
+            confirmation_quorum: ring.confirmation_quorum(),
+            watcher_count: ring.watcher_count(),
+            settling_time: parameters.expiry_timeout(),
         }
     }
 
-    /// Its incarnation.
+    /// The present incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Its newest beat.
-    pub fn beat(&self) -> u32 {
-        self.beat
+    /// The number of the newest heartbeat.
+    pub fn heartbeat(&self) -> u32 {
+        self.heartbeat
     }
 
-    /// The next beat is sent now.
-    pub fn beats(&mut self, now: Micros) {
-        self.beat += 1;
-        self.sent[self.beat as usize % REMEMBERED] = now;
+    /// Starts the next heartbeat, which is sent now.
+    pub fn next_heartbeat(&mut self, now: Micros) {
+        self.heartbeat += 1;
+        self.sent_at[self.heartbeat as usize % KEPT_SEND_TIMES] = now;
     }
 
-    /// A watcher's word of this node.
-    pub fn heard_by(&mut self, watcher: usize, heard: Heard) {
+    /// Processes a watcher's report of this node.
+    pub fn handle_report(&mut self, watcher: usize, heard: Heard) {
         if heard.incarnation != self.incarnation as u32 || (heard.incarnation, heard.beat) == (0, 0) {
-            return; // of an incarnation before, or nothing
+            return; // of an earlier incarnation, or the watcher has heard nothing of this node
         }
-        let behind = (self.beat as u16).wrapping_sub(heard.beat);
-        let witness = &mut self.witnesses[watcher];
-        witness.denies = heard.expired;
-        if usize::from(behind) < REMEMBERED.min(self.beat as usize) && !heard.expired {
-            let sent = self.sent[(self.beat - u32::from(behind)) as usize % REMEMBERED];
-            witness.acked = witness.acked.max(Some(sent));
+        let age = (self.heartbeat as u16).wrapping_sub(heard.beat);
+        let report = &mut self.reports[watcher];
+        report.reports_expired = heard.expired;
+        if usize::from(age) < KEPT_SEND_TIMES.min(self.heartbeat as usize) && !heard.expired {
+            let sent_at = self.sent_at[(self.heartbeat - u32::from(age)) as usize % KEPT_SEND_TIMES];
+            report.acked_sent_at = report.acked_sent_at.max(Some(sent_at));
         }
     }
 
-    /// A watcher has begun anew, or is heard of for the first time.
+    /// Resets what a watcher has reported, because it has started a new incarnation or is heard of for the first time.
     ///
-    /// Guards against: a watcher that held us to be gone, has started again and forgotten that, and confirms us.
-    pub fn met(&mut self, watcher: usize, now: Micros) {
-        self.witnesses[watcher] = Witness { met: Some(now), ..Witness::default() };
+    /// This prevents that a watcher which held us to be gone, has restarted and so forgotten it, confirms us.
+    pub fn reset_watcher(&mut self, watcher: usize, now: Micros) {
+        self.reports[watcher] = WatcherReport { first_heard_at: Some(now), ..WatcherReport::default() };
     }
 
-    /// Whether a watcher's word counts: it can't have held this incarnation to be gone in a life before.
-    fn counts(&self, witness: &Witness) -> bool {
-        witness.met.is_some_and(|met| met < self.began + self.lease)
+    /// Whether a watcher's confirmation counts: it cannot have held this incarnation to be gone before it restarted.
+    fn is_eligible(&self, report: &WatcherReport) -> bool {
+        report
+            .first_heard_at
+            .is_some_and(|first_heard_at| first_heard_at < self.incarnation_started_at + self.lease_duration)
     }
 
-    /// Until when a watcher's word holds.
-    fn holds_until(&self, witness: &Witness) -> Micros {
-        let acked = witness.acked.filter(|_| self.counts(witness));
-        acked.map_or(0, |sent| sent + self.lease)
+    /// When a watcher's confirmation ends; 0 if there is none that counts.
+    fn confirmation_ends_at(&self, report: &WatcherReport) -> Micros {
+        let acked_sent_at = report.acked_sent_at.filter(|_| self.is_eligible(report));
+        acked_sent_at.map_or(0, |sent_at| sent_at + self.lease_duration)
     }
 
-    /// Until when it is confirmed, by what it knows. Of two nodes nobody can take anything: their parts have no end.
+    /// Until when a quorum confirms it, as far as it knows. With one or two nodes nobody can take over anything, so the
+    /// confirmation does not end.
     pub fn confirmed_until(&self) -> Micros {
-        if self.needed == 0 {
+        if self.confirmation_quorum == 0 {
             return Micros::MAX;
         }
-        let mut until = self.witnesses.map(|witness| self.holds_until(&witness));
-        until.sort_unstable_by(|a, b| b.cmp(a));
-        until[self.needed - 1]
+        let mut ends = self.reports.map(|report| self.confirmation_ends_at(&report));
+        ends.sort_unstable_by(|a, b| b.cmp(a));
+        ends[self.confirmation_quorum - 1]
     }
 
-    /// Whether this watcher has confirmed it, and until when that holds.
-    pub fn confirmed_by(&self, watcher: usize) -> Micros {
-        self.holds_until(&self.witnesses[watcher])
+    /// Until when this watcher confirms it; 0 if it does not.
+    pub fn confirmed_by_until(&self, watcher: usize) -> Micros {
+        self.confirmation_ends_at(&self.reports[watcher])
     }
 
-    /// When the newest beat was sent that a watcher has heard, whether or not its word counts.
-    pub fn acked(&self, watcher: usize) -> Option<Micros> {
-        self.witnesses[watcher].acked
+    /// When the newest heartbeat was sent that a watcher has acknowledged, whether or not its confirmation counts.
+    pub fn acked_sent_at(&self, watcher: usize) -> Option<Micros> {
+        self.reports[watcher].acked_sent_at
     }
 
-    /// How many watchers hold its lease to have run out.
-    pub fn denied(&self) -> usize {
-        self.witnesses.iter().filter(|witness| witness.denies).count()
+    /// How many watchers report that its lease has expired.
+    pub fn expiry_reports(&self) -> usize {
+        self.reports.iter().filter(|report| report.reports_expired).count()
     }
 
-    /// Looks whether it was confirmed all the time. To be asked before and after all that may change it.
-    pub fn look(&mut self, now: Micros) {
-        let confirmed = now < self.confirmed_until();
-        self.confirmed_since = if confirmed { self.confirmed_since.or(Some(now)) } else { None };
+    /// Tracks whether the node is confirmed without interruption. To be called before and after anything that may change
+    /// the confirmation.
+    pub fn update_confirmation(&mut self, now: Micros) {
+        let is_confirmed = now < self.confirmed_until();
+        self.confirmed_since = if is_confirmed { self.confirmed_since.or(Some(now)) } else { None };
     }
 
-    /// Whether it has been confirmed for so long that nobody can still use a piece of its part.
-    pub fn settled(&self, now: Micros) -> bool {
-        self.needed == 0 || self.confirmed_since.is_some_and(|since| now >= since + self.settle)
+    /// Whether it has been confirmed for so long that nobody can still use a piece of its share.
+    pub fn is_settled(&self, now: Micros) -> bool {
+        self.confirmation_quorum == 0
+            || self.confirmed_since.is_some_and(|since| now >= since + self.settling_time)
     }
 
-    /// Whether the present incarnation is older than that.
-    pub fn has_run(&self, now: Micros, time: Micros) -> bool {
-        now >= self.began + time
+    /// Whether the present incarnation is at least this old.
+    pub fn has_run_for(&self, now: Micros, duration: Micros) -> bool {
+        now >= self.incarnation_started_at + duration
     }
 
-    /// Whether there are fewer good words than it takes, and one to spare.
-    pub fn in_need(&self, now: Micros) -> bool {
-        let spare = usize::from(self.needed < self.watchers);
-        self.needed > 0 && self.good(now) < self.needed + spare
+    /// Whether fewer lasting confirmations remain than the quorum and one to spare.
+    pub fn lacks_spare_confirmation(&self, now: Micros) -> bool {
+        let spare = usize::from(self.confirmation_quorum < self.watcher_count);
+        self.confirmation_quorum > 0 && self.lasting_confirmations(now) < self.confirmation_quorum + spare
     }
 
-    /// Whether there are fewer good words than it takes: it has the rest of its lease to get them.
-    pub fn lacks(&self, now: Micros) -> bool {
-        self.good(now) < self.needed
+    /// Whether fewer lasting confirmations remain than the quorum. The node has the rest of its lease to get them.
+    pub fn lacks_quorum(&self, now: Micros) -> bool {
+        self.lasting_confirmations(now) < self.confirmation_quorum
     }
 
-    /// How many words hold for a while yet.
-    fn good(&self, now: Micros) -> usize {
-        let good = |witness: &&Witness| now + self.lease / 3 < self.holds_until(witness);
-        self.witnesses.iter().filter(good).count()
+    /// How many confirmations last for more than another third of a lease.
+    fn lasting_confirmations(&self, now: Micros) -> usize {
+        let is_lasting =
+            |report: &&WatcherReport| now + self.lease_duration / 3 < self.confirmation_ends_at(report);
+        self.reports.iter().filter(is_lasting).count()
     }
 
-    /// Whether a new incarnation is to begin now: a watcher holds the present one to be gone, or has begun anew so that
-    /// its word doesn't count.
-    pub fn should_begin(&self, now: Micros) -> bool {
-        let barred = |witness: &Witness| {
-            let speaks = witness.acked.is_some_and(|sent| now < sent + self.lease / 2);
-            witness.denies || speaks && !self.counts(witness)
+    /// Whether a new incarnation is to start now: a watcher holds the present one to be gone, or has restarted so that its
+    /// confirmation does not count.
+    pub fn should_start_incarnation(&self, now: Micros) -> bool {
+        let cannot_confirm = |report: &WatcherReport| {
+            let acks_lately =
+                report.acked_sent_at.is_some_and(|sent_at| now < sent_at + self.lease_duration / 2);
+            report.reports_expired || acks_lately && !self.is_eligible(report)
         };
-        let barred = self.witnesses.iter().any(barred);
-        let wait = if self.in_need(now) { self.patience } else { AT_EASE };
-        barred && now >= self.began + wait
+        let is_useful = self.reports.iter().any(cannot_confirm);
+        let interval = if self.lacks_spare_confirmation(now) {
+            self.incarnation_backoff
+        } else {
+            MIN_INCARNATION_INTERVAL_US
+        };
+        is_useful && now >= self.incarnation_started_at + interval
     }
 
-    /// Begins an incarnation that is newer than the present one and than `other`. Nothing is confirmed then.
-    pub fn begin(&mut self, now: Micros, other: u64) {
-        // Guards against: a fellow that holds every incarnation to be gone, so that each ends as it begins.
-        let soon = now < self.began + 4 * self.patience;
-        self.patience = if soon { (2 * self.patience).min(AT_EASE) } else { IN_NEED };
+    /// Starts an incarnation that is newer than the present one and than `other`. It has no confirmation yet.
+    pub fn start_incarnation(&mut self, now: Micros, other: u64) {
+        // Backs off, so that a peer that reports every incarnation as gone cannot end each as soon as it starts.
+        let is_soon = now < self.incarnation_started_at + 4 * self.incarnation_backoff;
+        self.incarnation_backoff = if is_soon {
+            (2 * self.incarnation_backoff).min(MIN_INCARNATION_INTERVAL_US)
+        } else {
+            INITIAL_INCARNATION_BACKOFF_US
+        };
         let next = self.incarnation.max(other) + 1;
         self.incarnation = next + u64::from(self.nonce.wrapping_sub(next as u8));
-        self.began = now;
+        self.incarnation_started_at = now;
         self.confirmed_since = None;
-        for witness in &mut self.witnesses {
-            (witness.acked, witness.denies) = (None, false);
+        for report in &mut self.reports {
+            (report.acked_sent_at, report.reports_expired) = (None, false);
         }
     }
 
-    /// The machine slept: what was sent before was sent so much earlier.
-    pub fn slept(&mut self, time: Micros) {
-        for witness in &mut self.witnesses {
-            witness.acked = witness.acked.map(|sent| sent.saturating_sub(time));
+    /// Accounts for a suspension of the machine: all send times lie further in the past by its duration.
+    pub fn apply_suspension(&mut self, duration: Micros) {
+        for report in &mut self.reports {
+            report.acked_sent_at = report.acked_sent_at.map(|sent_at| sent_at.saturating_sub(duration));
         }
-        self.sent.iter_mut().for_each(|sent| *sent = sent.saturating_sub(time));
+        self.sent_at.iter_mut().for_each(|sent_at| *sent_at = sent_at.saturating_sub(duration));
         self.confirmed_since = None;
     }
 }
@@ -211,42 +230,42 @@
 
     const MS: Micros = 1_000;
 
-    /// Says a beat, and has this watcher confirm it.
-    fn confirmed(own: &mut Own, watcher: usize, now: Micros) {
-        own.beats(now);
-        let (incarnation, beat) = (own.incarnation() as u32, own.beat() as u16);
-        own.heard_by(watcher, Heard { incarnation, beat, direct: true, expired: false });
+    /// Sends a heartbeat and has this watcher acknowledge it.
+    fn confirm(state: &mut SelfState, watcher: usize, now: Micros) {
+        state.next_heartbeat(now);
+        let (incarnation, beat) = (state.incarnation() as u32, state.heartbeat() as u16);
+        state.handle_report(watcher, Heard { incarnation, beat, direct: true, expired: false });
     }
 
-    /// It may have held this incarnation to be gone in its life before, and has forgotten that.
+    /// A watcher that restarts has forgotten whether it held the present incarnation to be gone.
     #[test]
-    fn a_watcher_that_begins_anew_confirms_only_what_began_after_it() {
+    fn a_restarted_watcher_confirms_only_incarnations_that_started_after_it() {
         let (ring, parameters) = (Ring::new(3), Parameters::default());
-        let mut own = Own::new(&ring, &parameters, 0, 0, 7);
-        own.met(0, 100 * MS);
-        confirmed(&mut own, 0, 200 * MS);
-        assert_eq!(own.confirmed_until(), 200 * MS + parameters.lease_duration);
+        let mut state = SelfState::new(&ring, &parameters, 0, 0, 7);
+        state.reset_watcher(0, 100 * MS);
+        confirm(&mut state, 0, 200 * MS);
+        assert_eq!(state.confirmed_until(), 200 * MS + parameters.lease_duration);
         let later = parameters.lease_duration + 500 * MS;
-        own.met(0, later);
-        confirmed(&mut own, 0, later);
-        assert!(own.confirmed_until() <= later, "its word doesn't count");
-        assert!(own.should_begin(later + 10 * MS));
-        own.begin(later + 10 * MS, 0);
-        confirmed(&mut own, 0, later + 20 * MS);
-        assert_eq!(own.confirmed_until(), later + 20 * MS + parameters.lease_duration);
+        state.reset_watcher(0, later);
+        confirm(&mut state, 0, later);
+        assert!(state.confirmed_until() <= later, "its confirmation doesn't count");
+        assert!(state.should_start_incarnation(later + 10 * MS));
+        state.start_incarnation(later + 10 * MS, 0);
+        confirm(&mut state, 0, later + 20 * MS);
+        assert_eq!(state.confirmed_until(), later + 20 * MS + parameters.lease_duration);
     }
 
     #[test]
-    fn word_of_an_incarnation_before_or_of_a_beat_never_sent_confirms_nothing() {
+    fn a_report_of_an_earlier_incarnation_or_of_a_heartbeat_never_sent_confirms_nothing() {
         let (ring, parameters) = (Ring::new(3), Parameters::default());
-        let mut own = Own::new(&ring, &parameters, 0, 0, 7);
-        own.met(0, 0);
-        let before = own.incarnation() as u32;
-        own.beats(10 * MS);
-        own.begin(20 * MS, 0);
-        let said = |incarnation, beat| Heard { incarnation, beat, direct: true, expired: false };
-        own.heard_by(0, said(before, 1));
-        own.heard_by(0, said(own.incarnation() as u32, 9));
-        assert_eq!(own.confirmed_until(), 0);
+        let mut state = SelfState::new(&ring, &parameters, 0, 0, 7);
+        state.reset_watcher(0, 0);
+        let earlier = state.incarnation() as u32;
+        state.next_heartbeat(10 * MS);
+        state.start_incarnation(20 * MS, 0);
+        let report = |incarnation, beat| Heard { incarnation, beat, direct: true, expired: false };
+        state.handle_report(0, report(earlier, 1));
+        state.handle_report(0, report(state.incarnation() as u32, 9));
+        assert_eq!(state.confirmed_until(), 0);
     }
 }
--- a/crates/siblings/src/share.rs
+++ b/crates/siblings/src/share.rs
@@ -1,41 +1,41 @@
-//! What a node may use of what all share.
+//! The share of a common resource that a node may use, in thousandths of one node's equal share, and until when.
 
 use crate::Micros;
 
-/// A node's own part, in thousandths.
+/// A node's own share, in thousandths.
 pub const FULL_SHARE: u32 = 1_000;
-/// What each of the two beside a node on the ring may take of its part, or has to give back.
+/// What each of the two ring neighbours of a gone node may take over of its share, and has to give back on its return.
 pub(crate) const HALF_SHARE: u32 = FULL_SHARE / 2;
 
-/// What a node may use, of one node's equal part, and until when by its own clock. All parts of all nodes together come to
-/// no more than as many wholes as there are nodes, at any time.
+/// How much a node may use, and until when by its own clock. At any time the shares of all nodes add up to at most one
+/// full share per node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ResourceShare {
-    /// Thousandths of one node's part: 0 to 2,000.
+    /// Thousandths of one node's equal share: 0 to 2,000.
     pub thousandths: u32,
-    /// It holds until then; from then on it is nothing, whatever else has been heard.
+    /// The share is valid until then and 0 afterwards, whatever else has been heard.
     pub until: Micros,
 }
 
 impl ResourceShare {
-    /// Of a node without siblings, or that has one only.
+    /// The share of a node in a list of one or two nodes, which does not expire.
     pub const PERMANENT: ResourceShare = ResourceShare { thousandths: FULL_SHARE, until: Micros::MAX };
-    /// Of a node that is not confirmed.
+    /// The share of a node that is not confirmed.
     pub const NONE: ResourceShare = ResourceShare { thousandths: 0, until: 0 };
 
-    /// What it comes to at a time.
+    /// The share at a given time, in thousandths.
     pub fn thousandths_at(&self, now: Micros) -> u32 {
         if now < self.until { self.thousandths } else { 0 }
     }
 
-    /// With a piece more that holds for so long.
-    pub(crate) fn with(self, piece: u32, until: Micros) -> ResourceShare {
+    /// Adds a piece that is valid until the given time; the whole ends with the piece that ends first.
+    pub(crate) fn plus(self, piece: u32, until: Micros) -> ResourceShare {
         let until = if self.thousandths == 0 { until } else { self.until.min(until) };
         ResourceShare { thousandths: self.thousandths + piece, until }
     }
 
-    /// No longer than until then.
-    pub(crate) fn no_longer_than(self, until: Micros) -> ResourceShare {
+    /// The same share, valid until the given time at most.
+    pub(crate) fn limited_until(self, until: Micros) -> ResourceShare {
         ResourceShare { until: self.until.min(until), ..self }
     }
 }
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -1,4 +1,5 @@
-//! One node among its siblings.
+//! The membership protocol of one node: processes datagrams and ticks, and decides what to send, which state each other
+//! node has, and which share of the common resources this node may use.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -6,242 +7,249 @@
 use lilacquay_codec::siblings::{BUCKETS, LONGEST, MOST_WANTED, Row, Said, Standing, Unread, put, read};
 
 use crate::Micros;
-use crate::gossip_queue::Spread;
+use crate::gossip_queue::GossipQueue;
 use crate::parameters::Parameters;
-use crate::pause_detector::{Noticed, Pulse};
-use crate::peer_monitor::Watch;
+use crate::pause_detector::{DetectedPause, PauseDetector};
+use crate::peer_monitor::PeerMonitor;
 use crate::ring::Ring;
-use crate::self_state::Own;
+use crate::self_state::SelfState;
 use crate::share::{FULL_SHARE, HALF_SHARE, ResourceShare};
-use crate::view::{Known, NodeState, StateReason, Taken, View};
-
-/// Nodes off the ring's neighbourhood that are spoken to in each period: these learn of all nodes in turn.
-const FAR: usize = 3;
-/// Of more news than a datagram holds, so many rows in brief, more are told in a period, up to so many more.
-const HOLDS: usize = 6;
-const IN_A_STORM: usize = 12;
-/// A datagram grows no longer than this by what is told in turn, in bytes.
-const IN_TURN: usize = 170;
-/// News that can't wait is passed on at once to so many.
-const PASSED_ON: usize = 2;
-/// Datagrams beyond those of each period: so many at once, and so many a second.
-const AT_ONCE: u64 = 20;
-const A_SECOND: u64 = 20;
-/// Another process under our name was seen so often in so long: that is no word from our own past.
-const RIVALS: u32 = 3;
-const RIVAL_TIME: Micros = 10_000_000;
-/// A process that has run for so long gives way to one that has not.
-const ESTABLISHED: Micros = 30_000_000;
-/// Changes that nobody has fetched yet, at most.
-const CHANGES: usize = 4096;
-/// A row that is so many beats older than the newest is of another life.
-const LATE_BEATS: u32 = 64;
-/// A node that doubts itself waits longer, by a thousandth part so often for each point, up to so many points.
-const DOUBT: u64 = 125;
-const MOST_DOUBT: u64 = 8;
-
-/// Which node it is, among how many.
+use crate::view::{MergeOutcome, NodeRecord, NodeState, StateReason, View};
+
+/// Nodes that are not neighbours on the ring to which each tick sends a datagram. Through these, news spreads everywhere.
+const DISTANT_PEERS_PER_TICK: usize = 3;
+/// One more of them is added for so many queued changes, about as many brief rows as a datagram holds ...
+const CHANGES_PER_EXTRA_PEER: usize = 6;
+/// ... up to so many more.
+const MAX_EXTRA_PEERS_PER_TICK: usize = 12;
+/// Rows in rotation are added to a datagram only up to this length, in bytes.
+const ROTATION_LENGTH_LIMIT_BYTES: usize = 170;
+/// Distant nodes to which urgent news is relayed at once.
+const URGENT_RELAY_FANOUT: usize = 2;
+/// Token bucket for datagrams beyond those of each tick: its capacity, ...
+const EXTRA_SEND_BURST: u64 = 20;
+/// ... and how many it gains per second.
+const EXTRA_SENDS_PER_SECOND: u64 = 20;
+/// Rows of another process under this node's name that must be seen within the window before this node gives way. Fewer may
+/// come from this node's own past.
+const NAME_CONFLICT_THRESHOLD: u32 = 3;
+const NAME_CONFLICT_WINDOW_US: Micros = 10_000_000;
+/// Only a process that has run for this long gives way to another of its name.
+const ESTABLISHED_AFTER_US: Micros = 30_000_000;
+/// Events that are kept until they are fetched; further ones are dropped.
+const MAX_PENDING_EVENTS: usize = 4096;
+/// A heartbeat that is so far behind the newest one known is of a process that ran earlier, not a late datagram.
+const EARLIER_PROCESS_HEARTBEAT_GAP: u32 = 64;
+/// By how much each point of the health penalty extends the expiry timeout, in thousandths of it.
+const EXTENSION_PER_PENALTY_POINT_PERMILLE: u64 = 125;
+/// The highest health penalty, in points.
+const MAX_HEALTH_PENALTY: u64 = 8;
+
+/// The identity of a node and its settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Setup {
-    /// Its place in the list of nodes.
+    /// This node's index in the list of nodes.
     pub own_index: usize,
-    /// How many the list has.
+    /// The length of the list.
     pub node_count: usize,
-    /// The site's number; datagrams of others are not read.
+    /// The site's number; datagrams of other sites are ignored.
     pub site_id: u32,
-    /// For random choices. Another one with each start.
+    /// Seed of the random choices. Must differ at each start.
     pub seed: u64,
-    /// Times and bounds.
+    /// Times and tolerances.
     pub parameters: Parameters,
 }
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// To which node.
+    /// The index of the receiving node.
     pub to: usize,
-    /// 256 bytes at most.
+    /// Its contents, 256 bytes at most.
     pub datagram: Vec<u8>,
 }
 
-/// Something that has changed, for the log.
+/// An event to be logged.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum MembershipEvent {
-    /// Another node is held to be something else.
+    /// Another node has a different state, as seen here.
     StateChanged {
-        /// Which node.
+        /// The index of the node.
         node: usize,
-        /// What it was.
+        /// Its state before.
         previous: NodeState,
-        /// What it is.
+        /// Its state now.
         current: NodeState,
-        /// Its incarnation.
+        /// Its incarnation; 0 if none is known.
         incarnation: u64,
-        /// On what evidence.
+        /// The evidence.
         reason: StateReason,
     },
-    /// This node was paused: it takes nothing of that time for a sign.
+    /// This node was paused. Silence of others during the pause is not counted against them.
     Paused {
-        /// For how long, by the clock that showed it.
+        /// How long, by the clock that showed it.
         duration: Micros,
     },
-    /// This node has begun a new incarnation.
+    /// This node has started a new incarnation.
     IncarnationStarted {
-        /// Which.
+        /// The new incarnation.
         incarnation: u64,
-        /// How many of its watchers held the one before to be gone.
+        /// How many of its watchers reported that the lease of the previous one had expired.
         denials: usize,
     },
-    /// Enough watchers confirm this node again, or no longer.
+    /// A quorum of watchers confirms this node again, or no longer.
     ConfirmationChanged(bool),
     /// Another process runs under this node's name, and this one has given way.
     Superseded,
 }
 
-/// What has come and gone, for whoever runs the node.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of those.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were read.
+    /// Datagrams received that were valid.
     pub accepted: u64,
-    /// Datagrams that were none, cut, garbled, or of another than their sender.
+    /// Datagrams received that were of another format, truncated, corrupt, or not of the node they came from.
     pub invalid: u64,
-    /// Datagrams of another site or list.
+    /// Datagrams received of another site, or of a list of another length.
     pub other_site: u64,
-    /// Pauses of its own.
+    /// Pauses of this node.
     pub pauses: u64,
 }
 
-/// Another node, for whoever looks.
+/// The status of another node, for display.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Its place in the list.
+    /// Its index in the list of nodes.
     pub node: usize,
-    /// What it is.
+    /// Its state.
     pub state: NodeState,
-    /// On what evidence.
+    /// The evidence for it.
     pub reason: StateReason,
-    /// Since when.
+    /// Since when it has that state.
     pub since: Micros,
     /// Its incarnation; 0 if none is known.
     pub incarnation: u64,
-    /// When its newest row came, and by whom.
+    /// When its newest row came, and from which node.
     pub last_heard: Option<(Micros, usize)>,
-    /// Whether its own datagrams come, where we watch it.
+    /// Whether its own datagrams arrive here, if this node watches it.
     pub we_hear: Option<bool>,
-    /// Whether ours come to it, by its own word, where it watches us.
+    /// Whether this node's datagrams arrive there, by its own report, if it watches this node.
     pub hears_us: Option<bool>,
-    /// It is watched, and was silent for three periods.
+    /// This node watches it and has had no news of it for three heartbeat intervals.
     pub is_suspected: bool,
 }
 
-/// A way from one node to another, as the one at its end tells.
+/// The link from one node to another, as reported by the receiving node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LinkState {
-    /// Whose datagrams.
+    /// The sending node.
     pub from: usize,
-    /// Come to whom.
+    /// The receiving node.
     pub to: usize,
-    /// Or do not.
+    /// Whether datagrams arrive directly.
     pub is_up: bool,
 }
 
-/// Random choices, that are a part of the state.
+/// A random number generator that can be hashed as a part of the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Dice(fastrand::Rng);
+struct HashableRng(fastrand::Rng);
 
-impl Hash for Dice {
+impl Hash for HashableRng {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.get_seed().hash(state);
     }
 }
 
-/// One node among its siblings.
+/// The membership protocol of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Membership {
     setup: Setup,
     ring: Ring,
-    started: Micros,
-    own: Own,
-    pulse: Pulse,
-    /// The nodes that it watches, in the order of the ring, and what it knows of each.
-    watched: Vec<usize>,
-    watches: Vec<Watch>,
+    started_at: Micros,
+    self_state: SelfState,
+    pause_detector: PauseDetector,
+    /// The neighbours, which this node watches and which watch it, in the order of the ring; and a monitor for each.
+    neighbours: Vec<usize>,
+    monitors: Vec<PeerMonitor>,
     view: View,
-    spread: Spread,
-    /// What each was last told to be, and since when.
-    states: Vec<(NodeState, Micros, StateReason)>,
-    /// Sends at once that are left, in millionths.
-    tokens: u64,
-    refilled: Micros,
-    /// By the place on the ring: it has said that its view is another.
-    differs: Vec<bool>,
-    /// When anybody has said so last.
-    disagreed: Micros,
-    /// When a datagram of each node itself came last, and when each was last sought because others miss it.
-    direct: Vec<Option<Micros>>,
-    sought: Vec<Option<Micros>>,
-    /// When each was last answered at once.
-    answered: Vec<Option<Micros>>,
-    paused: bool,
-    doubt: u64,
-    leaving: bool,
-    superseded: bool,
-    rivals: (u32, Micros),
-    confirmed: bool,
+    gossip: GossipQueue,
+    /// The state of each node that was last reported, since when, and why.
+    reported_states: Vec<(NodeState, Micros, StateReason)>,
+    /// Remaining extra sends, in millionths.
+    extra_send_tokens: u64,
+    tokens_refilled_at: Micros,
+    /// By neighbour, whether its last datagram showed another view than this node's.
+    views_differ: Vec<bool>,
+    /// When a datagram of any node last showed another view.
+    last_difference_at: Micros,
+    /// By node, when a datagram last came from the node itself.
+    last_direct_at: Vec<Option<Micros>>,
+    /// By node, when a datagram was last sent to it because other nodes miss it.
+    last_probed_at: Vec<Option<Micros>>,
+    /// By node, when it was last sent an immediate reply.
+    last_reply_at: Vec<Option<Micros>>,
+    was_paused: bool,
+    health_penalty: u64,
+    is_leaving: bool,
+    is_superseded: bool,
+    /// Rows seen of another process under this node's name, and the start of the window in which they were counted.
+    name_conflicts: (u32, Micros),
+    reported_confirmed: bool,
     events: VecDeque<MembershipEvent>,
-    counts: Counters,
-    dice: Dice,
+    counters: Counters,
+    rng: HashableRng,
 }
 
 impl Membership {
-    /// A node that starts and knows nobody. Both clocks are handed in: a steady one from any start, and Unix time.
+    /// A node that starts and knows of no other. `now` is the time of a monotonic clock with any origin, `wall` is Unix
+    /// time.
     pub fn new(setup: Setup, now: Micros, wall: Micros) -> Membership {
-        let (ring, mut dice) = (Ring::new(setup.node_count), fastrand::Rng::with_seed(setup.seed));
-        let own = Own::new(&ring, &setup.parameters, now, wall, dice.u8(..));
-        let watched: Vec<usize> = ring.neighbours(setup.own_index).collect();
-        let watched_count = watched.len();
+        let (ring, mut rng) = (Ring::new(setup.node_count), fastrand::Rng::with_seed(setup.seed));
+        let self_state = SelfState::new(&ring, &setup.parameters, now, wall, rng.u8(..));
+        let neighbours: Vec<usize> = ring.neighbours(setup.own_index).collect();
+        let neighbour_count = neighbours.len();
         Membership {
-            started: now,
-            own,
-            pulse: Pulse::new(now, wall, setup.parameters.late_threshold),
-            watches: vec![Watch::default(); watched.len()],
-            watched,
+            started_at: now,
+            self_state,
+            pause_detector: PauseDetector::new(now, wall, setup.parameters.late_threshold),
+            monitors: vec![PeerMonitor::default(); neighbours.len()],
+            neighbours,
             view: View::new(setup.node_count, setup.parameters.heartbeat_interval / 2),
-            spread: Spread::new(setup.node_count, dice.usize(..setup.node_count.max(1))),
-            states: vec![(NodeState::Unknown, now, StateReason::NeverHeard); setup.node_count],
-            tokens: AT_ONCE * 1_000_000,
-            refilled: now,
-            differs: vec![true; watched_count],
-            disagreed: now,
-            direct: vec![None; setup.node_count],
-            sought: vec![None; setup.node_count],
-            answered: vec![None; setup.node_count],
-            paused: false,
-            doubt: 0,
-            leaving: false,
-            superseded: false,
-            rivals: (0, now),
-            confirmed: false,
+            gossip: GossipQueue::new(setup.node_count, rng.usize(..setup.node_count.max(1))),
+            reported_states: vec![(NodeState::Unknown, now, StateReason::NeverHeard); setup.node_count],
+            extra_send_tokens: EXTRA_SEND_BURST * 1_000_000,
+            tokens_refilled_at: now,
+            views_differ: vec![true; neighbour_count],
+            last_difference_at: now,
+            last_direct_at: vec![None; setup.node_count],
+            last_probed_at: vec![None; setup.node_count],
+            last_reply_at: vec![None; setup.node_count],
+            was_paused: false,
+            health_penalty: 0,
+            is_leaving: false,
+            is_superseded: false,
+            name_conflicts: (0, now),
+            reported_confirmed: false,
             events: VecDeque::new(),
-            counts: Counters::default(),
-            dice: Dice(dice),
+            counters: Counters::default(),
+            rng: HashableRng(rng),
             ring,
             setup,
         }
     }
 
-    // ---- what happens ----
+    // ---- inputs ----
 
     /// When [`Membership::tick`] is to be called next, at the latest.
     pub fn next_tick_at(&self) -> Micros {
-        self.pulse.due()
+        self.pause_detector.next_run_at()
     }
 
-    /// A datagram came from the address of this node. Tells what is to be sent.
+    /// Processes a datagram that came from the address of the node `from`. Returns the datagrams to send.
     pub fn handle_datagram(
         &mut self,
         now: Micros,
@@ -250,102 +258,119 @@
         datagram: &[u8],
     ) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let said = match read(self.setup.site_id, datagram) {
-            Ok(said) => said,
+        let message = match read(self.setup.site_id, datagram) {
+            Ok(message) => message,
             Err(Unread::Site) => {
-                self.counts.other_site += 1;
+                self.counters.other_site += 1;
                 return out;
             }
             Err(Unread::Form | Unread::Sum) => {
-                self.counts.invalid += 1;
+                self.counters.invalid += 1;
                 return out;
             }
         };
-        let first = said.rows.first().copied();
-        // Guards against: a datagram that was led astray, or sent again by another.
-        let Some(first) = first.filter(|row| usize::from(row.origin) == from && from != self.setup.own_index)
+        let sender_row = message.rows.first().copied();
+        // Rejects datagrams that were misrouted, or replayed by another node.
+        let Some(sender_row) =
+            sender_row.filter(|row| usize::from(row.origin) == from && from != self.setup.own_index)
         else {
-            self.counts.invalid += 1;
+            self.counters.invalid += 1;
             return out;
         };
-        self.counts.accepted += 1;
-        self.wake(now, wall);
-        if self.superseded {
+        self.counters.accepted += 1;
+        self.check_clocks(now, wall);
+        if self.is_superseded {
             return out;
         }
-        self.direct[from] = Some(now);
-        let met = self.view.get(from).is_none_or(|known| known.row.incarnation < first.incarnation);
-        // Also where a life before had the same number by chance: no datagram comes so late.
-        let behind = self.view.get(from).is_some_and(|known| {
-            let same = known.row.incarnation == first.incarnation;
-            known.row.incarnation > first.incarnation
-                || same && known.row.beat > first.beat.saturating_add(LATE_BEATS)
+        self.last_direct_at[from] = Some(now);
+        let is_new_incarnation =
+            self.view.get(from).is_none_or(|record| record.row.incarnation < sender_row.incarnation);
+        // A much lower heartbeat number means that an earlier process had the same incarnation by chance: no datagram
+        // arrives that late.
+        let is_behind = self.view.get(from).is_some_and(|record| {
+            let same_incarnation = record.row.incarnation == sender_row.incarnation;
+            record.row.incarnation > sender_row.incarnation
+                || same_incarnation
+                    && record.row.beat > sender_row.beat.saturating_add(EARLIER_PROCESS_HEARTBEAT_GAP)
         });
-        let mut cries = false;
-        for (n, row) in said.rows.iter().enumerate() {
-            cries |= self.take(now, *row, false, from, n == 0);
-        }
-        // Of those beside it a node hears more, and a brief would hide that.
-        for row in &said.briefs {
-            if !self.watched.contains(&usize::from(row.origin)) {
-                self.take(now, *row, true, from, false);
+        let mut is_urgent = false;
+        for (n, row) in message.rows.iter().enumerate() {
+            is_urgent |= self.merge_row(now, *row, false, from, n == 0);
+        }
+        // Neighbours send full rows as well, which a newer brief row without a `heard` list would hide.
+        for row in &message.briefs {
+            if !self.neighbours.contains(&usize::from(row.origin)) {
+                self.merge_row(now, *row, true, from, false);
             }
         }
-        let differs = said.epoch != self.view.view_digest();
-        self.disagreed = if differs { now } else { self.disagreed };
-        match self.watched.iter().position(|&watched| watched == from) {
-            Some(at) => self.differs[at] = differs,
-            // It has not told where: it is told where ours lies, and answers with what we lack.
-            None if differs && said.digests.is_none() => self.at_once(now, from, false, &mut out),
+        let differs = message.epoch != self.view.digest();
+        self.last_difference_at = if differs { now } else { self.last_difference_at };
+        match self.neighbours.iter().position(|&neighbour| neighbour == from) {
+            Some(index) => self.views_differ[index] = differs,
+            // It has not sent its bucket digests: it is sent ours, and answers with what this node lacks.
+            None if differs && message.digests.is_none() => self.send_extra(now, from, false, &mut out),
             None => {}
         }
-        self.settle(now, &mut out);
-        if cries {
-            self.seek(now, &said.rows, &mut out);
-            for _ in 0..PASSED_ON {
-                // What is left of them is for answers.
-                if let Some(far) = self.somebody_far(now).filter(|_| self.tokens > AT_ONCE * 500_000) {
-                    self.at_once(now, far, false, &mut out);
+        self.update_own_standing(now, &mut out);
+        if is_urgent {
+            self.probe_missed_nodes(now, &message.rows, &mut out);
+            for _ in 0..URGENT_RELAY_FANOUT {
+                // The second half of the tokens is reserved for replies.
+                if let Some(distant) = self
+                    .random_distant_peer(now)
+                    .filter(|_| self.extra_send_tokens > EXTRA_SEND_BURST * 500_000)
+                {
+                    self.send_extra(now, distant, false, &mut out);
                 }
             }
         }
-        self.answer_wants(now, from, &said.wants, &mut out);
-        self.answer_digests(now, from, said.digests, &mut out);
-        let lacks = !first.standing.confirmed || first.standing.calling;
-        // Guards against: two that both lack word and answer one another's answers without end.
-        let lately =
-            self.answered[from].is_some_and(|at| now < at + self.setup.parameters.heartbeat_interval / 5);
-        let missed = self.watched.iter().position(|&watched| watched == from).is_some_and(|at| {
-            // It has heard nothing of us for longer than it should: what was sent is lost.
-            self.own
-                .acked(at)
-                .is_none_or(|sent| now > sent + self.setup.parameters.heartbeat_interval * 5 / 4)
-        });
-        if behind || met || !lately && (missed || lacks || self.in_need(now)) {
-            self.answered[from] = Some(now);
-            self.at_once(now, from, behind, &mut out);
+        self.answer_wanted_nodes(now, from, &message.wants, &mut out);
+        self.answer_digests(now, from, message.digests, &mut out);
+        let sender_needs_help = !sender_row.standing.confirmed || sender_row.standing.calling;
+        // Limits replies, so that two nodes in need do not reply to each other's replies without end.
+        let replied_lately = self.last_reply_at[from]
+            .is_some_and(|at| now < at + self.setup.parameters.heartbeat_interval / 5);
+        let misses_us =
+            self.neighbours.iter().position(|&neighbour| neighbour == from).is_some_and(|index| {
+                // It has acknowledged nothing of ours for longer than it should: the last datagram was lost.
+                self.self_state
+                    .acked_sent_at(index)
+                    .is_none_or(|sent_at| now > sent_at + self.setup.parameters.heartbeat_interval * 5 / 4)
+            });
+        if is_behind
+            || is_new_incarnation
+            || !replied_lately && (misses_us || sender_needs_help || self.needs_help(now))
+        {
+            self.last_reply_at[from] = Some(now);
+            self.send_extra(now, from, is_behind, &mut out);
         }
         out
     }
 
-    /// Tells one that asks what it lacks, as far as that is known here for certain and of late.
-    fn answer_wants(&mut self, now: Micros, to: usize, wants: &[u16], out: &mut Vec<OutgoingDatagram>) {
-        let stale = self.setup.parameters.freshness_limit(self.setup.node_count) / 2;
-        let lately = |node: &u16| {
-            let known = self.view.get(usize::from(*node))?;
-            let good = now <= known.at + stale && known.row.standing.confirmed;
-            (good && usize::from(*node) != to).then_some(known.row)
+    /// Sends a node the rows that it has asked for, as far as they are confirmed and recent here.
+    fn answer_wanted_nodes(
+        &mut self,
+        now: Micros,
+        to: usize,
+        wanted: &[u16],
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
+        let max_age = self.setup.parameters.freshness_limit(self.setup.node_count) / 2;
+        let recent_row = |node: &u16| {
+            let record = self.view.get(usize::from(*node))?;
+            let is_certain = now <= record.received_at + max_age && record.row.standing.confirmed;
+            (is_certain && usize::from(*node) != to).then_some(record.row)
         };
-        let rows: Vec<Row> = wants.iter().filter_map(lately).collect();
-        if !rows.is_empty() && self.has_token() {
-            self.own_row(now);
-            let mut said = self.opening();
-            rows.into_iter().for_each(|row| _ = said.add(row, true, LONGEST));
-            self.put(to, &said, out);
+        let rows: Vec<Row> = wanted.iter().filter_map(recent_row).collect();
+        if !rows.is_empty() && self.take_extra_send_token() {
+            self.refresh_own_row(now);
+            let mut message = self.new_message();
+            rows.into_iter().for_each(|row| _ = message.add(row, true, LONGEST));
+            self.push_datagram(to, &message, out);
         }
     }
 
-    /// Tells one whose view is another what it may lack: the nodes of a bucket in which they differ.
+    /// Sends a node with another view what it may lack: the rows of the buckets whose digests differ.
     fn answer_digests(
         &mut self,
         now: Micros,
@@ -354,193 +379,222 @@
         out: &mut Vec<OutgoingDatagram>,
     ) {
         let Some(theirs) = theirs else { return };
-        let ours = self.view.digests();
-        let differ: Vec<usize> = (0..BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
-        if differ.is_empty() || !self.has_token() {
+        let ours = self.view.bucket_digests();
+        let differing: Vec<usize> = (0..BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
+        if differing.is_empty() || !self.take_extra_send_token() {
             return;
         }
-        self.own_row(now);
-        let mut said = self.opening();
-        let first = self.dice.0.usize(..differ.len());
-        for &bucket in differ[first..].iter().chain(&differ[..first]) {
-            let mut nodes: Vec<usize> = self.view.bucket(bucket).filter(|&node| node != to).collect();
-            self.dice.0.shuffle(&mut nodes);
-            for known in nodes.into_iter().filter_map(|node| self.view.get(node)) {
-                // Who is gone is so by its watchers' words, which no brief tells.
-                let by = match &known.gone {
-                    Some((_, StateReason::LeaseExpired { reported_by: by })) if known.is_gone() => {
-                        by.as_slice()
+        self.refresh_own_row(now);
+        let mut message = self.new_message();
+        let first = self.rng.0.usize(..differing.len());
+        for &bucket in differing[first..].iter().chain(&differing[..first]) {
+            let mut nodes: Vec<usize> = self.view.bucket_nodes(bucket).filter(|&node| node != to).collect();
+            self.rng.0.shuffle(&mut nodes);
+            for record in nodes.into_iter().filter_map(|node| self.view.get(node)) {
+                // An expired node is gone by the full rows of its watchers, which brief rows cannot show.
+                let reported_by = match &record.gone {
+                    Some((_, StateReason::LeaseExpired { reported_by })) if record.is_gone() => {
+                        reported_by.as_slice()
                     }
                     _ => &[],
                 };
-                let words = by.iter().filter_map(|&by| self.view.get(by)).map(|known| (known.row, false));
-                for (row, brief) in words.chain([(known.row, true)]) {
-                    if !said.has(row.origin) && !said.add(row, brief, LONGEST) {
-                        return self.put(to, &said, out);
+                let reports = reported_by
+                    .iter()
+                    .filter_map(|&watcher| self.view.get(watcher))
+                    .map(|record| (record.row, false));
+                for (row, is_brief) in reports.chain([(record.row, true)]) {
+                    if !message.has(row.origin) && !message.add(row, is_brief, LONGEST) {
+                        return self.push_datagram(to, &message, out);
                     }
                 }
             }
         }
-        self.put(to, &said, out);
+        self.push_datagram(to, &message, out);
     }
 
-    /// What it knows nothing certain of, a few at a time.
-    fn wants(&mut self) -> Vec<u16> {
-        let lacks = |&node: &usize| self.states[node].0 == NodeState::Unknown && node != self.setup.own_index;
-        let first = if self.state_counts()[2] > MOST_WANTED { self.spread.in_turn() } else { 0 };
+    /// Nodes whose state is unknown here, as many as a datagram asks for.
+    fn wanted_nodes(&mut self) -> Vec<u16> {
+        let is_unknown = |&node: &usize| {
+            self.reported_states[node].0 == NodeState::Unknown && node != self.setup.own_index
+        };
+        let first = if self.state_counts()[2] > MOST_WANTED { self.gossip.next_in_rotation() } else { 0 };
         let (low, high) = (0..first, first..self.setup.node_count);
-        high.chain(low).filter(lacks).take(MOST_WANTED).map(|node| node as u16).collect()
+        high.chain(low).filter(is_unknown).take(MOST_WANTED).map(|node| node as u16).collect()
     }
 
-    /// Time has passed. Tells what is to be sent.
+    /// Does what is due as time passes: expires leases and sends heartbeats. Returns the datagrams to send.
     pub fn tick(&mut self, now: Micros, wall: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        self.wake(now, wall);
-        self.pulse.next(now, self.setup.parameters.heartbeat_interval);
-        if self.superseded {
+        self.check_clocks(now, wall);
+        self.pause_detector.schedule(now, self.setup.parameters.heartbeat_interval);
+        if self.is_superseded {
             return out;
         }
-        for at in 0..self.watches.len() {
-            if self.watches[at].tick(now, &self.setup.parameters, self.doubt * DOUBT) {
-                self.own_row(now);
-                self.view.judge(&self.ring, self.watched[at]);
+        for index in 0..self.monitors.len() {
+            if self.monitors[index].check_expiry(
+                now,
+                &self.setup.parameters,
+                self.health_penalty * EXTENSION_PER_PENALTY_POINT_PERMILLE,
+            ) {
+                self.refresh_own_row(now);
+                self.view.apply_expiry_quorum(&self.ring, self.neighbours[index]);
             }
         }
-        self.mind_health(now);
-        self.settle(now, &mut out);
-        self.own_row(now);
-        for at in 0..self.watched.len() {
-            self.send(now, self.watched[at], false, &mut out);
-            // Asked again before anybody else is: what was lost is lost on one way more often than on all.
-            let (watch, wait) = (&self.watches[at], self.setup.parameters.heartbeat_interval * 5 / 4);
-            if !watch.is_expired() && watch.silent_for(now, wait) {
-                self.at_once(now, self.watched[at], false, &mut out);
+        self.update_health_penalty(now);
+        self.update_own_standing(now, &mut out);
+        self.refresh_own_row(now);
+        for index in 0..self.neighbours.len() {
+            self.send_gossip(now, self.neighbours[index], false, &mut out);
+            // A silent neighbour is asked a second time before any other node is: a loss on one link is more likely than
+            // losses on all of them.
+            let (monitor, timeout) =
+                (&self.monitors[index], self.setup.parameters.heartbeat_interval * 5 / 4);
+            if !monitor.is_expired() && monitor.is_silent_for(now, timeout) {
+                self.send_extra(now, self.neighbours[index], false, &mut out);
             }
         }
-        for _ in 0..FAR + (self.spread.pending() / HOLDS).min(IN_A_STORM) {
-            if let Some(far) = self.somebody_far(now) {
-                self.send(now, far, false, &mut out);
+        for _ in 0..DISTANT_PEERS_PER_TICK
+            + (self.gossip.len() / CHANGES_PER_EXTRA_PEER).min(MAX_EXTRA_PEERS_PER_TICK)
+        {
+            if let Some(distant) = self.random_distant_peer(now) {
+                self.send_gossip(now, distant, false, &mut out);
             }
         }
-        self.paused = false;
+        self.was_paused = false;
         for node in 0..self.setup.node_count {
-            self.tell_state(now, node);
+            self.report_state(now, node);
         }
         out
     }
 
-    /// It leaves: from here on it uses nothing shared. Tells what is to be sent; the ticks after it say so again.
+    /// Leaves the site: from now on this node uses no share. Returns the datagrams that announce it; later ticks repeat
+    /// the announcement.
     pub fn leave(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        if !self.superseded {
-            self.leaving = true;
-            self.own_row(now);
-            for at in 0..self.watched.len() {
-                self.send(now, self.watched[at], false, &mut out);
+        if !self.is_superseded {
+            self.is_leaving = true;
+            self.refresh_own_row(now);
+            for index in 0..self.neighbours.len() {
+                self.send_gossip(now, self.neighbours[index], false, &mut out);
             }
-            for _ in 0..FAR {
-                if let Some(far) = self.somebody_far(now) {
-                    self.send(now, far, false, &mut out);
+            for _ in 0..DISTANT_PEERS_PER_TICK {
+                if let Some(distant) = self.random_distant_peer(now) {
+                    self.send_gossip(now, distant, false, &mut out);
                 }
             }
         }
         out
     }
 
-    // ---- what is known ----
+    // ---- queries ----
 
-    /// What it may use.
+    /// The share of the common resources that this node may use.
     pub fn resource_share(&self, now: Micros) -> ResourceShare {
-        if self.leaving || self.superseded {
+        if self.is_leaving || self.is_superseded {
             return ResourceShare::NONE;
         }
         if self.ring.confirmation_quorum() == 0 {
             return ResourceShare::PERMANENT;
         }
-        let until = self.own.confirmed_until();
+        let until = self.self_state.confirmed_until();
         if now >= until {
             return ResourceShare::NONE;
         }
-        let beside = 0..self.watched.len().min(2);
-        let own = if self.own.settled(now) {
+        let adjacent = 0..self.neighbours.len().min(2);
+        let own = if self.self_state.is_settled(now) {
             ResourceShare { thousandths: FULL_SHARE, until }
         } else {
-            let confirms = beside.clone().map(|at| self.own.confirmed_by(at)).filter(|&until| now < until);
-            confirms.fold(ResourceShare::NONE, |part, until| part.with(HALF_SHARE, until))
+            let confirmations = adjacent
+                .clone()
+                .map(|index| self.self_state.confirmed_by_until(index))
+                .filter(|&until| now < until);
+            confirmations.fold(ResourceShare::NONE, |share, until| share.plus(HALF_SHARE, until))
         };
-        let taken = beside.filter_map(|at| self.taken_until(at)).filter(|&until| now < until);
-        taken.fold(own, |part, until| part.with(HALF_SHARE, until)).no_longer_than(until)
+        let taken_over =
+            adjacent.filter_map(|index| self.taken_over_until(index)).filter(|&until| now < until);
+        taken_over.fold(own, |share, until| share.plus(HALF_SHARE, until)).limited_until(until)
     }
 
-    /// Until when a piece of the part of a node beside it is its own, if it is: enough watchers hold that one to be
-    /// gone, this node among them, and the others did so after a beat of ours that is younger than a lease.
-    fn taken_until(&self, at: usize) -> Option<Micros> {
-        let (node, watch) = (self.watched[at], &self.watches[at]);
-        let known = self.view.get(node)?;
-        if !watch.is_expired() || watch.incarnation() != known.row.incarnation || !known.is_gone() {
+    /// Until when this node may use half the share of an adjacent node, if it may: an expiry quorum of that node's
+    /// watchers holds it to be gone, this node among them, and each of the others has reported so after a heartbeat of
+    /// ours that is younger than a lease.
+    fn taken_over_until(&self, index: usize) -> Option<Micros> {
+        let (node, monitor) = (self.neighbours[index], &self.monitors[index]);
+        let record = self.view.get(node)?;
+        if !monitor.is_expired() || monitor.incarnation() != record.row.incarnation || !record.is_gone() {
             return None;
         }
-        let says = |&(at, &watcher): &(usize, &usize)| {
-            let place = self.ring.neighbour_index(watcher, node).filter(|_| watcher != node);
-            let row = self.view.get(watcher).map(|known| &known.row);
-            self.own.acked(at).is_some()
-                && row.zip(place).is_some_and(|(row, place)| {
-                    let heard = row.heard[place];
-                    heard.expired && heard.incarnation == known.row.incarnation as u32
+        let reports_expired = |&(index, &watcher): &(usize, &usize)| {
+            let heard_index = self.ring.neighbour_index(watcher, node).filter(|_| watcher != node);
+            let row = self.view.get(watcher).map(|record| &record.row);
+            self.self_state.acked_sent_at(index).is_some()
+                && row.zip(heard_index).is_some_and(|(row, heard_index)| {
+                    let heard = row.heard[heard_index];
+                    heard.expired && heard.incarnation == record.row.incarnation as u32
                 })
         };
-        let words = self.watched.iter().enumerate().filter(says).filter_map(|(at, _)| self.own.acked(at));
-        let mut words: Vec<Micros> = words.map(|sent| sent + self.setup.parameters.lease_duration).collect();
-        words.sort_unstable_by(|a, b| b.cmp(a));
-        // This node is one of those that it takes.
-        words.get(self.ring.expiry_quorum().checked_sub(2)?).copied()
+        let acked = self
+            .neighbours
+            .iter()
+            .enumerate()
+            .filter(reports_expired)
+            .filter_map(|(index, _)| self.self_state.acked_sent_at(index));
+        let mut ends: Vec<Micros> =
+            acked.map(|sent_at| sent_at + self.setup.parameters.lease_duration).collect();
+        ends.sort_unstable_by(|a, b| b.cmp(a));
+        // This node is one of the quorum.
+        ends.get(self.ring.expiry_quorum().checked_sub(2)?).copied()
     }
 
-    /// What a node is, and on what evidence.
+    /// The state of a node, and the evidence for it.
     pub fn state(&self, now: Micros, node: usize) -> (NodeState, StateReason) {
         let parameters = &self.setup.parameters;
-        let Some(known) = self.view.get(node) else { return (NodeState::Unknown, StateReason::NeverHeard) };
-        if let Some((_, why)) = known.gone.as_ref().filter(|_| known.is_gone()) {
-            return (NodeState::Gone, why.clone());
+        let Some(record) = self.view.get(node) else { return (NodeState::Unknown, StateReason::NeverHeard) };
+        if let Some((_, reason)) = record.gone.as_ref().filter(|_| record.is_gone()) {
+            return (NodeState::Gone, reason.clone());
         }
-        if now > known.at + parameters.freshness_limit(self.setup.node_count) {
+        if now > record.received_at + parameters.freshness_limit(self.setup.node_count) {
             return (NodeState::Unknown, StateReason::Silent);
         }
-        if !known.row.standing.confirmed {
+        if !record.row.standing.confirmed {
             return (NodeState::Unknown, StateReason::Unconfirmed);
         }
-        if let Some(at) = self.watched.iter().position(|&watched| watched == node) {
-            if self.watches[at].silent_for(now, parameters.expiry_timeout()) {
+        if let Some(index) = self.neighbours.iter().position(|&neighbour| neighbour == node) {
+            if self.monitors[index].is_silent_for(now, parameters.expiry_timeout()) {
                 return (NodeState::Unknown, StateReason::Silent);
             }
-            if self.own.acked(at).is_none_or(|sent| now > sent + parameters.expiry_timeout()) {
+            if self
+                .self_state
+                .acked_sent_at(index)
+                .is_none_or(|sent_at| now > sent_at + parameters.expiry_timeout())
+            {
                 return (NodeState::Unknown, StateReason::DoesNotHearUs);
             }
         }
-        let by = known.by;
+        let via = record.received_from;
         (
             NodeState::Here,
-            known.newer_than.map_or(StateReason::Heard { via: by }, |than| StateReason::NewIncarnation {
-                previous: than,
-                via: by,
-            }),
+            record
+                .previous_incarnation
+                .map_or(StateReason::Heard { via }, |previous| StateReason::NewIncarnation { previous, via }),
         )
     }
 
-    /// How many of the others are here, gone and not known.
+    /// How many of the other nodes are here, gone and unknown, in this order.
     pub fn state_counts(&self) -> [usize; 3] {
-        let others = self.states.iter().enumerate().filter(|(node, _)| *node != self.setup.own_index);
-        others.fold([0; 3], |mut all, (_, (state, ..))| {
-            all[match state {
+        let others =
+            self.reported_states.iter().enumerate().filter(|(node, _)| *node != self.setup.own_index);
+        others.fold([0; 3], |mut counts, (_, (state, ..))| {
+            counts[match state {
                 NodeState::Here => 0,
                 NodeState::Gone => 1,
                 NodeState::Unknown => 2,
             }] += 1;
-            all
+            counts
         })
     }
 
-    /// All others.
+    /// The status of all other nodes.
     pub fn peers(&self, now: Micros) -> Vec<PeerStatus> {
         let others = (0..self.setup.node_count).filter(|&node| node != self.setup.own_index);
         others.map(|node| self.peer_status(now, node)).collect()
@@ -548,395 +602,427 @@
 
     fn peer_status(&self, now: Micros, node: usize) -> PeerStatus {
         let parameters = &self.setup.parameters;
-        let (state, why) = self.state(now, node);
-        let known = self.view.get(node);
-        let at = self.watched.iter().position(|&watched| watched == node);
-        let hears_us = |known: &Known| {
-            self.ring.neighbour_index(node, self.setup.own_index).map(|place| known.row.heard[place].direct)
+        let (state, reason) = self.state(now, node);
+        let record = self.view.get(node);
+        let index = self.neighbours.iter().position(|&neighbour| neighbour == node);
+        let hears_us = |record: &NodeRecord| {
+            self.ring
+                .neighbour_index(node, self.setup.own_index)
+                .map(|heard_index| record.row.heard[heard_index].direct)
         };
         PeerStatus {
             node,
             state,
-            reason: why,
-            since: self.states[node].1,
-            incarnation: known.map_or(0, |known| known.row.incarnation),
-            last_heard: known.map(|known| (known.at, known.by)),
-            we_hear: at.map(|at| self.watches[at].is_direct(now, parameters)),
-            hears_us: known.and_then(hears_us),
-            is_suspected: at
-                .is_some_and(|at| self.watches[at].silent_for(now, 3 * parameters.heartbeat_interval)),
+            reason,
+            since: self.reported_states[node].1,
+            incarnation: record.map_or(0, |record| record.row.incarnation),
+            last_heard: record.map(|record| (record.received_at, record.received_from)),
+            we_hear: index.map(|index| self.monitors[index].is_heard_directly(now, parameters)),
+            hears_us: record.and_then(hears_us),
+            is_suspected: index.is_some_and(|index| {
+                self.monitors[index].is_silent_for(now, 3 * parameters.heartbeat_interval)
+            }),
         }
     }
 
-    /// The ways on the ring, as far as a fresh row tells of them.
+    /// The links between neighbours on the ring, as far as recent rows report them.
     pub fn link_states(&self, now: Micros) -> Vec<LinkState> {
-        let fresh = |to: &usize| {
-            let known = self.view.get(*to);
-            known.is_some_and(|known| {
-                known.told.is_some()
-                    && !known.is_gone()
-                    && now <= known.at + self.setup.parameters.freshness_limit(self.setup.node_count)
+        let is_recent = |to: &usize| {
+            let record = self.view.get(*to);
+            record.is_some_and(|record| {
+                record.heard_heartbeat.is_some()
+                    && !record.is_gone()
+                    && now
+                        <= record.received_at + self.setup.parameters.freshness_limit(self.setup.node_count)
             })
         };
-        let into = |to: usize| {
-            let row = self.view.get(to).map(|known| known.row);
-            let told = self.ring.neighbours(to).enumerate();
-            told.filter_map(move |(at, from)| Some(LinkState { from, to, is_up: row?.heard[at].direct }))
+        let links_into = |to: usize| {
+            let row = self.view.get(to).map(|record| record.row);
+            let senders = self.ring.neighbours(to).enumerate();
+            senders.filter_map(move |(index, from)| {
+                Some(LinkState { from, to, is_up: row?.heard[index].direct })
+            })
         };
-        (0..self.setup.node_count).filter(fresh).flat_map(into).collect()
+        (0..self.setup.node_count).filter(is_recent).flat_map(links_into).collect()
     }
 
-    /// A number of the view: those who agree on who lives in which incarnation, and who is gone, have the same.
+    /// A digest of the view: nodes that agree on all incarnations, and on which are gone, have the same.
     pub fn view_digest(&self) -> u32 {
-        self.view.view_digest()
+        self.view.digest()
     }
 
-    /// The node's own incarnation.
+    /// This node's own incarnation.
     pub fn incarnation(&self) -> u64 {
-        self.own.incarnation()
+        self.self_state.incarnation()
     }
 
-    /// The incarnation of another that it knows, and whether that is held to be gone.
+    /// The known incarnation of another node, and whether it is held to be gone.
     pub fn incarnation_of(&self, node: usize) -> Option<(u64, bool)> {
-        self.view.get(node).map(|known| (known.row.incarnation, known.is_gone()))
+        self.view.get(node).map(|record| (record.row.incarnation, record.is_gone()))
     }
 
-    /// Whether enough watchers confirm this node.
+    /// Whether a quorum of watchers confirms this node.
     pub fn is_confirmed(&self, now: Micros) -> bool {
-        now < self.own.confirmed_until()
+        now < self.self_state.confirmed_until()
     }
 
-    /// Whether another process has taken this node's name.
+    /// Whether this process has given way to another one under its name.
     pub fn is_superseded(&self) -> bool {
-        self.superseded
+        self.is_superseded
     }
 
-    /// How much the node doubts its own hearing, from 0 to 8: each point makes it wait longer, up to twice as long.
+    /// How much this node doubts its own reception, from 0 to 8 points. Each point extends the expiry timeout by an eighth,
+    /// up to twice its length.
     pub fn health_penalty(&self) -> u64 {
-        self.doubt
+        self.health_penalty
     }
 
-    /// What has come and gone.
+    /// Counters since the start.
     pub fn counters(&self) -> Counters {
-        self.counts
+        self.counters
     }
 
-    /// Rows that are news and not yet told often enough.
+    /// How many changed rows have not been sent often enough yet.
     pub fn pending_updates(&self) -> usize {
-        self.spread.pending()
+        self.gossip.len()
     }
 
-    /// What has changed since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         self.events.drain(..).collect()
     }
 
-    /// Which node this is, among how many, by which figures.
+    /// The identity and settings of this node.
     pub fn setup(&self) -> &Setup {
         &self.setup
     }
 
-    // ---- inside ----
+    // ---- internals ----
 
-    fn change(&mut self, change: MembershipEvent) {
-        if self.events.len() < CHANGES {
-            self.events.push_back(change);
+    fn push_event(&mut self, event: MembershipEvent) {
+        if self.events.len() < MAX_PENDING_EVENTS {
+            self.events.push_back(event);
         }
     }
 
-    /// Looks at the clocks before anything is acted on: whoever was paused accuses nobody for what it did not hear.
-    fn wake(&mut self, now: Micros, wall: Micros) {
-        let noticed = self.pulse.look(now, wall);
-        self.own.look(now);
-        let Noticed { late, slept } = noticed;
-        if slept > 0 {
-            self.own.slept(slept);
-            self.view.slept(slept);
+    /// Checks the clocks for a pause before anything else is done, so that a node which was paused does not report others
+    /// as silent for what it could not receive. Also refills the tokens for extra sends.
+    fn check_clocks(&mut self, now: Micros, wall: Micros) {
+        let pause = self.pause_detector.check(now, wall);
+        self.self_state.update_confirmation(now);
+        let DetectedPause { lateness, suspended } = pause;
+        if suspended > 0 {
+            self.self_state.apply_suspension(suspended);
+            self.view.apply_suspension(suspended);
         }
-        if noticed.any() {
-            for watch in &mut self.watches {
-                watch.paused(now, late, &self.setup.parameters);
+        if pause.is_pause() {
+            for monitor in &mut self.monitors {
+                monitor.extend_after_pause(now, lateness, &self.setup.parameters);
             }
-            self.paused = true;
-            self.counts.pauses += 1;
-            self.doubt = (self.doubt + 2).min(MOST_DOUBT);
-            self.change(MembershipEvent::Paused { duration: late.max(slept) });
+            self.was_paused = true;
+            self.counters.pauses += 1;
+            self.health_penalty = (self.health_penalty + 2).min(MAX_HEALTH_PENALTY);
+            self.push_event(MembershipEvent::Paused { duration: lateness.max(suspended) });
         }
-        let passed = now.saturating_sub(self.refilled);
-        (self.tokens, self.refilled) = ((self.tokens + passed * A_SECOND).min(AT_ONCE * 1_000_000), now);
+        let elapsed = now.saturating_sub(self.tokens_refilled_at);
+        (self.extra_send_tokens, self.tokens_refilled_at) = (
+            (self.extra_send_tokens + elapsed * EXTRA_SENDS_PER_SECOND).min(EXTRA_SEND_BURST * 1_000_000),
+            now,
+        );
     }
 
-    /// Takes one row, or a brief. `direct`: it came from the node itself. Tells whether it says what can't wait.
-    fn take(&mut self, now: Micros, row: Row, brief: bool, by: usize, direct: bool) -> bool {
+    /// Merges one row. `is_direct`: it came from the node itself. Returns whether it is to be relayed at once.
+    fn merge_row(&mut self, now: Micros, row: Row, is_brief: bool, from: usize, is_direct: bool) -> bool {
         let node = usize::from(row.origin);
         if node >= self.setup.node_count {
             return false;
         }
         if node == self.setup.own_index {
-            self.rival(now, row);
+            self.handle_own_name(now, row);
             return false;
         }
-        let stale = self.setup.parameters.freshness_limit(self.setup.node_count) * 3 / 4;
-        let taken = self.view.take(now, row, brief, by, stale);
-        if !matches!(taken, Taken::News | Taken::Ends) {
-            self.spread.told_by_another(node, taken == Taken::Same);
+        let stale_after = self.setup.parameters.freshness_limit(self.setup.node_count) * 3 / 4;
+        let outcome = self.view.merge(now, row, is_brief, from, stale_after);
+        if !matches!(outcome, MergeOutcome::Changed | MergeOutcome::Urgent) {
+            self.gossip.record_duplicate(node, outcome == MergeOutcome::Unchanged);
         }
-        if matches!(taken, Taken::Old | Taken::Same) {
+        if matches!(outcome, MergeOutcome::Outdated | MergeOutcome::Unchanged) {
             return false;
         }
-        if let Some(at) = self.watched.iter().position(|&watched| watched == node) {
-            if self.watches[at].heard(now, row.incarnation, row.beat) {
-                self.own.met(at, now);
+        if let Some(index) = self.neighbours.iter().position(|&neighbour| neighbour == node) {
+            if self.monitors[index].record_heartbeat(now, row.incarnation, row.beat) {
+                self.self_state.reset_watcher(index, now);
             }
-            if direct {
-                self.watches[at].spoke(now);
+            if is_direct {
+                self.monitors[index].record_direct(now);
             }
-            if let Some(place) = self.ring.neighbour_index(node, self.setup.own_index) {
-                self.own.heard_by(at, row.heard[place]);
+            if let Some(heard_index) = self.ring.neighbour_index(node, self.setup.own_index) {
+                self.self_state.handle_report(index, row.heard[heard_index]);
             }
         }
-        match taken {
-            Taken::News => self.spread.news(node, false, false),
-            Taken::Ends => self.spread.news(node, true, row.standing.calling),
-            Taken::Old | Taken::Same | Taken::Beat => {}
+        match outcome {
+            MergeOutcome::Changed => self.gossip.enqueue(node, false, false),
+            MergeOutcome::Urgent => self.gossip.enqueue(node, true, row.standing.calling),
+            MergeOutcome::Outdated | MergeOutcome::Unchanged | MergeOutcome::HeartbeatOnly => {}
         }
-        let near: Vec<usize> = self.ring.neighbours(node).collect();
-        for (place, &other) in near.iter().enumerate() {
-            if row.heard[place].expired {
-                self.view.judge(&self.ring, other);
-                self.tell_state(now, other);
+        let watched_by_node: Vec<usize> = self.ring.neighbours(node).collect();
+        for (heard_index, &other) in watched_by_node.iter().enumerate() {
+            if row.heard[heard_index].expired {
+                self.view.apply_expiry_quorum(&self.ring, other);
+                self.report_state(now, other);
             }
         }
-        self.view.judge(&self.ring, node);
-        self.tell_state(now, node);
-        taken == Taken::Ends || taken == Taken::News && row.standing.leaving
+        self.view.apply_expiry_quorum(&self.ring, node);
+        self.report_state(now, node);
+        outcome == MergeOutcome::Urgent || outcome == MergeOutcome::Changed && row.standing.leaving
     }
 
-    /// Speaks to those that others miss: there may be a way from here, and no other.
-    fn seek(&mut self, now: Micros, rows: &[Row], out: &mut Vec<OutgoingDatagram>) {
+    /// Sends a datagram to nodes that others report as missed: the link from this node may be the only one that works.
+    fn probe_missed_nodes(&mut self, now: Micros, rows: &[Row], out: &mut Vec<OutgoingDatagram>) {
         for row in rows.iter().filter(|row| row.standing.calling) {
-            let near: Vec<usize> = self.ring.neighbours(usize::from(row.origin)).collect();
-            for (place, node) in near.into_iter().enumerate() {
-                let heard = row.heard[place];
-                let missed = !heard.direct && !heard.expired && node != self.setup.own_index;
-                let lately = self.sought[node]
-                    .is_some_and(|sought| now < sought + self.setup.parameters.lease_duration);
-                if missed && !lately && !self.watched.contains(&node) {
-                    self.sought[node] = Some(now);
-                    self.at_once(now, node, false, out);
+            let watched_by_node: Vec<usize> = self.ring.neighbours(usize::from(row.origin)).collect();
+            for (heard_index, node) in watched_by_node.into_iter().enumerate() {
+                let heard = row.heard[heard_index];
+                let is_missed = !heard.direct && !heard.expired && node != self.setup.own_index;
+                let probed_lately = self.last_probed_at[node]
+                    .is_some_and(|probed_at| now < probed_at + self.setup.parameters.lease_duration);
+                if is_missed && !probed_lately && !self.neighbours.contains(&node) {
+                    self.last_probed_at[node] = Some(now);
+                    self.send_extra(now, node, false, out);
                 }
             }
         }
     }
 
-    /// Word of this node itself that it has not given: of a life before, or of another process under its name.
-    fn rival(&mut self, now: Micros, row: Row) {
-        let ahead = row.age() > (self.own.incarnation(), self.own.beat());
-        if !ahead {
+    /// Handles a row under this node's own name that it has not sent: of its own earlier process, or of another process
+    /// under its name.
+    fn handle_own_name(&mut self, now: Micros, row: Row) {
+        let is_ahead = row.age() > (self.self_state.incarnation(), self.self_state.heartbeat());
+        if !is_ahead {
             return;
         }
-        let (seen, since) = self.rivals;
-        self.rivals = if now > since + RIVAL_TIME { (1, now) } else { (seen + 1, since) };
-        // Of two that have run for long one gives way, whichever; else the one that has run for long.
-        let lower = self.own.incarnation() & 0xFF < row.incarnation & 0xFF;
-        let enough = if lower { RIVALS } else { 4 * RIVALS };
-        if now > self.started + ESTABLISHED && self.rivals.0 >= enough {
-            self.superseded = true;
-            return self.change(MembershipEvent::Superseded);
-        }
-        self.begin(now, row.incarnation);
-    }
-
-    /// Begins a new incarnation. What was said to the one before is nothing.
-    fn begin(&mut self, now: Micros, other: u64) {
-        let denied = self.own.denied();
-        self.own.begin(now, other);
-        self.change(MembershipEvent::IncarnationStarted {
-            incarnation: self.own.incarnation(),
-            denials: denied,
+        let (count, window_start) = self.name_conflicts;
+        self.name_conflicts =
+            if now > window_start + NAME_CONFLICT_WINDOW_US { (1, now) } else { (count + 1, window_start) };
+        // If both processes are established, the one with the lower nonce gives way sooner; otherwise the established one
+        // gives way.
+        let has_lower_nonce = self.self_state.incarnation() & 0xFF < row.incarnation & 0xFF;
+        let threshold = if has_lower_nonce { NAME_CONFLICT_THRESHOLD } else { 4 * NAME_CONFLICT_THRESHOLD };
+        if now > self.started_at + ESTABLISHED_AFTER_US && self.name_conflicts.0 >= threshold {
+            self.is_superseded = true;
+            return self.push_event(MembershipEvent::Superseded);
+        }
+        self.start_incarnation(now, row.incarnation);
+    }
+
+    /// Starts a new incarnation, newer than `other`. Reports of the previous one no longer apply.
+    fn start_incarnation(&mut self, now: Micros, other: u64) {
+        let denials = self.self_state.expiry_reports();
+        self.self_state.start_incarnation(now, other);
+        self.push_event(MembershipEvent::IncarnationStarted {
+            incarnation: self.self_state.incarnation(),
+            denials,
         });
     }
 
-    /// Goes by what has been heard: begins anew where it must, tells whether it is confirmed.
-    fn settle(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
-        let before = self.own.incarnation();
-        if self.own.should_begin(now) {
-            self.begin(now, 0);
+    /// Acts on what watchers have reported of this node: starts a new incarnation if needed, and reports whether it is
+    /// confirmed.
+    fn update_own_standing(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
+        let previous = self.self_state.incarnation();
+        if self.self_state.should_start_incarnation(now) {
+            self.start_incarnation(now, 0);
         }
-        self.own.look(now);
-        let confirmed = self.is_confirmed(now);
-        if confirmed != self.confirmed {
-            self.confirmed = confirmed;
-            self.change(MembershipEvent::ConfirmationChanged(confirmed));
+        self.self_state.update_confirmation(now);
+        let is_confirmed = self.is_confirmed(now);
+        if is_confirmed != self.reported_confirmed {
+            self.reported_confirmed = is_confirmed;
+            self.push_event(MembershipEvent::ConfirmationChanged(is_confirmed));
         }
-        if self.own.incarnation() != before {
-            for at in 0..self.watched.len() {
-                self.at_once(now, self.watched[at], false, out);
+        if self.self_state.incarnation() != previous {
+            for index in 0..self.neighbours.len() {
+                self.send_extra(now, self.neighbours[index], false, out);
             }
         }
     }
 
-    /// Whether it lacks word of one that it watches, or theirs of it, or has it by a way round alone.
-    fn in_need(&self, now: Micros) -> bool {
+    /// Whether this node asks others for help (`Standing::calling`): it lacks confirmations, or has no news of a neighbour,
+    /// or none but relayed news.
+    fn needs_help(&self, now: Micros) -> bool {
         let parameters = &self.setup.parameters;
-        let missed = |watch: &Watch| {
-            !watch.is_expired()
-                && (watch.silent_for(now, 7 * parameters.heartbeat_interval / 2)
-                    || watch.is_heard() && !watch.was_direct(now, 6 * parameters.heartbeat_interval))
+        let is_missed = |monitor: &PeerMonitor| {
+            !monitor.is_expired()
+                && (monitor.is_silent_for(now, 7 * parameters.heartbeat_interval / 2)
+                    || monitor.was_ever_heard()
+                        && !monitor.was_heard_directly(now, 6 * parameters.heartbeat_interval))
         };
-        // One that has just begun is about to be confirmed.
-        self.own.lacks(now) && self.own.has_run(now, parameters.heartbeat_interval)
-            || self.watches.iter().any(missed)
+        // An incarnation that has just started is about to be confirmed.
+        self.self_state.lacks_quorum(now) && self.self_state.has_run_for(now, parameters.heartbeat_interval)
+            || self.monitors.iter().any(is_missed)
     }
 
-    /// Points of doubt: many silent at once, or a pause of its own, tell more of this node than of the others.
-    fn mind_health(&mut self, now: Micros) {
-        let quiet = |watch: &&Watch| {
-            !watch.is_expired() && watch.silent_for(now, 3 * self.setup.parameters.heartbeat_interval)
+    /// Raises the health penalty while most neighbours are silent, which points to a fault of this node's reception
+    /// rather than of the neighbours, and lowers it otherwise. Pauses of this node raise it too.
+    fn update_health_penalty(&mut self, now: Micros) {
+        let is_silent = |monitor: &&PeerMonitor| {
+            !monitor.is_expired() && monitor.is_silent_for(now, 3 * self.setup.parameters.heartbeat_interval)
         };
-        let silent = self.watches.iter().filter(quiet).count();
-        self.doubt = match 2 * silent > self.watches.len() {
-            true => (self.doubt + 1).min(MOST_DOUBT),
-            false => self.doubt.saturating_sub(1),
+        let silent = self.monitors.iter().filter(is_silent).count();
+        self.health_penalty = match 2 * silent > self.monitors.len() {
+            true => (self.health_penalty + 1).min(MAX_HEALTH_PENALTY),
+            false => self.health_penalty.saturating_sub(1),
         };
     }
 
-    /// Its own row, with the next beat, as the newest of its own.
-    fn own_row(&mut self, now: Micros) {
-        self.own.beats(now);
+    /// Renews this node's own row in the view, with the next heartbeat.
+    fn refresh_own_row(&mut self, now: Micros) {
+        self.self_state.next_heartbeat(now);
         let mut row = Row {
             origin: self.setup.own_index as u16,
-            incarnation: self.own.incarnation(),
-            beat: self.own.beat(),
+            incarnation: self.self_state.incarnation(),
+            beat: self.self_state.heartbeat(),
             standing: Standing {
                 confirmed: self.is_confirmed(now),
-                leaving: self.leaving,
-                calling: self.in_need(now),
-                paused: self.paused,
+                leaving: self.is_leaving,
+                calling: self.needs_help(now),
+                paused: self.was_paused,
             },
-            watches: self.watched.len() as u8,
+            watches: self.neighbours.len() as u8,
             ..Row::default()
         };
-        for (heard, watch) in row.heard.iter_mut().zip(&self.watches) {
-            *heard = watch.told(now, &self.setup.parameters);
+        for (heard, monitor) in row.heard.iter_mut().zip(&self.monitors) {
+            *heard = monitor.report(now, &self.setup.parameters);
         }
-        self.view.take(now, row, false, self.setup.own_index, Micros::MAX / 2);
+        self.view.merge(now, row, false, self.setup.own_index, Micros::MAX / 2);
     }
 
-    /// Sends to one beyond the turn, as far as there is room for that.
-    fn at_once(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<OutgoingDatagram>) {
-        if self.has_token() {
-            self.own_row(now);
-            self.send(now, to, with_its_own, out);
+    /// Sends one datagram outside the regular ticks, if the token bucket allows it.
+    fn send_extra(
+        &mut self,
+        now: Micros,
+        to: usize,
+        include_receiver_row: bool,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
+        if self.take_extra_send_token() {
+            self.refresh_own_row(now);
+            self.send_gossip(now, to, include_receiver_row, out);
         }
     }
 
-    /// Takes one of the sends beyond the turn, if one is left.
-    fn has_token(&mut self) -> bool {
-        let left = self.tokens >= 1_000_000;
-        self.tokens -= if left { 1_000_000 } else { 0 };
-        left
+    /// Takes a token for an extra send; returns whether there was one.
+    fn take_extra_send_token(&mut self) -> bool {
+        let is_available = self.extra_send_tokens >= 1_000_000;
+        self.extra_send_tokens -= if is_available { 1_000_000 } else { 0 };
+        is_available
     }
 
-    fn put(&mut self, to: usize, said: &Said, out: &mut Vec<OutgoingDatagram>) {
-        let datagram = put(self.setup.site_id, said);
-        self.counts.sent += 1;
-        self.counts.sent_bytes += datagram.len() as u64;
+    fn push_datagram(&mut self, to: usize, message: &Said, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = put(self.setup.site_id, message);
+        self.counters.sent += 1;
+        self.counters.sent_bytes += datagram.len() as u64;
         out.push(OutgoingDatagram { to, datagram });
     }
 
-    /// What each datagram begins with.
-    fn opening(&self) -> Said {
-        let rows = self.view.get(self.setup.own_index).map(|known| known.row).into_iter().collect();
-        Said { epoch: self.view.view_digest(), rows, ..Said::default() }
+    /// A message with what each datagram starts with: the view's digest and this node's own row.
+    fn new_message(&self) -> Said {
+        let rows = self.view.get(self.setup.own_index).map(|record| record.row).into_iter().collect();
+        Said { epoch: self.view.digest(), rows, ..Said::default() }
     }
 
-    /// One that it doesn't watch, for word to get round: one that is here, or any, and one whose datagrams come where
-    /// word is missing.
-    fn somebody_far(&mut self, now: Micros) -> Option<usize> {
-        if self.setup.node_count <= self.watched.len() + 1 {
+    /// A random node that is not a neighbour, through which news spreads: at times any node, otherwise one that is here.
+    /// While this node needs help, half the choices go to nodes whose own datagrams have come here within a lease.
+    fn random_distant_peer(&mut self, now: Micros) -> Option<usize> {
+        if self.setup.node_count <= self.neighbours.len() + 1 {
             return None;
         }
-        let (any, known_way) = (self.dice.0.bool(), self.in_need(now) && self.dice.0.bool());
-        let near =
-            |direct: Option<Micros>| direct.is_some_and(|at| now < at + self.setup.parameters.lease_duration);
-        if known_way {
-            let ways = (0..self.setup.node_count)
-                .filter(|node| near(self.direct[*node]) && !self.watched.contains(node));
-            let ways: Vec<usize> = ways.collect();
-            if !ways.is_empty() {
-                return Some(ways[self.dice.0.usize(..ways.len())]);
+        let (any_state, prefer_heard) = (self.rng.0.bool(), self.needs_help(now) && self.rng.0.bool());
+        let is_recent = |last_direct_at: Option<Micros>| {
+            last_direct_at.is_some_and(|at| now < at + self.setup.parameters.lease_duration)
+        };
+        if prefer_heard {
+            let heard = (0..self.setup.node_count)
+                .filter(|node| is_recent(self.last_direct_at[*node]) && !self.neighbours.contains(node));
+            let heard: Vec<usize> = heard.collect();
+            if !heard.is_empty() {
+                return Some(heard[self.rng.0.usize(..heard.len())]);
             }
         }
         for _ in 0..8 {
-            let node = self.dice.0.usize(..self.setup.node_count);
-            let good = any || self.states[node].0 == NodeState::Here;
-            if node != self.setup.own_index && !self.watched.contains(&node) && good {
+            let node = self.rng.0.usize(..self.setup.node_count);
+            let is_suitable = any_state || self.reported_states[node].0 == NodeState::Here;
+            if node != self.setup.own_index && !self.neighbours.contains(&node) && is_suitable {
                 return Some(node);
             }
         }
         None
     }
 
-    fn send(&mut self, now: Micros, to: usize, with_its_own: bool, out: &mut Vec<OutgoingDatagram>) {
-        let row = |view: &View, node: usize| view.get(node).map(|known| known.row);
-        let mut said = self.opening();
-        let beside = self.watched.iter().position(|&watched| watched == to);
-        if with_its_own {
-            said.rows.extend(row(&self.view, to)); // so that it learns of the life before, or of its double
-        }
-        if beside.is_none() {
-            said.wants = self.wants();
-            let lately = now < self.disagreed + 2 * self.setup.parameters.heartbeat_interval;
-            said.digests = lately.then(|| self.view.digests());
-        }
-        // Any way round: what one hears and another doesn't.
-        for &node in &self.watched {
-            let fresh = |known: &&Known| now <= known.at + 2 * self.setup.parameters.heartbeat_interval;
-            let Some(known) = self.view.get(node).filter(fresh) else { continue };
-            let place = self.ring.neighbour_index(to, node);
-            let deaf = row(&self.view, to).zip(place).is_some_and(|(row, place)| !row.heard[place].direct);
-            if node != to && deaf && said.length() + known.row.length() <= LONGEST {
-                said.rows.push(known.row);
+    /// Sends a node this node's row, the rows it seems to lack, changed rows, and others in rotation.
+    /// `include_receiver_row`: also what is known of the receiver itself.
+    fn send_gossip(
+        &mut self,
+        now: Micros,
+        to: usize,
+        include_receiver_row: bool,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
+        let row_of = |view: &View, node: usize| view.get(node).map(|record| record.row);
+        let mut message = self.new_message();
+        let neighbour_index = self.neighbours.iter().position(|&neighbour| neighbour == to);
+        if include_receiver_row {
+            message.rows.extend(row_of(&self.view, to)); // shows it an earlier process, or another one, of its name
+        }
+        if neighbour_index.is_none() {
+            message.wants = self.wanted_nodes();
+            let differed_lately =
+                now < self.last_difference_at + 2 * self.setup.parameters.heartbeat_interval;
+            message.digests = differed_lately.then(|| self.view.bucket_digests());
+        }
+        // Relays the rows of nodes that this node hears and the receiver does not.
+        for &node in &self.neighbours {
+            let is_recent = |record: &&NodeRecord| {
+                now <= record.received_at + 2 * self.setup.parameters.heartbeat_interval
+            };
+            let Some(record) = self.view.get(node).filter(is_recent) else { continue };
+            let heard_index = self.ring.neighbour_index(to, node);
+            let is_unheard = row_of(&self.view, to)
+                .zip(heard_index)
+                .is_some_and(|(row, heard_index)| !row.heard[heard_index].direct);
+            if node != to && is_unheard && message.length() + record.row.length() <= LONGEST {
+                message.rows.push(record.row);
             }
         }
-        for _ in 0..self.spread.pending() {
-            let Some((node, whole)) = self.spread.next() else { break };
-            let news = row(&self.view, node).filter(|_| node != to && !said.has(node as u16));
-            if news.is_some_and(|row| !said.add(row, !whole, LONGEST)) {
+        for _ in 0..self.gossip.len() {
+            let Some((node, full)) = self.gossip.peek() else { break };
+            let changed_row = row_of(&self.view, node).filter(|_| node != to && !message.has(node as u16));
+            if changed_row.is_some_and(|row| !message.add(row, !full, LONGEST)) {
                 break;
             }
-            self.spread.told(node);
-        }
-        // One beside it that sees the same learns nothing from all others' rows.
-        let agrees = beside.is_some_and(|at| !self.differs[at]);
-        for _ in 0..self.setup.node_count.min(if agrees { 0 } else { 32 }) {
-            let node = self.spread.in_turn();
-            let other = row(&self.view, node).filter(|_| node != to && !said.has(node as u16));
-            if other.is_some_and(|row| !said.add(row, true, IN_TURN)) {
+            self.gossip.mark_sent(node);
+        }
+        // A neighbour with the same view learns nothing from rows in rotation.
+        let views_agree = neighbour_index.is_some_and(|index| !self.views_differ[index]);
+        for _ in 0..self.setup.node_count.min(if views_agree { 0 } else { 32 }) {
+            let node = self.gossip.next_in_rotation();
+            let row = row_of(&self.view, node).filter(|_| node != to && !message.has(node as u16));
+            if row.is_some_and(|row| !message.add(row, true, ROTATION_LENGTH_LIMIT_BYTES)) {
                 break;
             }
         }
-        self.put(to, &said, out);
+        self.push_datagram(to, &message, out);
     }
 
-    /// Tells what a node has become, if that is something else.
-    fn tell_state(&mut self, now: Micros, node: usize) {
+    /// Adds an event if a node's state has changed.
+    fn report_state(&mut self, now: Micros, node: usize) {
         if node == self.setup.own_index {
             return;
         }
-        let (is, why) = self.state(now, node);
-        let was = self.states[node].0;
-        if is != was {
-            self.states[node] = (is, now, why.clone());
-            let incarnation = self.view.get(node).map_or(0, |known| known.row.incarnation);
-            self.change(MembershipEvent::StateChanged {
-                node,
-                previous: was,
-                current: is,
-                incarnation,
-                reason: why,
-            });
+        let (current, reason) = self.state(now, node);
+        let previous = self.reported_states[node].0;
+        if current != previous {
+            self.reported_states[node] = (current, now, reason.clone());
+            let incarnation = self.view.get(node).map_or(0, |record| record.row.incarnation);
+            self.push_event(MembershipEvent::StateChanged { node, previous, current, incarnation, reason });
         }
     }
 }
--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -1,23 +1,24 @@
-//! What is known of all nodes: the newest row of each, when it came and by whom, and who is gone.
+//! What this node knows of all nodes: the newest row of each, when and through whom it came, and which nodes are gone.
+//! Times are in microseconds by this node's clock.
 
 use lilacquay_codec::siblings::{BUCKETS, Row, Standing};
 
 use crate::Micros;
 use crate::ring::Ring;
 
-/// What a node is, as far as this one knows.
+/// The state of a node, as far as this one knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum NodeState {
-    /// It was heard of within a bound, its watchers confirm it, and it has confirmed hearing us where it watches us.
+    /// News of it is fresh, its watchers confirm it, and, where it watches us, it has acknowledged our heartbeats.
     Here,
-    /// This incarnation uses no part of anything shared any more.
+    /// This incarnation no longer uses any share of a common resource.
     Gone,
-    /// Neither. Nobody takes more than its own part for this.
+    /// Neither is certain. Nobody takes over a share because of it.
     Unknown,
 }
 
 impl NodeState {
-    /// The word for it.
+    /// The name shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             NodeState::Here => "here",
@@ -27,216 +28,264 @@
     }
 }
 
-/// StateReason a node is held to be what it is.
+/// The evidence for a node's state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum StateReason {
     /// Nothing was heard of it yet.
     NeverHeard,
     /// Its row came, through this node.
     Heard {
-        /// Who brought it: itself, or another.
+        /// The node that sent it: itself, or another.
         via: usize,
     },
-    /// It has begun a new incarnation; the one before is gone.
+    /// It has started a new incarnation; the previous one is gone.
     NewIncarnation {
-        /// The incarnation before.
+        /// The previous incarnation.
         previous: u64,
-        /// Who brought the word.
+        /// The node that sent the row.
         via: usize,
     },
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Left,
-    /// So many of its watchers say that its lease has run out.
+    /// A quorum of its watchers reports that its lease has expired.
     LeaseExpired {
-        /// Who say so.
+        /// The watchers that report it.
         reported_by: Vec<usize>,
     },
     /// Nothing new was heard of it for too long.
     Silent,
-    /// It is not confirmed itself, by its own word.
+    /// By its own row, too few of its watchers confirm it.
     Unconfirmed,
-    /// It hasn't confirmed hearing us, though it should.
+    /// It watches this node and has not acknowledged its heartbeats in time.
     DoesNotHearUs,
 }
 
 /// What is known of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Known {
+pub(crate) struct NodeRecord {
     pub row: Row,
-    /// Of which beat the row is that told what it has heard; none did if there is none.
-    pub told: Option<u32>,
-    /// When its newest row came, and by whom.
-    pub at: Micros,
-    pub by: usize,
+    /// The heartbeat number of the row from which `row.heard` was taken; none if only brief rows came so far.
+    pub heard_heartbeat: Option<u32>,
+    /// When the newest row came, and from whom.
+    pub received_at: Micros,
+    pub received_from: usize,
     /// The incarnation that is gone, and why.
     pub gone: Option<(u64, StateReason)>,
-    /// When it was last heard to call.
-    called: Option<Micros>,
-    /// When it began the present incarnation, as heard here, and the one before.
-    pub newer_than: Option<u64>,
+    /// When its last help request (`Standing::calling`) was relayed.
+    help_relayed_at: Option<Micros>,
+    /// The incarnation before the present one, if this node has known it.
+    pub previous_incarnation: Option<u64>,
 }
 
-impl Known {
+impl NodeRecord {
     pub fn is_gone(&self) -> bool {
         self.gone.as_ref().is_some_and(|(incarnation, _)| *incarnation >= self.row.incarnation)
     }
 }
 
-/// All nodes' newest rows.
+/// The newest rows of all nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct View {
-    known: Vec<Option<Known>>,
-    /// A call is passed on once in so long.
+    records: Vec<Option<NodeRecord>>,
+    /// The least time between two relays of one node's help requests.
     ///
-    /// Guards against: one that calls and sends ten datagrams in a period, each of which all others pass on.
-    pace: Micros,
-    /// Numbers of all incarnations that are known, and of those that are gone, by bucket: those who agree have the same.
-    epoch: [u64; BUCKETS],
+    /// A node in need sends ten datagrams in a heartbeat interval; without the limit all others would relay each of them.
+    help_relay_interval: Micros,
+    /// By bucket, a digest of all known incarnations and of which are gone: nodes with the same view have the same.
+    bucket_digests: [u64; BUCKETS],
 }
 
-/// What taking a row has come to.
+/// The result of merging a row into the view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Taken {
-    /// It is older than what is known, or of no node of the list.
-    Old,
-    /// It is what is known.
-    Same,
-    /// It is newer, and says nothing new of who is there and who hears whom.
-    Beat,
-    /// It says something new of itself.
-    News,
-    /// It says something new of another, or needs word.
-    Ends,
+pub(crate) enum MergeOutcome {
+    /// It is older than what is known, or of a node that is not in the list.
+    Outdated,
+    /// It is what is known already.
+    Unchanged,
+    /// It is newer, and changes nothing in who is here and who hears whom.
+    HeartbeatOnly,
+    /// The node's own state has changed.
+    Changed,
+    /// It reports an expired lease of another node, or asks for help; to be relayed at once.
+    Urgent,
 }
 
 impl View {
-    pub fn new(nodes: usize, pace: Micros) -> View {
-        View { known: vec![None; nodes], pace, epoch: [0; BUCKETS] }
+    pub fn new(node_count: usize, help_relay_interval: Micros) -> View {
+        View { records: vec![None; node_count], help_relay_interval, bucket_digests: [0; BUCKETS] }
     }
 
-    pub fn get(&self, node: usize) -> Option<&Known> {
-        self.known.get(node)?.as_ref()
+    pub fn get(&self, node: usize) -> Option<&NodeRecord> {
+        self.records.get(node)?.as_ref()
     }
 
-    /// The view's number.
-    pub fn view_digest(&self) -> u32 {
-        let mixed =
-            self.epoch.iter().zip(0..).fold(0, |sum: u64, (epoch, turn)| sum ^ epoch.rotate_left(turn));
+    /// A digest of the whole view.
+    pub fn digest(&self) -> u32 {
+        let mixed = self
+            .bucket_digests
+            .iter()
+            .zip(0..)
+            .fold(0, |sum: u64, (digest, rotation)| sum ^ digest.rotate_left(rotation));
         (mixed ^ mixed >> 32) as u32
     }
 
-    /// The view by bucket.
-    pub fn digests(&self) -> [u16; BUCKETS] {
-        self.epoch.map(|epoch| (epoch ^ epoch >> 16 ^ epoch >> 32 ^ epoch >> 48) as u16)
+    /// The digests of all buckets, as they are sent.
+    pub fn bucket_digests(&self) -> [u16; BUCKETS] {
+        self.bucket_digests.map(|digest| (digest ^ digest >> 16 ^ digest >> 32 ^ digest >> 48) as u16)
     }
 
     /// The nodes of a bucket.
-    pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = usize> + use<> {
-        (bucket..self.known.len()).step_by(BUCKETS)
+    pub fn bucket_nodes(&self, bucket: usize) -> impl Iterator<Item = usize> + use<> {
+        (bucket..self.records.len()).step_by(BUCKETS)
     }
 
-    /// What a node counts for in the view's number.
-    fn share(&self, node: usize) -> u64 {
-        let Some(known) = self.get(node) else { return 0 };
+    /// A node's contribution to its bucket's digest.
+    fn digest_of(&self, node: usize) -> u64 {
+        let Some(record) = self.get(node) else { return 0 };
         let mixed =
-            (node as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ known.row.incarnation.rotate_left(17);
-        let mixed = (mixed ^ u64::from(known.is_gone())).wrapping_mul(0xD6E8_FEB8_6659_FD93);
+            (node as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ record.row.incarnation.rotate_left(17);
+        let mixed = (mixed ^ u64::from(record.is_gone())).wrapping_mul(0xD6E8_FEB8_6659_FD93);
         mixed ^ mixed >> 29
     }
 
-    /// Takes a row that `by` has brought. `brief`: it says nothing of what it has heard, so that what is known of that stays.
+    /// Merges a row that came from the node `from`.
     ///
-    /// `stale`: after so long word of a node is news, whatever it says.
-    pub fn take(&mut self, now: Micros, row: Row, brief: bool, by: usize, stale: Micros) -> Taken {
+    /// `is_brief`: the row carries no `heard` list, so that the known one stays. `stale_after`: when the last row of the
+    /// node is older than this, any newer one counts as a change.
+    pub fn merge(
+        &mut self,
+        now: Micros,
+        row: Row,
+        is_brief: bool,
+        from: usize,
+        stale_after: Micros,
+    ) -> MergeOutcome {
         let node = usize::from(row.origin);
-        if node >= self.known.len() {
-            return Taken::Old; // no node of the list
+        if node >= self.records.len() {
+            return MergeOutcome::Outdated; // not in the list of nodes
         }
-        let before = self.share(node);
-        let (told, pace) = ((!brief).then_some(row.beat), self.pace);
-        let taken = match &mut self.known[node] {
-            Some(known) if row.incarnation < known.row.incarnation => return Taken::Old,
-            Some(known) => {
-                let (was, begins) = (known.row, row.incarnation > known.row.incarnation);
-                let newer = row.age() > was.age();
-                let tells = !brief && (begins || known.told.is_none_or(|told| row.beat > told));
-                if !newer && !tells {
-                    return if row.age() == was.age() { Taken::Same } else { Taken::Old };
+        let digest_before = self.digest_of(node);
+        let (heard_heartbeat, help_relay_interval) =
+            ((!is_brief).then_some(row.beat), self.help_relay_interval);
+        let outcome = match &mut self.records[node] {
+            Some(record) if row.incarnation < record.row.incarnation => return MergeOutcome::Outdated,
+            Some(record) => {
+                let (previous, is_new_incarnation) = (record.row, row.incarnation > record.row.incarnation);
+                let is_newer = row.age() > previous.age();
+                let updates_heard = !is_brief
+                    && (is_new_incarnation
+                        || record.heard_heartbeat.is_none_or(|heartbeat| row.beat > heartbeat));
+                if !is_newer && !updates_heard {
+                    return if row.age() == previous.age() {
+                        MergeOutcome::Unchanged
+                    } else {
+                        MergeOutcome::Outdated
+                    };
                 }
-                let late = newer && now > known.at + stale;
-                if newer {
-                    known.newer_than = if begins { Some(was.incarnation) } else { known.newer_than };
-                    (known.row, known.at, known.by) =
-                        (Row { heard: was.heard, watches: was.watches, ..row }, now, by);
+                let was_stale = is_newer && now > record.received_at + stale_after;
+                if is_newer {
+                    record.previous_incarnation = if is_new_incarnation {
+                        Some(previous.incarnation)
+                    } else {
+                        record.previous_incarnation
+                    };
+                    (record.row, record.received_at, record.received_from) =
+                        (Row { heard: previous.heard, watches: previous.watches, ..row }, now, from);
                 }
-                if tells {
-                    (known.row.heard, known.row.watches, known.told) = (row.heard, row.watches, told);
-                } else if begins {
-                    (known.row.heard, known.told) = Default::default();
+                if updates_heard {
+                    (record.row.heard, record.row.watches, record.heard_heartbeat) =
+                        (row.heard, row.watches, heard_heartbeat);
+                } else if is_new_incarnation {
+                    (record.row.heard, record.heard_heartbeat) = Default::default();
                 }
-                let calls = row.standing.calling && known.called.is_none_or(|called| now >= called + pace);
-                known.called = if calls { Some(now) } else { known.called };
-                match news(&was, &known.row) {
-                    Taken::Beat if calls => Taken::Ends,
-                    Taken::Beat if late => Taken::News,
-                    taken => taken,
+                let relays_help = row.standing.calling
+                    && record
+                        .help_relayed_at
+                        .is_none_or(|relayed_at| now >= relayed_at + help_relay_interval);
+                record.help_relayed_at = if relays_help { Some(now) } else { record.help_relayed_at };
+                match classify_change(&previous, &record.row) {
+                    MergeOutcome::HeartbeatOnly if relays_help => MergeOutcome::Urgent,
+                    MergeOutcome::HeartbeatOnly if was_stale => MergeOutcome::Changed,
+                    outcome => outcome,
                 }
             }
-            none => {
-                let called = row.standing.calling.then_some(now);
-                *none = Some(Known { row, told, at: now, by, gone: None, called, newer_than: None });
-                if called.is_some() {
-                    Taken::Ends
+            empty => {
+                let help_relayed_at = row.standing.calling.then_some(now);
+                *empty = Some(NodeRecord {
+                    row,
+                    heard_heartbeat,
+                    received_at: now,
+                    received_from: from,
+                    gone: None,
+                    help_relayed_at,
+                    previous_incarnation: None,
+                });
+                if help_relayed_at.is_some() {
+                    MergeOutcome::Urgent
                 } else {
-                    news(&Row { incarnation: 0, ..Row::default() }, &row)
+                    classify_change(&Row { incarnation: 0, ..Row::default() }, &row)
                 }
             }
         };
         if row.standing.leaving {
-            self.known[node].as_mut().expect("set above").gone = Some((row.incarnation, StateReason::Left));
+            self.records[node].as_mut().expect("the record was set above").gone =
+                Some((row.incarnation, StateReason::Left));
         }
-        self.epoch[node % BUCKETS] ^= before ^ self.share(node);
-        taken
+        self.bucket_digests[node % BUCKETS] ^= digest_before ^ self.digest_of(node);
+        outcome
     }
 
-    /// Looks whether enough watchers hold a node's lease to have run out.
-    pub fn judge(&mut self, ring: &Ring, node: usize) {
-        let Some(known) = self.get(node).filter(|known| !known.is_gone()) else { return };
-        let incarnation = known.row.incarnation;
-        let says = |&watcher: &usize| {
-            let row = self.get(watcher).map(|known| &known.row);
-            let place = ring.neighbour_index(watcher, node);
-            row.zip(place).is_some_and(|(row, place)| {
-                let heard = row.heard[place];
+    /// Marks a node as gone if a quorum of its watchers reports that its lease has expired.
+    pub fn apply_expiry_quorum(&mut self, ring: &Ring, node: usize) {
+        let Some(record) = self.get(node).filter(|record| !record.is_gone()) else { return };
+        let incarnation = record.row.incarnation;
+        let reports_expired = |&watcher: &usize| {
+            let row = self.get(watcher).map(|record| &record.row);
+            let index = ring.neighbour_index(watcher, node);
+            row.zip(index).is_some_and(|(row, index)| {
+                let heard = row.heard[index];
                 heard.expired && heard.incarnation == incarnation as u32
             })
         };
-        let by: Vec<usize> = ring.neighbours(node).filter(says).collect();
-        if by.len() >= ring.expiry_quorum() {
-            let before = self.share(node);
-            self.known[node].as_mut().expect("looked at above").gone =
-                Some((incarnation, StateReason::LeaseExpired { reported_by: by }));
-            self.epoch[node % BUCKETS] ^= before ^ self.share(node);
+        let reported_by: Vec<usize> = ring.neighbours(node).filter(reports_expired).collect();
+        if reported_by.len() >= ring.expiry_quorum() {
+            let digest_before = self.digest_of(node);
+            self.records[node].as_mut().expect("the record was read above").gone =
+                Some((incarnation, StateReason::LeaseExpired { reported_by }));
+            self.bucket_digests[node % BUCKETS] ^= digest_before ^ self.digest_of(node);
         }
     }
 
-    /// The machine slept: what was heard was heard so much earlier.
-    pub fn slept(&mut self, time: Micros) {
-        self.known.iter_mut().flatten().for_each(|known| known.at = known.at.saturating_sub(time));
+    /// Accounts for a suspension of the machine: all rows are older by its duration.
+    pub fn apply_suspension(&mut self, duration: Micros) {
+        self.records
+            .iter_mut()
+            .flatten()
+            .for_each(|record| record.received_at = record.received_at.saturating_sub(duration));
     }
 }
 
-/// What a newer row says that is new. Which ways are open is told in turn, unless somebody calls.
-fn news(was: &Row, is: &Row) -> Taken {
-    let ends = was.heard.iter().zip(&is.heard);
-    let mut ends = ends.map(|(was, is)| is.expired && (!was.expired || was.incarnation != is.incarnation));
-    if ends.any(|ends| ends) {
-        return Taken::Ends;
+/// Classifies what a newer row changes. Which links are up is not urgent and spreads by rotation, unless a node asks for
+/// help.
+fn classify_change(previous: &Row, current: &Row) -> MergeOutcome {
+    let reports = previous.heard.iter().zip(&current.heard);
+    let mut expiries = reports.map(|(previous, current)| {
+        current.expired && (!previous.expired || previous.incarnation != current.incarnation)
+    });
+    if expiries.any(|is_new| is_new) {
+        return MergeOutcome::Urgent;
+    }
+    let is_new_incarnation = previous.incarnation < current.incarnation;
+    // A node that has just started has nothing to report until it is confirmed.
+    let is_starting = !current.standing.confirmed
+        && !current.standing.leaving
+        && previous.standing.confirmed == is_new_incarnation;
+    // Help requests are relayed separately, at a limited rate.
+    let same_standing =
+        Standing { calling: previous.standing.calling, ..current.standing } == previous.standing;
+    if is_starting || !is_new_incarnation && same_standing {
+        MergeOutcome::HeartbeatOnly
+    } else {
+        MergeOutcome::Changed
     }
-    let newer = was.incarnation < is.incarnation;
-    // One that has just begun has nothing to tell until it is confirmed.
-    let begins = !is.standing.confirmed && !is.standing.leaving && was.standing.confirmed == newer;
-    // That it calls is told apart from this, at a pace.
-    let same = Standing { calling: was.standing.calling, ..is.standing } == was.standing;
-    if begins || !newer && same { Taken::Beat } else { Taken::News }
 }
