--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -1,68 +1,72 @@
-//! Membership in virtual time: who is known to be what, within which bounds, through whatever happens on the ways.
+//! Tests of membership in virtual time: which state each node has at the others, and how soon, under loss, delay,
+//! duplication, cuts, pauses, crashes and restarts. Times are in microseconds.
 
 use lilacquay_siblings::simulation::{Link, MS, SEC, Simulation};
 use lilacquay_siblings::{FULL_SHARE, MembershipEvent, NodeState, Parameters, StateReason};
 
-/// A death is known to all of so many within this, and a start.
-const KNOWN: u64 = 10 * SEC;
+/// Within this time a crash, or a start, is known to all nodes.
+const DETECTION_LIMIT_US: u64 = 10 * SEC;
 
+/// A simulation in which all nodes have started, agree, and use their own shares.
 fn settled(nodes: usize, seed: u64) -> Simulation {
-    let mut world = Simulation::new(nodes, seed);
-    world.checks_invariants = nodes <= 30;
-    world.start_all(SEC);
-    world.run_until(30 * SEC, Simulation::is_converged);
-    let settle = 2 * Parameters::default().expiry_timeout();
-    world.run(settle);
-    world
+    let mut sim = Simulation::new(nodes, seed);
+    sim.checks_invariants = nodes <= 30;
+    sim.start_all(SEC);
+    sim.run_until(30 * SEC, Simulation::is_converged);
+    let settling_time = 2 * Parameters::default().expiry_timeout();
+    sim.run(settling_time);
+    sim
 }
 
 #[test]
-fn all_are_here_and_use_their_whole_parts_soon_after_their_start() {
+fn all_nodes_are_here_and_use_their_full_shares_soon_after_the_start() {
     for (nodes, seed) in [(1, 1), (2, 2), (3, 3), (4, 4), (5, 5), (6, 6), (30, 7), (300, 8)] {
-        let world = settled(nodes, seed);
-        assert!((0..nodes).all(|node| world.usable_share(node) == FULL_SHARE), "{nodes}");
-        assert!((0..nodes).all(|node| world.membership(node).state_counts() == [nodes - 1, 0, 0]));
+        let sim = settled(nodes, seed);
+        assert!((0..nodes).all(|node| sim.usable_share(node) == FULL_SHARE), "{nodes}");
+        assert!((0..nodes).all(|node| sim.membership(node).state_counts() == [nodes - 1, 0, 0]));
     }
 }
 
-/// The death of one is known, its part is taken by the two beside it, and it gets that back.
+/// After a crash, all nodes learn of it, the two adjacent nodes take over the share, and the node gets
+/// it back on its return.
 #[test]
-fn a_dead_one_is_gone_to_all_its_part_is_taken_and_given_back() {
+fn a_crashed_node_is_gone_at_all_nodes_and_its_share_is_taken_over_and_given_back() {
     for (nodes, seed) in [(3, 1), (5, 2), (6, 3), (30, 4), (300, 5)] {
-        let mut world = settled(nodes, seed);
-        let dead = seed as usize % nodes;
-        world.kill(dead);
-        let known = |w: &Simulation| (0..nodes).all(|at| at == dead || w.state(dead, at) == NodeState::Gone);
-        world.run_until(KNOWN, known);
-        world.run_until(KNOWN, |w| {
+        let mut sim = settled(nodes, seed);
+        let crashed = seed as usize % nodes;
+        sim.kill(crashed);
+        let is_known =
+            |w: &Simulation| (0..nodes).all(|at| at == crashed || w.state(crashed, at) == NodeState::Gone);
+        sim.run_until(DETECTION_LIMIT_US, is_known);
+        sim.run_until(DETECTION_LIMIT_US, |w| {
             (0..nodes).map(|node| w.usable_share(node)).sum::<u32>() == nodes as u32 * FULL_SHARE
         });
-        let now = world.now;
-        world.start_at(dead, now);
-        world.run_until(5 * SEC, |w| w.runs(dead) && w.usable_share(dead) == FULL_SHARE);
-        world.run_until(KNOWN, Simulation::is_converged);
+        let now = sim.now;
+        sim.start_at(crashed, now);
+        sim.run_until(5 * SEC, |w| w.runs(crashed) && w.usable_share(crashed) == FULL_SHARE);
+        sim.run_until(DETECTION_LIMIT_US, Simulation::is_converged);
     }
 }
 
 #[test]
-fn loss_spread_and_doubling_alone_make_nobody_gone() {
+fn loss_delay_duplication_and_short_pauses_expire_no_lease() {
     for (nodes, loss, seed) in [(3, 100, 1), (5, 200, 2), (30, 200, 3), (30, 100, 4)] {
-        let mut world = Simulation::new(nodes, seed);
-        world.default_link =
+        let mut sim = Simulation::new(nodes, seed);
+        sim.default_link =
             Link { loss_permille: loss, duplicate_permille: 50, delay_range: (MS, 200 * MS), cut: false };
-        world.start_all(SEC);
-        world.run_until(30 * SEC, Simulation::is_converged);
-        world.events.clear();
+        sim.start_all(SEC);
+        sim.run_until(30 * SEC, Simulation::is_converged);
+        sim.events.clear();
         for _ in 0..6 {
-            world.run(20 * SEC);
-            let node = world.rng.usize(0..nodes);
-            world.pause(node); // a second of each minute or less
-            world.run(SEC);
-            world.resume(node);
+            sim.run(20 * SEC);
+            let node = sim.rng.usize(0..nodes);
+            sim.pause(node); // on average at most one second per minute for each node
+            sim.run(SEC);
+            sim.resume(node);
         }
-        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
             matches!(
-                change,
+                event,
                 MembershipEvent::StateChanged {
                     current: NodeState::Gone,
                     reason: StateReason::LeaseExpired { .. },
@@ -70,37 +74,37 @@
                 }
             )
         };
-        assert_eq!(world.events.iter().find(gone), None, "{nodes} at {loss}");
+        assert_eq!(sim.events.iter().find(is_gone), None, "{nodes} at {loss}");
     }
 }
 
 #[test]
-fn a_pause_within_the_bound_changes_nothing_and_a_longer_one_heals() {
+fn a_pause_within_the_bound_changes_no_state_and_after_a_longer_one_all_agree_again() {
     for pause in [100 * MS, SEC, Parameters::default().longest_unnoticed_pause()] {
-        let mut world = settled(5, pause);
-        world.events.clear();
-        world.pause(2);
-        world.run(pause);
-        world.resume(2);
-        world.run(10 * SEC);
-        let told = |(_, _, change): &&(u64, usize, MembershipEvent)| {
-            matches!(change, MembershipEvent::StateChanged { .. })
+        let mut sim = settled(5, pause);
+        sim.events.clear();
+        sim.pause(2);
+        sim.run(pause);
+        sim.resume(2);
+        sim.run(10 * SEC);
+        let is_state_change = |(_, _, event): &&(u64, usize, MembershipEvent)| {
+            matches!(event, MembershipEvent::StateChanged { .. })
         };
-        assert_eq!(world.events.iter().find(told), None, "a pause of {pause}");
+        assert_eq!(sim.events.iter().find(is_state_change), None, "a pause of {pause}");
     }
     for pause in [3 * SEC, 10 * SEC] {
-        let mut world = settled(5, pause);
-        world.events.clear();
-        world.pause(2);
-        world.run(pause);
-        world.resume(2);
-        let accused = world.events.len();
-        world.run_until(5 * SEC, Simulation::is_converged);
-        // Whoever wakes up accuses nobody: it says nothing of the others but that they are here.
-        let accuses = |(_, at, change): &&(u64, usize, MembershipEvent)| {
+        let mut sim = settled(5, pause);
+        sim.events.clear();
+        sim.pause(2);
+        sim.run(pause);
+        sim.resume(2);
+        let events_before = sim.events.len();
+        sim.run_until(5 * SEC, Simulation::is_converged);
+        // A node that resumes must not report others as expired for what it could not receive during its pause.
+        let is_expiry = |(_, at, event): &&(u64, usize, MembershipEvent)| {
             *at == 2
                 && matches!(
-                    change,
+                    event,
                     MembershipEvent::StateChanged {
                         current: NodeState::Gone,
                         reason: StateReason::LeaseExpired { .. },
@@ -108,29 +112,29 @@
                     }
                 )
         };
-        assert_eq!(world.events[accused..].iter().find(accuses), None);
+        assert_eq!(sim.events[events_before..].iter().find(is_expiry), None);
     }
 }
 
 #[test]
-fn all_paused_at_once_and_late_all_the_time_accuse_nobody() {
-    let mut world = settled(6, 1);
-    world.events.clear();
+fn pauses_of_all_nodes_at_once_and_constant_lateness_expire_no_lease() {
+    let mut sim = settled(6, 1);
+    sim.events.clear();
     for _ in 0..5 {
-        (0..6).for_each(|node| world.pause(node));
-        world.run(10 * SEC);
-        (0..6).for_each(|node| world.resume(node));
-        world.run_until(5 * SEC, Simulation::is_converged);
+        (0..6).for_each(|node| sim.pause(node));
+        sim.run(10 * SEC);
+        (0..6).for_each(|node| sim.resume(node));
+        sim.run_until(5 * SEC, Simulation::is_converged);
     }
     for _ in 0..40 {
-        (0..6).for_each(|node| world.pause(node));
-        world.run(400 * MS);
-        (0..6).for_each(|node| world.resume(node));
-        world.run(300 * MS);
+        (0..6).for_each(|node| sim.pause(node));
+        sim.run(400 * MS);
+        (0..6).for_each(|node| sim.resume(node));
+        sim.run(300 * MS);
     }
-    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+    let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
         matches!(
-            change,
+            event,
             MembershipEvent::StateChanged {
                 current: NodeState::Gone,
                 reason: StateReason::LeaseExpired { .. },
@@ -138,60 +142,60 @@
             }
         )
     };
-    assert_eq!(world.events.iter().find(gone), None);
+    assert_eq!(sim.events.iter().find(is_gone), None);
 }
 
 #[test]
-fn a_one_sided_cut_shows_as_one_and_ends_no_lease() {
+fn a_cut_in_one_direction_is_shown_as_such_and_expires_no_lease() {
     for nodes in [3, 5, 30] {
-        let mut world = settled(nodes, 9);
-        let (a, b) = (0, world.membership(0).peers(0).iter().find(|f| f.we_hear.is_some()).unwrap().node);
-        world.events.clear();
-        world.cut(a, b, true); // b doesn't hear a
-        world.run(60 * SEC);
-        let ways = world.membership(b).link_states(world.clock(b));
-        let open = |from, to| ways.iter().find(|way| (way.from, way.to) == (from, to)).unwrap().is_up;
-        assert!(!open(a, b) && open(b, a), "{nodes}: {ways:?}");
-        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        let mut sim = settled(nodes, 9);
+        let (a, b) = (0, sim.membership(0).peers(0).iter().find(|f| f.we_hear.is_some()).unwrap().node);
+        sim.events.clear();
+        sim.cut(a, b, true); // b doesn't hear a
+        sim.run(60 * SEC);
+        let links = sim.membership(b).link_states(sim.clock(b));
+        let is_up = |from, to| links.iter().find(|link| (link.from, link.to) == (from, to)).unwrap().is_up;
+        assert!(!is_up(a, b) && is_up(b, a), "{nodes}: {links:?}");
+        let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
             matches!(
-                change,
+                event,
                 MembershipEvent::StateChanged { current: NodeState::Gone, .. }
                     | MembershipEvent::ConfirmationChanged(false)
             )
         };
-        assert_eq!(world.events.iter().find(gone), None, "{nodes}");
+        assert_eq!(sim.events.iter().find(is_gone), None, "{nodes}");
     }
 }
 
-/// Each hears the one before it alone.
+/// Each node hears only the node before it.
 #[test]
-fn in_a_ring_of_one_sided_ways_all_stay_here() {
-    let mut world = settled(5, 3);
-    world.events.clear();
+fn with_links_in_one_direction_around_a_circle_all_nodes_stay_here() {
+    let mut sim = settled(5, 3);
+    sim.events.clear();
     for from in 0..5 {
-        (0..5).filter(|&to| to != from && to != (from + 1) % 5).for_each(|to| world.cut(from, to, true));
+        (0..5).filter(|&to| to != from && to != (from + 1) % 5).for_each(|to| sim.cut(from, to, true));
     }
-    world.run(60 * SEC);
-    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
-        matches!(change, MembershipEvent::StateChanged { current: NodeState::Gone, .. })
+    sim.run(60 * SEC);
+    let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
+        matches!(event, MembershipEvent::StateChanged { current: NodeState::Gone, .. })
     };
-    assert_eq!(world.events.iter().find(gone), None);
+    assert_eq!(sim.events.iter().find(is_gone), None);
 }
 
 #[test]
-fn one_that_is_cut_from_all_but_one_can_be_heard_by_a_way_round() {
+fn a_node_that_reaches_a_single_other_node_is_heard_through_it() {
     for nodes in [5, 30, 100] {
-        let mut world = settled(nodes, 4);
-        world.events.clear();
-        let (cut, friend) = (1, (1 + nodes / 2) % nodes);
-        for other in (0..nodes).filter(|&other| other != cut && other != friend) {
-            world.cut(cut, other, true);
-            world.cut(other, cut, true);
+        let mut sim = settled(nodes, 4);
+        sim.events.clear();
+        let (isolated, reachable) = (1, (1 + nodes / 2) % nodes);
+        for other in (0..nodes).filter(|&other| other != isolated && other != reachable) {
+            sim.cut(isolated, other, true);
+            sim.cut(other, isolated, true);
         }
-        world.run(60 * SEC);
-        let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+        sim.run(60 * SEC);
+        let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
             matches!(
-                change,
+                event,
                 MembershipEvent::StateChanged {
                     current: NodeState::Gone,
                     reason: StateReason::LeaseExpired { .. },
@@ -199,132 +203,136 @@
                 }
             )
         };
-        assert_eq!(world.events.iter().find(gone), None, "{nodes}");
+        assert_eq!(sim.events.iter().find(is_gone), None, "{nodes}");
     }
 }
 
 #[test]
-fn half_and_half_for_a_minute_never_use_more_than_the_whole_and_heal() {
+fn the_halves_of_a_split_never_use_more_than_the_total_and_agree_soon_after_it() {
     for (nodes, seed) in [(5, 1), (6, 2), (30, 3), (100, 4)] {
-        let mut world = settled(nodes, seed);
-        world.split(|node| node < nodes / 2, true);
-        world.run(60 * SEC);
+        let mut sim = settled(nodes, seed);
+        sim.split(|node| node < nodes / 2, true);
+        sim.run(60 * SEC);
         for at in 0..nodes {
-            let own = (0..nodes).filter(|&of| of != at && (of < nodes / 2) == (at < nodes / 2));
-            let gone: Vec<usize> = own.filter(|&of| world.state(of, at) == NodeState::Gone).collect();
-            assert!(gone.is_empty(), "{at} holds {gone:?} to be gone, whom it can hear");
+            let same_half = (0..nodes).filter(|&of| of != at && (of < nodes / 2) == (at < nodes / 2));
+            let gone: Vec<usize> = same_half.filter(|&of| sim.state(of, at) == NodeState::Gone).collect();
+            assert!(gone.is_empty(), "{at} holds {gone:?} to be gone, which it can hear");
         }
-        world.split(|node| node < nodes / 2, false);
-        world.run_until(5 * SEC, Simulation::is_converged);
+        sim.split(|node| node < nodes / 2, false);
+        sim.run_until(5 * SEC, Simulation::is_converged);
     }
 }
 
 #[test]
-fn eighty_of_a_hundred_are_killed_and_back_under_their_names() {
-    let mut world = settled(100, 5);
-    world.checks_invariants = false;
+fn eighty_of_a_hundred_nodes_crash_within_a_second_and_return() {
+    let mut sim = settled(100, 5);
+    sim.checks_invariants = false;
     for node in 0..80 {
-        let at = world.now + world.rng.u64(0..SEC);
-        let back = 300 * MS;
-        world.run(at.saturating_sub(world.now).min(SEC / 80));
-        world.kill(node);
-        let again = world.now + back;
-        world.start_at(node, again);
-        world.check();
+        let at = sim.now + sim.rng.u64(0..SEC);
+        let downtime = 300 * MS;
+        sim.run(at.saturating_sub(sim.now).min(SEC / 80));
+        sim.kill(node);
+        let restart_at = sim.now + downtime;
+        sim.start_at(node, restart_at);
+        sim.check();
     }
-    world.run_until(KNOWN, Simulation::is_converged);
-    world.run_until(KNOWN, |w| (0..100).all(|node| w.usable_share(node) == FULL_SHARE));
-    world.check();
+    sim.run_until(DETECTION_LIMIT_US, Simulation::is_converged);
+    sim.run_until(DETECTION_LIMIT_US, |w| (0..100).all(|node| w.usable_share(node) == FULL_SHARE));
+    sim.check();
 }
 
 #[test]
-fn one_that_flaps_twice_a_second_troubles_nobody_else() {
-    let mut world = settled(6, 6);
-    world.events.clear();
+fn a_node_that_restarts_twice_a_second_makes_no_other_node_gone() {
+    let mut sim = settled(6, 6);
+    sim.events.clear();
     for _ in 0..40 {
-        world.kill(0);
-        world.run(150 * MS);
-        let now = world.now;
-        world.start_at(0, now);
-        world.run(350 * MS);
+        sim.kill(0);
+        sim.run(150 * MS);
+        let now = sim.now;
+        sim.start_at(0, now);
+        sim.run(350 * MS);
     }
-    let others = |(_, _, change): &&(u64, usize, MembershipEvent)| matches!(change, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node != 0);
-    assert_eq!(world.events.iter().find(others), None);
-    world.run_until(5 * SEC, Simulation::is_converged);
+    let is_other_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| matches!(event, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node != 0);
+    assert_eq!(sim.events.iter().find(is_other_gone), None);
+    sim.run_until(5 * SEC, Simulation::is_converged);
 }
 
-/// A name in the list under which nothing ever ran.
+/// The list names a node whose process was never started.
 #[test]
-fn one_that_never_was_is_not_known_and_the_others_are_here() {
-    let mut world = Simulation::new(5, 7);
-    (0..4).for_each(|node| world.start_at(node, SEC));
-    world.run(SEC);
-    world.run_until(10 * SEC, Simulation::is_converged);
-    world.run(30 * SEC);
-    assert!((0..4).all(|at| world.state(4, at) == NodeState::Unknown));
+fn a_node_that_never_started_is_unknown_and_the_others_are_here() {
+    let mut sim = Simulation::new(5, 7);
+    (0..4).for_each(|node| sim.start_at(node, SEC));
+    sim.run(SEC);
+    sim.run_until(10 * SEC, Simulation::is_converged);
+    sim.run(30 * SEC);
+    assert!((0..4).all(|at| sim.state(4, at) == NodeState::Unknown));
     assert!(
-        (0..4).all(|node| world.usable_share(node) == FULL_SHARE),
-        "nobody takes the part of one that is not known"
+        (0..4).all(|node| sim.usable_share(node) == FULL_SHARE),
+        "nobody takes over the share of an unknown node"
     );
 }
 
-/// Clocks that are 5 s apart, and one that goes back over a restart that nobody noticed.
+/// The wall clocks are 5 s apart, and one is put back by 20 s during a restart that no other node notices. Incarnations are
+/// made from the wall clock, and must increase nevertheless.
 #[test]
-fn one_that_comes_back_with_its_clock_put_back_is_newer_than_it_was() {
-    let mut world = Simulation::new(5, 8);
-    (0..5).for_each(|node| world.nodes[node].wall_off = node as i64 * 5_000_000 - 10_000_000);
-    world.start_all(SEC);
-    world.run_until(10 * SEC, Simulation::is_converged);
-    let before = world.membership(3).incarnation();
-    world.kill(3);
-    world.nodes[3].wall_off -= 20_000_000;
-    let now = world.now;
-    world.start_at(3, now);
-    world.run_until(5 * SEC, |w| w.runs(3) && w.membership(3).incarnation() > before && w.is_converged());
+fn a_node_that_restarts_with_its_clock_put_back_gets_a_newer_incarnation() {
+    let mut sim = Simulation::new(5, 8);
+    (0..5).for_each(|node| sim.nodes[node].wall_offset = node as i64 * 5_000_000 - 10_000_000);
+    sim.start_all(SEC);
+    sim.run_until(10 * SEC, Simulation::is_converged);
+    let before = sim.membership(3).incarnation();
+    sim.kill(3);
+    sim.nodes[3].wall_offset -= 20_000_000;
+    let now = sim.now;
+    sim.start_at(3, now);
+    sim.run_until(5 * SEC, |w| w.runs(3) && w.membership(3).incarnation() > before && w.is_converged());
 }
 
-/// At rest the bytes a node sends don't grow with the number of nodes; in a storm there is a bound.
+/// At rest the bytes that a node sends do not grow with the number of nodes; while a split heals they are bounded.
 #[test]
-fn bytes_are_bounded_whatever_the_number_and_the_storm() {
+fn bytes_sent_are_bounded_at_rest_and_while_a_split_heals() {
     for (nodes, loss) in [(30, 0), (300, 0), (300, 200)] {
-        let mut world = Simulation::new(nodes, 9);
-        world.checks_invariants = false;
-        world.default_link = Link { loss_permille: loss, ..Link::default() };
-        world.start_all(SEC);
-        world.run(25 * SEC);
-        let sent = |world: &Simulation| world.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
-        let before = sent(&world);
-        world.run(10 * SEC);
-        let rest = (sent(&world) - before) / 10 / nodes as u64;
-        assert!(rest <= 2_048, "{nodes}: {rest} bytes a second at rest");
-        let odd: Vec<bool> = (0..nodes).map(|_| world.rng.bool()).collect();
-        world.split(|node| odd[node], true);
-        world.run(15 * SEC);
-        world.split(|node| odd[node], false);
-        world.reset_links();
-        let before = sent(&world);
-        let healed = world.run_until(30 * SEC, Simulation::is_converged);
-        assert!(healed <= if loss > 0 { 7 * SEC } else { 5 * SEC }, "{nodes}: healed after {healed}");
-        let storm = (sent(&world) - before) * SEC / healed / nodes as u64;
-        assert!(storm <= 16_000, "{nodes}: {storm} bytes a second in a storm");
+        let mut sim = Simulation::new(nodes, 9);
+        sim.checks_invariants = false;
+        sim.default_link = Link { loss_permille: loss, ..Link::default() };
+        sim.start_all(SEC);
+        sim.run(25 * SEC);
+        let total_sent = |sim: &Simulation| sim.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
+        let before = total_sent(&sim);
+        sim.run(10 * SEC);
+        let at_rest = (total_sent(&sim) - before) / 10 / nodes as u64;
+        assert!(at_rest <= 2_048, "{nodes}: {at_rest} bytes a second at rest");
+        let in_first_group: Vec<bool> = (0..nodes).map(|_| sim.rng.bool()).collect();
+        sim.split(|node| in_first_group[node], true);
+        sim.run(15 * SEC);
+        sim.split(|node| in_first_group[node], false);
+        sim.reset_links();
+        let before = total_sent(&sim);
+        let healing_time = sim.run_until(30 * SEC, Simulation::is_converged);
+        assert!(
+            healing_time <= if loss > 0 { 7 * SEC } else { 5 * SEC },
+            "{nodes}: healed after {healing_time}"
+        );
+        let while_healing = (total_sent(&sim) - before) * SEC / healing_time / nodes as u64;
+        assert!(while_healing <= 16_000, "{nodes}: {while_healing} bytes a second while healing");
     }
 }
 
-/// Datagrams of another site, garbled, cut, led astray or sent again change nothing.
+/// Datagrams that are of another site, corrupt, truncated, misrouted or replayed must change nothing.
 #[test]
-fn strays_change_nothing() {
-    let world = settled(3, 10);
-    let (now, wall) = (world.clock(0), 1_700_000_100 * SEC);
-    let mut other = world.membership(1).clone();
-    let good = other.tick(now, wall).into_iter().find(|out| out.to == 0).unwrap().datagram;
-    let mut node = world.membership(0).clone();
-    node.handle_datagram(now, wall, 1, &good);
+fn invalid_datagrams_change_nothing() {
+    let sim = settled(3, 10);
+    let (now, wall) = (sim.clock(0), 1_700_000_100 * SEC);
+    let mut other = sim.membership(1).clone();
+    let valid = other.tick(now, wall).into_iter().find(|out| out.to == 0).unwrap().datagram;
+    let mut node = sim.membership(0).clone();
+    node.handle_datagram(now, wall, 1, &valid);
     let before = (node.peers(now), node.view_digest(), node.resource_share(now));
     let mut cases: Vec<(usize, Vec<u8>)> =
-        vec![(2, good.clone()), (0, good.clone()), (1, good[..40].to_vec())];
-    let mut stranger = good.clone();
-    stranger[4] ^= 1;
-    cases.extend([(1, stranger), (1, good)]);
+        vec![(2, valid.clone()), (0, valid.clone()), (1, valid[..40].to_vec())];
+    let mut corrupt = valid.clone();
+    corrupt[4] ^= 1;
+    cases.extend([(1, corrupt), (1, valid)]);
     for (from, datagram) in cases {
         node.handle_datagram(now, wall, from, &datagram);
         assert_eq!((node.peers(now), node.view_digest(), node.resource_share(now)), before);
@@ -332,113 +340,114 @@
     assert!(node.counters().invalid >= 4);
 }
 
-/// Whatever happens, in any order: the sum of the parts, and nobody gone who uses its own. In the end all heal.
+/// Random sequences of faults: at each step the shares add up to no more than the total and no node is gone that uses its
+/// share, and after the last fault all nodes agree.
 #[test]
-fn whatever_happens_the_parts_hold_and_all_heal() {
+fn under_random_faults_the_invariants_hold_and_all_nodes_agree_in_the_end() {
     for seed in 0..60 {
         let nodes = [3, 4, 5, 7][seed as usize % 4];
-        let mut world = Simulation::new(nodes, seed);
-        world.default_link.loss_permille = world.rng.u32(0..250);
-        world.default_link.delay_range.1 = world.rng.u64(2 * MS..800 * MS);
-        world.default_link.duplicate_permille = 100;
-        world.start_all(2 * SEC);
+        let mut sim = Simulation::new(nodes, seed);
+        sim.default_link.loss_permille = sim.rng.u32(0..250);
+        sim.default_link.delay_range.1 = sim.rng.u64(2 * MS..800 * MS);
+        sim.default_link.duplicate_permille = 100;
+        sim.start_all(2 * SEC);
         for _ in 0..60 {
-            let (a, b) = (world.rng.usize(0..nodes), world.rng.usize(0..nodes));
-            match world.rng.u8(0..10) {
-                0 => world.kill(a),
-                1 | 2 if !world.runs(a) => {
-                    let now = world.now;
-                    world.start_at(a, now);
+            let (a, b) = (sim.rng.usize(0..nodes), sim.rng.usize(0..nodes));
+            match sim.rng.u8(0..10) {
+                0 => sim.kill(a),
+                1 | 2 if !sim.runs(a) => {
+                    let now = sim.now;
+                    sim.start_at(a, now);
                 }
-                3 => world.pause(a),
-                4 | 5 => world.resume(a),
-                6 | 7 if a != b => world.cut(a, b, true),
-                8 if a != b => world.cut(a, b, false),
-                9 => world.nodes[a].wall_off = world.rng.i64(-5_000_000..5_000_000),
+                3 => sim.pause(a),
+                4 | 5 => sim.resume(a),
+                6 | 7 if a != b => sim.cut(a, b, true),
+                8 if a != b => sim.cut(a, b, false),
+                9 => sim.nodes[a].wall_offset = sim.rng.i64(-5_000_000..5_000_000),
                 _ => {}
             }
-            let wait = world.rng.u64(10 * MS..2 * SEC);
-            world.run(wait);
+            let wait = sim.rng.u64(10 * MS..2 * SEC);
+            sim.run(wait);
         }
-        world.default_link = Link::default();
+        sim.default_link = Link::default();
         for a in 0..nodes {
-            world.resume(a);
-            (0..nodes).filter(|&b| b != a).for_each(|b| *world.link(a, b) = Link::default());
-            if !world.runs(a) {
-                let now = world.now;
-                world.start_at(a, now);
+            sim.resume(a);
+            (0..nodes).filter(|&b| b != a).for_each(|b| *sim.link(a, b) = Link::default());
+            if !sim.runs(a) {
+                let now = sim.now;
+                sim.start_at(a, now);
             }
         }
-        world.run(MS);
-        world.run_until(30 * SEC, Simulation::is_converged);
+        sim.run(MS);
+        sim.run_until(30 * SEC, Simulation::is_converged);
     }
 }
 
-/// Whatever a datagram says that is well made, no node is brought down by it, and none sends without end.
+/// Well-formed datagrams with arbitrary contents must not crash a node, nor make it send without bound.
 #[test]
-fn nothing_that_can_be_said_brings_a_node_down() {
+fn no_well_formed_datagram_crashes_a_node_or_makes_it_flood() {
     use lilacquay_codec::siblings::{Heard, Row, Said, Standing, put};
     let mut rng = fastrand::Rng::with_seed(12);
     for nodes in [2, 3, 5, 40] {
-        let mut world = settled(nodes, 12);
-        let (mut now, mut sent) = (world.clock(0), 0);
-        let node = world.nodes[0].membership.as_mut().unwrap();
+        let mut sim = settled(nodes, 12);
+        let (mut now, mut sent) = (sim.clock(0), 0);
+        let node = sim.nodes[0].membership.as_mut().unwrap();
         for _ in 0..20_000 {
-            let number = |rng: &mut fastrand::Rng| [0, 1, u32::MAX, rng.u32(..)][rng.usize(..4)];
+            let edge_case = |rng: &mut fastrand::Rng| [0, 1, u32::MAX, rng.u32(..)][rng.usize(..4)];
             let mut row = Row { origin: rng.u16(..50), watches: rng.u8(..5), ..Row::default() };
-            row.incarnation = [0, 1, u64::from(number(&mut rng)) << 14, (1 << 48) - 1][rng.usize(..4)];
-            row.beat = number(&mut rng);
+            row.incarnation = [0, 1, u64::from(edge_case(&mut rng)) << 14, (1 << 48) - 1][rng.usize(..4)];
+            row.beat = edge_case(&mut rng);
             row.standing =
                 Standing { confirmed: rng.bool(), leaving: rng.bool(), calling: rng.bool(), paused: false };
             row.heard = row.heard.map(|_| Heard {
-                incarnation: number(&mut rng),
+                incarnation: edge_case(&mut rng),
                 beat: rng.u16(..),
                 direct: rng.bool(),
                 expired: rng.bool(),
             });
             let from = rng.usize(1..nodes);
             let first = Row { origin: from as u16, ..row };
-            let mut said = Said { epoch: number(&mut rng), rows: vec![first], ..Said::default() };
-            said.add(Row { origin: rng.u16(..50), ..row }, rng.bool(), 256);
-            said.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
-            said.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
+            let mut message = Said { epoch: edge_case(&mut rng), rows: vec![first], ..Said::default() };
+            message.add(Row { origin: rng.u16(..50), ..row }, rng.bool(), 256);
+            message.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
+            message.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
             now += rng.u64(..2 * MS);
-            sent += node.handle_datagram(now, 0, from, &put(7, &said)).len();
+            sent += node.handle_datagram(now, 0, from, &put(7, &message)).len();
             if rng.u8(..50) == 0 {
                 node.tick(now, 0);
             }
             assert!(node.resource_share(now).thousandths_at(now) <= 2 * FULL_SHARE);
         }
-        assert!(sent < 40 + 20_000 / 25, "{nodes}: {sent} beyond the turn in 20 s");
+        assert!(sent < 40 + 20_000 / 25, "{nodes}: {sent} extra datagrams in 20 s");
     }
 }
 
-/// One that says of all whom it watches, again and again, that their leases have run out.
+/// A faulty node reports again and again that the leases of all nodes that it watches have expired.
 #[test]
-fn one_that_swears_that_all_others_are_dead_ends_nobody() {
+fn a_node_that_reports_all_others_as_expired_makes_none_gone() {
     use lilacquay_codec::siblings::{Heard, Row, Said, put, site};
     assert_ne!(site("a", 3), site("a", 4));
-    let mut world = settled(5, 13);
-    world.kill(4);
-    world.run(10 * SEC);
-    world.events.clear();
+    let mut sim = settled(5, 13);
+    sim.kill(4);
+    sim.run(10 * SEC);
+    sim.events.clear();
     let ring = lilacquay_siblings::Ring::new(5);
     for beat in 1..=120 {
-        world.run(500 * MS);
-        let of = |node: usize| world.membership(node).incarnation() as u32;
+        sim.run(500 * MS);
+        let incarnation_of = |node: usize| sim.membership(node).incarnation() as u32;
         let mut row = Row { origin: 4, incarnation: 1 << 47, beat, watches: 4, ..Row::default() };
         row.standing.confirmed = true;
         for (heard, node) in row.heard.iter_mut().zip(ring.neighbours(4)) {
-            *heard = Heard { incarnation: of(node), beat: 1, direct: true, expired: true };
+            *heard = Heard { incarnation: incarnation_of(node), beat: 1, direct: true, expired: true };
         }
         let datagram = put(7, &Said { rows: vec![row], ..Said::default() });
         for node in 0..4 {
-            world.deliver(4, node, &datagram);
+            sim.deliver(4, node, &datagram);
         }
     }
-    let gone = |(_, _, change): &&(u64, usize, MembershipEvent)| {
+    let is_gone = |(_, _, event): &&(u64, usize, MembershipEvent)| {
         matches!(
-            change,
+            event,
             MembershipEvent::StateChanged {
                 current: NodeState::Gone,
                 reason: StateReason::LeaseExpired { .. },
@@ -446,96 +455,102 @@
             }
         )
     };
-    assert_eq!(world.events.iter().find(gone), None);
-    let began = world
+    assert_eq!(sim.events.iter().find(is_gone), None);
+    let started = sim
         .events
         .iter()
-        .filter(|(_, _, change)| matches!(change, MembershipEvent::IncarnationStarted { .. }))
+        .filter(|(_, _, event)| matches!(event, MembershipEvent::IncarnationStarted { .. }))
         .count();
-    assert!(began <= 4 * 8, "{began} in a minute at four nodes: each ten seconds at the most");
-    assert!((0..4).all(|node| world.membership(node).is_confirmed(world.clock(node))));
+    assert!(
+        started <= 4 * 8,
+        "{started} incarnations in a minute at four nodes: at most one each per ten seconds"
+    );
+    assert!((0..4).all(|node| sim.membership(node).is_confirmed(sim.clock(node))));
 }
 
-/// Two processes of one name hear of each other through the others: one gives way, and says so.
+/// Two processes under one name learn of each other through other nodes. Exactly one gives way, and reports it.
 #[test]
-fn of_two_processes_of_one_name_one_gives_way() {
+fn of_two_processes_under_one_name_exactly_one_gives_way() {
     use lilacquay_siblings::{Membership, Setup};
     for seed in 0..8 {
-        // The places of the two are 2 and 3; both are node 2 of three.
+        // Processes 2 and 3 both run as node 2 of three.
         let (mut now, wall) = (SEC, 1_700_000_000 * SEC);
-        let name = |place: usize| place.min(2);
-        let setup = |place: usize| Setup {
-            own_index: name(place),
+        let node_of = |process: usize| process.min(2);
+        let setup = |process: usize| Setup {
+            own_index: node_of(process),
             node_count: 3,
             site_id: 7,
-            seed: seed * 10 + place as u64,
+            seed: seed * 10 + process as u64,
             parameters: Parameters::default(),
         };
-        let mut all: Vec<Membership> = (0..3).map(|place| Membership::new(setup(place), now, wall)).collect();
-        let mut told = 0;
+        let mut processes: Vec<Membership> =
+            (0..3).map(|process| Membership::new(setup(process), now, wall)).collect();
+        let mut superseded_events = 0;
         for step in 0..120 {
             if step == 40 {
-                all.push(Membership::new(setup(3), now, wall + now));
+                processes.push(Membership::new(setup(3), now, wall + now));
             }
-            for place in 0..all.len() {
-                let mut due: Vec<(usize, usize, Vec<u8>)> = Vec::new();
-                let out = all[place].tick(now, wall + now);
-                due.extend(out.into_iter().map(|out| (place, out.to, out.datagram)));
+            for process in 0..processes.len() {
+                let mut in_flight: Vec<(usize, usize, Vec<u8>)> = Vec::new();
+                let out = processes[process].tick(now, wall + now);
+                in_flight.extend(out.into_iter().map(|out| (process, out.to, out.datagram)));
                 for _ in 0..8 {
-                    for (from, to, datagram) in std::mem::take(&mut due) {
-                        for at in (0..all.len()).filter(|&at| name(at) == to && at != from) {
-                            let out = all[at].handle_datagram(now, wall + now, name(from), &datagram);
-                            due.extend(out.into_iter().map(|out| (at, out.to, out.datagram)));
+                    for (from, to, datagram) in std::mem::take(&mut in_flight) {
+                        for at in (0..processes.len()).filter(|&at| node_of(at) == to && at != from) {
+                            let out =
+                                processes[at].handle_datagram(now, wall + now, node_of(from), &datagram);
+                            in_flight.extend(out.into_iter().map(|out| (at, out.to, out.datagram)));
                         }
                     }
                     now += MS;
                 }
             }
-            now += 500 * MS - 8 * MS * all.len() as u64;
+            now += 500 * MS - 8 * MS * processes.len() as u64;
         }
-        for node in &mut all {
-            told +=
-                node.take_events().iter().filter(|change| **change == MembershipEvent::Superseded).count();
+        for node in &mut processes {
+            superseded_events +=
+                node.take_events().iter().filter(|event| **event == MembershipEvent::Superseded).count();
         }
-        let superseded: Vec<bool> = all.iter().map(Membership::is_superseded).collect();
+        let superseded: Vec<bool> = processes.iter().map(Membership::is_superseded).collect();
         assert_eq!(
             superseded.iter().filter(|superseded| **superseded).count(),
             1,
             "seed {seed}: {superseded:?}"
         );
-        assert!(told == 1 && superseded[2], "the one that has run for long gives way");
-        assert!(all[3].is_confirmed(now - 500 * MS), "seed {seed}: the other is node 2");
+        assert!(superseded_events == 1 && superseded[2], "the process that has run for longer gives way");
+        assert!(processes[3].is_confirmed(now - 500 * MS), "seed {seed}: the other is node 2");
     }
 }
 
-/// The bounds that operators are told, with datagrams lost: half of all know of a death within 5 s, nearly all within 10.
+/// The documented detection times under loss: half of all nodes learn of a crash within 5 s, nearly
+/// all within 10 s.
 #[test]
-fn with_a_tenth_or_a_fifth_lost_a_death_is_known_within_its_bounds() {
+fn with_ten_or_twenty_percent_loss_a_crash_is_known_within_the_documented_times() {
     for (nodes, loss) in [(30, 200), (100, 100)] {
-        let mut world = Simulation::new(nodes, 3);
-        (world.checks_invariants, world.default_link) =
+        let mut sim = Simulation::new(nodes, 3);
+        (sim.checks_invariants, sim.default_link) =
             (false, Link { loss_permille: loss, delay_range: (MS, 20 * MS), ..Link::default() });
-        world.start_all(SEC);
-        world.run(20 * SEC);
+        sim.start_all(SEC);
+        sim.run(20 * SEC);
         let mut times: Vec<u64> = Vec::new();
         for round in 0..4 {
-            let dead = (round * 37 + 5) % nodes;
-            world.kill(dead);
-            let start = world.now;
-            world.events.clear();
-            world.run(12 * SEC);
-            for (time, _, change) in &world.events {
-                if matches!(change, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node == dead)
+            let crashed = (round * 37 + 5) % nodes;
+            sim.kill(crashed);
+            let start = sim.now;
+            sim.events.clear();
+            sim.run(12 * SEC);
+            for (time, _, event) in &sim.events {
+                if matches!(event, MembershipEvent::StateChanged { node, current: NodeState::Gone, .. } if *node == crashed)
                 {
                     times.push(time - start);
                 }
             }
-            let now = world.now;
-            world.start_at(dead, now);
-            world.run(5 * SEC);
+            let now = sim.now;
+            sim.start_at(crashed, now);
+            sim.run(5 * SEC);
         }
         times.sort_unstable();
-        assert_eq!(times.len(), 4 * (nodes - 1), "all know, each once");
+        assert_eq!(times.len(), 4 * (nodes - 1), "all nodes learn of it, each once");
         assert!(
             times[times.len() / 2] <= 5 * SEC && times[times.len() - 1] <= 10 * SEC,
             "{:?}",
@@ -544,36 +559,36 @@
     }
 }
 
-/// One that was gone comes back on one side of a split, while one beside it, on the other side, has a half of its part and is
-/// confirmed itself: it must let go of that, though it hears nothing of the return.
+/// A gone node returns on one side of a split, while an adjacent node on the other side, which is confirmed itself, has taken
+/// over half of its share. The adjacent node must give up that half although it hears nothing of the return.
 #[test]
-fn a_half_is_let_go_of_once_the_others_words_are_old() {
-    let mut world = settled(7, 14);
+fn a_half_share_is_given_up_once_the_other_watchers_acknowledgements_are_old() {
+    let mut sim = settled(7, 14);
     let ring = lilacquay_siblings::Ring::new(7);
-    let mut places = vec![0];
-    while places.len() < 7 {
-        places.push(ring.neighbours(places[places.len() - 1]).next().unwrap());
+    let mut ring_order = vec![0];
+    while ring_order.len() < 7 {
+        ring_order.push(ring.neighbours(ring_order[ring_order.len() - 1]).next().unwrap());
     }
-    let (back, beside) = (places[0], places[1]);
-    world.kill(back);
-    world.run_until(KNOWN, |w| w.usable_share(beside) > FULL_SHARE);
-    let far = [places[1], places[2], places[3]];
-    world.split(|node| far.contains(&node), true);
-    let now = world.now;
-    world.start_at(back, now);
-    world.run(15 * SEC); // each step is checked
-    assert!(world.usable_share(back) == FULL_SHARE && world.usable_share(beside) == FULL_SHARE);
-    assert_eq!(world.state(back, beside), NodeState::Gone, "it has heard nothing of the return");
+    let (returning, adjacent) = (ring_order[0], ring_order[1]);
+    sim.kill(returning);
+    sim.run_until(DETECTION_LIMIT_US, |w| w.usable_share(adjacent) > FULL_SHARE);
+    let other_side = [ring_order[1], ring_order[2], ring_order[3]];
+    sim.split(|node| other_side.contains(&node), true);
+    let now = sim.now;
+    sim.start_at(returning, now);
+    sim.run(15 * SEC); // each step is checked
+    assert!(sim.usable_share(returning) == FULL_SHARE && sim.usable_share(adjacent) == FULL_SHARE);
+    assert_eq!(sim.state(returning, adjacent), NodeState::Gone, "it has heard nothing of the return");
 }
 
 #[test]
-fn a_machine_that_slept_uses_nothing_until_it_is_confirmed_anew() {
-    let world = settled(3, 15);
-    let (now, wall) = (world.clock(0), 1_700_000_000 * SEC + world.now);
-    let mut node = world.membership(0).clone();
+fn a_machine_that_was_suspended_uses_nothing_until_it_is_confirmed_again() {
+    let sim = settled(3, 15);
+    let (now, wall) = (sim.clock(0), 1_700_000_000 * SEC + sim.now);
+    let mut node = sim.membership(0).clone();
     node.tick(now, wall);
     assert_eq!(node.resource_share(now + MS).thousandths_at(now + MS), FULL_SHARE);
-    // Its steady clock stood still meanwhile.
+    // The machine is suspended for 10 s: the monotonic clock stands still.
     node.tick(now + MS, wall + 10 * SEC);
     assert_eq!(node.resource_share(now + 2 * MS).thousandths_at(now + 2 * MS), 0);
 }
