--- a/crates/replica/src/gossip_queue.rs
+++ b/crates/replica/src/gossip_queue.rs
@@ -1,45 +1,46 @@
-//! Records that are news, and how often each is still to be told.
+//! The queue of changed records, with how often each is still to be sent.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// News that wait at most; what is beyond is found by the sums.
-const MOST: usize = 512;
+/// Most queued records. Further changes are found by comparing checksums instead.
+const MAX_QUEUED_RECORDS: usize = 512;
 
-/// Records that are news.
+/// The changed records, by id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Rumours {
-    left: BTreeMap<u64, u8>,
+pub(crate) struct GossipQueue {
+    remaining_sends: BTreeMap<u64, u8>,
     queue: VecDeque<u64>,
 }
 
-impl Rumours {
-    /// One is news, to be told so often.
-    pub fn news(&mut self, id: u64, times: u8) {
-        if self.left.len() < MOST && self.left.insert(id, times).is_none() {
+impl GossipQueue {
+    /// Queues a changed record, to be sent so many times.
+    pub fn enqueue(&mut self, id: u64, sends: u8) {
+        if self.remaining_sends.len() < MAX_QUEUED_RECORDS && self.remaining_sends.insert(id, sends).is_none()
+        {
             self.queue.push_front(id);
         }
     }
 
-    /// Another has told it as well: it need not be told as often any more.
-    pub fn known(&mut self, id: u64) {
-        if let Some(left) = self.left.get_mut(&id) {
-            *left = left.saturating_sub(1);
+    /// Reduces the remaining sends of a record that another node has sent as well.
+    pub fn record_duplicate(&mut self, id: u64) {
+        if let Some(remaining) = self.remaining_sends.get_mut(&id) {
+            *remaining = remaining.saturating_sub(1);
         }
     }
 
-    /// The next to be told, which counts as told once.
-    pub fn next(&mut self) -> Option<u64> {
+    /// The next record to send; counts as one send.
+    pub fn pop(&mut self) -> Option<u64> {
         while let Some(id) = self.queue.pop_front() {
-            match self.left.get_mut(&id) {
-                Some(left) if *left > 1 => {
-                    *left -= 1;
+            match self.remaining_sends.get_mut(&id) {
+                Some(remaining) if *remaining > 1 => {
+                    *remaining -= 1;
                     self.queue.push_back(id);
                     return Some(id);
                 }
-                Some(left) => {
-                    let last = *left == 1;
-                    self.left.remove(&id);
-                    if last {
+                Some(remaining) => {
+                    let is_last = *remaining == 1;
+                    self.remaining_sends.remove(&id);
+                    if is_last {
                         return Some(id);
                     }
                 }
@@ -49,7 +50,8 @@
         None
     }
 
+    /// How many records are queued.
     pub fn len(&self) -> usize {
-        self.left.len()
+        self.remaining_sends.len()
     }
 }
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -1,11 +1,11 @@
-//! Parts of what is divided, lent from one node to another for a time.
+//! Lending of resource shares from one node to another, for a limited time.
 //!
-//! Each node has its part of a whole, for as long as its watchers confirm it (`lilacquay_siblings`). It may lend from it what
-//! it doesn't use, no longer than it has the part itself: `until` by its own clock. What a borrower may use is counted from
-//! when it *asked*, by its own clock, and shortened by the worst drift, so that it is over before the lender uses it again,
-//! whatever was lost or late. Whoever starts again has forgotten what it lent; its part is not its own before its siblings
-//! have confirmed it for longer than any lease (`Own::settled` there), and a neighbour that takes over a gone one's part does
-//! so after that one's lease has run out, which no lending outlasts.
+//! Each node has a share of a total while its watchers confirm it (`lilacquay_siblings`). It may lend what it does not use,
+//! for no longer than it has the share itself. Each side counts by its own clock: the lender from when it answered, the
+//! borrower from when it *asked*, shortened by the worst clock drift. So the borrower's use ends before the lender uses the
+//! share again, whatever was lost or late. A node that restarts has forgotten what it lent; it does not have its share back
+//! until its watchers have confirmed it for longer than any lease lasts (`SelfState::is_settled` there). A neighbour that
+//! takes over the share of a gone node does so after that node's own lease has expired, which no lent share outlasts.
 
 use std::collections::BTreeMap;
 
@@ -13,213 +13,240 @@
 
 use crate::Micros;
 
-/// One asks again after so long.
-const AGAIN: Micros = 1_000_000;
-/// What is asked for at once, and of how many nodes at a time.
-const ASKED: usize = 3;
-/// A node keeps so much of its part for what may come, in thousandths.
-const KEPT: u32 = 250;
-/// Less than this is not worth a datagram.
-const LEAST: u32 = 50;
+/// The interval between two requests of a borrower.
+const REQUEST_INTERVAL_US: Micros = 1_000_000;
+/// How many lenders are asked at a time.
+const LENDERS_PER_REQUEST: usize = 3;
+/// The part of its share that a node keeps for future demand, in thousandths.
+const RESERVE_PERMILLE: u32 = 250;
+/// The least amount that is worth a datagram, in thousandths.
+const MIN_LOAN_PERMILLE: u32 = 50;
 
-/// By which figures it is lent.
+/// Limits of lending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Terms {
-    /// By how much a clock may be too quick or too slow, in thousandths.
-    pub drift: u64,
-    /// The longest time of a lending.
-    pub longest: Micros,
+pub struct LeaseLimits {
+    /// How much a clock may be too fast or too slow, in thousandths.
+    pub max_drift_permille: u64,
+    /// The longest duration of a lease.
+    pub max_duration: Micros,
 }
 
-impl Default for Terms {
+impl Default for LeaseLimits {
     fn default() -> Self {
-        Terms { drift: 10, longest: 3_000_000 }
+        LeaseLimits { max_drift_permille: 10, max_duration: 3_000_000 }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Lent {
-    number: u32,
+struct LentShare {
+    /// The number of the borrower's request.
+    request_number: u32,
     amount: u32,
-    /// It is the lender's again from then on, by its clock.
+    /// When it returns to the lender, by the lender's clock.
     until: Micros,
-    /// What was lent at an asking before, and until when: the answer to this one may be lost.
-    before: (u32, Micros),
+    /// The amount and the end of what was lent at the previous request: the answer to this one may be lost, and the borrower
+    /// then still uses the former.
+    previous: (u32, Micros),
 }
 
-impl Lent {
-    fn at(&self, now: Micros) -> u32 {
-        let held = |amount: u32, until: Micros| if now < until { amount } else { 0 };
-        held(self.amount, self.until).max(held(self.before.0, self.before.1))
+impl LentShare {
+    /// The most that the borrower may be using.
+    fn amount_at(&self, now: Micros) -> u32 {
+        let valid = |amount: u32, until: Micros| if now < until { amount } else { 0 };
+        valid(self.amount, self.until).max(valid(self.previous.0, self.previous.1))
     }
 
-    fn ends(&self) -> Micros {
-        self.until.max(self.before.1)
+    fn ends_at(&self) -> Micros {
+        self.until.max(self.previous.1)
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Borrowed {
-    number: u32,
-    asked: Micros,
+struct BorrowedShare {
+    request_number: u32,
+    requested_at: Micros,
     amount: u32,
-    /// It may be used until then, by the borrower's clock.
+    /// How long it may be used, by the borrower's clock.
     until: Micros,
 }
 
-/// What a node lends and borrows of one whole that is divided.
+/// What a node has lent and borrowed of one divided resource.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Purse {
-    terms: Terms,
-    /// What a life before has lent may be out until then.
-    forgotten_until: Micros,
-    number: u32,
-    /// To whom.
-    lent: BTreeMap<usize, Lent>,
-    /// Of whom.
-    borrowed: BTreeMap<usize, Borrowed>,
-    /// What it could use, in thousandths of a part.
-    wants: u32,
-    asked: Micros,
+pub struct LeaseLedger {
+    limits: LeaseLimits,
+    /// Until when shares may still be in use that an earlier process of this node has lent.
+    unknown_loans_until: Micros,
+    last_request_number: u32,
+    /// By borrower.
+    lent: BTreeMap<usize, LentShare>,
+    /// By lender.
+    borrowed: BTreeMap<usize, BorrowedShare>,
+    /// How much this node could use, in thousandths of a full share.
+    demand: u32,
+    requested_at: Micros,
 }
 
-/// What is to be said to whom.
-pub type Say = (usize, Rights);
+/// A message to a node, with the node's index.
+pub type LeaseMessage = (usize, Rights);
 
-impl Purse {
-    /// Of a process that starts. `first`: a number above those of lives before, for askings.
-    pub fn new(terms: Terms, now: Micros, first: u32) -> Purse {
-        // Guards against: a lender that starts again, has forgotten what it lent, and uses it beside the borrower.
-        let forgotten_until = now + terms.longest * (1_000 + 2 * terms.drift) / 1_000 + 10_000;
+impl LeaseLedger {
+    /// The ledger of a process that starts. `first_request_number` must be above those of earlier processes of this node.
+    pub fn new(limits: LeaseLimits, now: Micros, first_request_number: u32) -> LeaseLedger {
+        // A process that restarts has forgotten what it lent. Waiting for the longest lease prevents that it uses a share
+        // together with the borrower.
+        let unknown_loans_until =
+            now + limits.max_duration * (1_000 + 2 * limits.max_drift_permille) / 1_000 + 10_000;
         let (lent, borrowed) = Default::default();
-        Purse { terms, forgotten_until, number: first, lent, borrowed, wants: 0, asked: 0 }
+        LeaseLedger {
+            limits,
+            unknown_loans_until,
+            last_request_number: first_request_number,
+            lent,
+            borrowed,
+            demand: 0,
+            requested_at: 0,
+        }
     }
 
-    /// What it could use from now on, in thousandths of a part: its own may be less or more.
-    pub fn wants(&mut self, thousandths: u32) {
-        self.wants = thousandths;
+    /// Sets how much this node could use from now on, in thousandths of a full share; it may have less or more.
+    pub fn set_demand(&mut self, thousandths: u32) {
+        self.demand = thousandths;
     }
 
-    /// What it may use, of what is its own until then, in thousandths: what it lent is not in it, what it borrowed is.
-    pub fn has(&self, now: Micros, own: u32, own_until: Micros) -> u32 {
-        self.own_left(now, self.own(now, own, own_until)) + self.borrowed(now)
+    /// How much this node may use, in thousandths, if it has the share `own` until `own_until`: without what it has lent,
+    /// with what it has borrowed.
+    pub fn usable(&self, now: Micros, own: u32, own_until: Micros) -> u32 {
+        self.own_remaining(now, self.own_valid(now, own, own_until)) + self.borrowed(now)
     }
 
-    fn own(&self, now: Micros, own: u32, until: Micros) -> u32 {
-        if now < until && now >= self.forgotten_until { own } else { 0 }
+    /// The own share, or 0 if it is not valid now.
+    fn own_valid(&self, now: Micros, own: u32, until: Micros) -> u32 {
+        if now < until && now >= self.unknown_loans_until { own } else { 0 }
     }
 
-    /// Until when that is so at the least: the first end of what it borrowed.
+    /// The time until which at least that much may be used: the first end of a borrowed share.
     pub fn until(&self, now: Micros) -> Micros {
         let ends = self.borrowed.values().map(|borrowed| borrowed.until).filter(|&until| until > now);
         ends.min().unwrap_or(Micros::MAX)
     }
 
-    fn own_left(&self, now: Micros, own: u32) -> u32 {
+    fn own_remaining(&self, now: Micros, own: u32) -> u32 {
         own.saturating_sub(self.lent(now))
     }
 
-    /// What it has lent, in thousandths.
+    /// How much this node has lent, in thousandths.
     pub fn lent(&self, now: Micros) -> u32 {
-        self.lent.values().map(|lent| lent.at(now)).sum()
+        self.lent.values().map(|lent| lent.amount_at(now)).sum()
     }
 
-    /// What it has borrowed, in thousandths.
+    /// How much this node has borrowed, in thousandths.
     pub fn borrowed(&self, now: Micros) -> u32 {
-        let held = self.borrowed.values().filter(|borrowed| now < borrowed.until);
-        held.map(|borrowed| borrowed.amount).sum()
+        let valid = self.borrowed.values().filter(|borrowed| now < borrowed.until);
+        valid.map(|borrowed| borrowed.amount).sum()
     }
 
-    /// Time has passed. Asks those who are here for what is lacking; `some` chooses among them.
+    /// Does what is due as time passes: asks the nodes in `reachable` for what is lacking, or gives back what is not needed.
+    /// `choose` picks an index below its argument.
     pub fn tick(
         &mut self,
         now: Micros,
         own: u32,
         own_until: Micros,
-        here: &[usize],
-        mut some: impl FnMut(usize) -> usize,
-    ) -> Vec<Say> {
-        self.lent.retain(|_, lent| now < lent.ends());
-        let longest = self.terms.longest;
-        self.borrowed.retain(|_, borrowed| now < borrowed.until || now < borrowed.asked + longest);
-        let mut say = Vec::new();
-        if now < self.asked + AGAIN || now >= own_until || now < self.forgotten_until {
-            return say;
+        reachable: &[usize],
+        mut choose: impl FnMut(usize) -> usize,
+    ) -> Vec<LeaseMessage> {
+        self.lent.retain(|_, lent| now < lent.ends_at());
+        let max_duration = self.limits.max_duration;
+        self.borrowed
+            .retain(|_, borrowed| now < borrowed.until || now < borrowed.requested_at + max_duration);
+        let mut messages = Vec::new();
+        if now < self.requested_at + REQUEST_INTERVAL_US || now >= own_until || now < self.unknown_loans_until
+        {
+            return messages;
         }
-        let own = self.own_left(now, self.own(now, own, own_until));
-        // What is borrowed runs out soon: it is asked for again, of the same ones first.
-        let lacking = self.wants.saturating_sub(own);
-        if lacking < LEAST {
-            let back = |(&of, borrowed): (&usize, &Borrowed)| {
-                (now < borrowed.until).then_some((of, Rights::Back { number: borrowed.number }))
+        let own = self.own_remaining(now, self.own_valid(now, own, own_until));
+        // Borrowed shares end soon, so they count as lacking and are requested again, from the same lenders first.
+        let lacking = self.demand.saturating_sub(own);
+        if lacking < MIN_LOAN_PERMILLE {
+            let give_back = |(&lender, borrowed): (&usize, &BorrowedShare)| {
+                (now < borrowed.until).then_some((lender, Rights::Back { number: borrowed.request_number }))
             };
-            say.extend(self.borrowed.iter().filter_map(back));
+            messages.extend(self.borrowed.iter().filter_map(give_back));
             self.borrowed.clear();
-            return say;
+            return messages;
         }
-        self.asked = now;
-        let mut of: Vec<usize> = self.borrowed.keys().copied().filter(|of| here.contains(of)).collect();
-        for _ in 0..4 * ASKED {
-            if of.len() >= ASKED.max(self.borrowed.len()) || here.is_empty() {
+        self.requested_at = now;
+        let mut lenders: Vec<usize> =
+            self.borrowed.keys().copied().filter(|lender| reachable.contains(lender)).collect();
+        for _ in 0..4 * LENDERS_PER_REQUEST {
+            if lenders.len() >= LENDERS_PER_REQUEST.max(self.borrowed.len()) || reachable.is_empty() {
                 break;
             }
-            let one = here[some(here.len())];
-            if !of.contains(&one) {
-                of.push(one);
+            let lender = reachable[choose(reachable.len())];
+            if !lenders.contains(&lender) {
+                lenders.push(lender);
             }
         }
-        let each = lacking.div_ceil(of.len().max(1) as u32).max(LEAST);
-        for of in of {
-            self.number += 1;
-            say.push((of, Rights::Ask { number: self.number, amount: each }));
-            let number = self.number;
-            // What it holds of that one stays until the new lending comes, or its own end.
-            let held = self.borrowed.get(&of).map_or((0, 0), |held| (held.amount, held.until));
-            self.borrowed.insert(of, Borrowed { number, asked: now, amount: held.0, until: held.1 });
+        let amount_each = lacking.div_ceil(lenders.len().max(1) as u32).max(MIN_LOAN_PERMILLE);
+        for lender in lenders {
+            self.last_request_number += 1;
+            messages.push((lender, Rights::Ask { number: self.last_request_number, amount: amount_each }));
+            let request_number = self.last_request_number;
+            // What is borrowed of this lender stays valid until the new answer comes, or until its own end.
+            let current =
+                self.borrowed.get(&lender).map_or((0, 0), |borrowed| (borrowed.amount, borrowed.until));
+            self.borrowed.insert(
+                lender,
+                BorrowedShare { request_number, requested_at: now, amount: current.0, until: current.1 },
+            );
         }
-        say
+        messages
     }
 
-    /// Another has said something. Tells what is to be answered, if anything.
-    pub fn heard(
+    /// Handles a message of another node; returns the answer, if there is one.
+    pub fn handle_message(
         &mut self,
         now: Micros,
         from: usize,
-        said: Rights,
+        message: Rights,
         own: u32,
         own_until: Micros,
-    ) -> Option<Say> {
-        match said {
+    ) -> Option<LeaseMessage> {
+        match message {
             Rights::Ask { number, amount } => {
-                let before = match self.lent.get(&from) {
-                    // Guards against: one asking that comes twice, or late, after a newer one.
-                    Some(lent) if number <= lent.number => return None,
-                    Some(lent) => (lent.at(now), lent.ends()),
+                let previous = match self.lent.get(&from) {
+                    // Ignores a request that arrives twice, or late, after a newer one.
+                    Some(lent) if number <= lent.request_number => return None,
+                    Some(lent) => (lent.amount_at(now), lent.ends_at()),
                     None => (0, 0),
                 };
-                let own = self.own(now, own, own_until);
-                // The borrower uses what it had before, or what it gets now; never both.
-                let others = self.lent(now) - before.0;
-                let free = own.saturating_sub(others).saturating_sub(self.wants.max(KEPT));
+                let own = self.own_valid(now, own, own_until);
+                // The borrower uses what it had before or what it gets now, never both.
+                let lent_to_others = self.lent(now) - previous.0;
+                let free =
+                    own.saturating_sub(lent_to_others).saturating_sub(self.demand.max(RESERVE_PERMILLE));
                 let amount = amount.min(free);
-                let left = own_until.saturating_sub(now).min(self.terms.longest);
-                if amount < LEAST && before.0 == 0 {
+                let duration = own_until.saturating_sub(now).min(self.limits.max_duration);
+                if amount < MIN_LOAN_PERMILLE && previous.0 == 0 {
                     return None;
                 }
-                self.lent.insert(from, Lent { number, amount, until: now + left, before });
-                // Counted from when it was asked, which was before now, and by a clock that may be too slow.
-                let time = left - left * 2 * self.terms.drift / 1_000;
+                self.lent.insert(
+                    from,
+                    LentShare { request_number: number, amount, until: now + duration, previous },
+                );
+                // The borrower counts from when it asked, which was before now, by a clock that may be too slow.
+                let time = duration - duration * 2 * self.limits.max_drift_permille / 1_000;
                 Some((from, Rights::Lend { number, amount, time: u32::try_from(time).unwrap_or(0) }))
             }
             Rights::Lend { number, amount, time } => {
                 let borrowed = self.borrowed.get_mut(&from)?;
-                if borrowed.number == number {
-                    (borrowed.amount, borrowed.until) = (amount, borrowed.asked + Micros::from(time));
+                if borrowed.request_number == number {
+                    (borrowed.amount, borrowed.until) = (amount, borrowed.requested_at + Micros::from(time));
                 }
                 None
             }
             Rights::Back { number } => {
-                if self.lent.get(&from).is_some_and(|lent| lent.number <= number) {
+                if self.lent.get(&from).is_some_and(|lent| lent.request_number <= number) {
                     self.lent.remove(&from);
                 }
                 None
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,12 +1,13 @@
-//! What the nodes of a site hold in common: small records by kind, origin and name, that are alike at all of them some
-//! moments after the last change, whatever was lost, late or doubled on the way.
+//! State replicated among the nodes of a site: small records by kind, origin and name, which become identical at all nodes
+//! soon after the last change, whatever was lost, late or duplicated on the way.
 //!
-//! Each record is written by its origin alone, and of two copies the newer one stands, so that copies can be merged in any
-//! order. Where records of several origins speak of one thing, the kind's own rule says what follows, and no rule gives
-//! back what another takes away: [`orders`], [`endpoint_reports`], [`evidence`]. What may not be used twice is not
-//! held in common but lent: [`leases`]. `docs/design/replica.md` has the reasons and the bounds.
+//! Only its origin writes a record, and the newer of two versions wins, so that replicas can be merged in any order. Where
+//! records of several origins concern the same subject, a rule of the kind decides what follows, and no rule restores what
+//! another one takes away: [`orders`], [`endpoint_reports`], [`evidence`]. What must not be used twice is not replicated
+//! but lent: [`leases`]. `docs/design/replica.md` has the reasons and the bounds.
 //!
-//! No I/O, no clock, no thread: [`Replica::handle_datagram`] and [`Replica::tick`] are told the time and say what is to be sent.
+//! Does no I/O, reads no clock and starts no thread: [`Replica::handle_datagram`] and [`Replica::tick`] are given the time
+//! and return the datagrams to send.
 
 pub mod endpoint_reports;
 pub mod evidence;
@@ -21,15 +22,15 @@
 pub use replica::{Counters, OrdersFull, OutgoingDatagram, PeerSync, Replica, Setup, SyncState};
 pub use store::{MergeOutcome, StoredRecord, record_checksum, record_id};
 
-/// A time, or a length of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// What a record means. Records of other kinds are kept and passed on, for fellows of a later build.
+/// The kinds of records. Records of other kinds are kept and relayed, for nodes that run a later build.
 pub mod kind {
     /// An operator's order.
     pub const ORDER: u8 = 1;
-    /// Word that a server drains or is gone.
+    /// A report that a server drains or is gone.
     pub const ENDPOINT_REPORT: u8 = 2;
-    /// What a node has seen of a server.
+    /// What a node has observed of a server's answer times.
     pub const EVIDENCE: u8 = 3;
 }
--- a/crates/replica/src/rate_limit.rs
+++ b/crates/replica/src/rate_limit.rs
@@ -1,33 +1,38 @@
-//! How much may be sent, beyond what each period brings.
+//! A token bucket for the datagrams that are sent beyond those of each tick.
 
 use crate::Micros;
 
-/// Datagrams at once, and a second.
-const AT_ONCE: u64 = 60;
-const A_SECOND: u64 = 150;
+/// The bucket's capacity, in datagrams.
+const BURST: u64 = 60;
+/// How many datagrams it gains per second.
+const DATAGRAMS_PER_SECOND: u64 = 150;
 
-/// Sends that are left.
+/// A token bucket; one token allows one datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Pace {
-    /// In millionths.
-    left: u64,
-    at: Micros,
+pub(crate) struct RateLimiter {
+    /// Remaining tokens, in millionths.
+    micro_tokens: u64,
+    refilled_at: Micros,
 }
 
-impl Pace {
-    pub fn new(now: Micros) -> Pace {
-        Pace { left: AT_ONCE * 1_000_000, at: now }
+impl RateLimiter {
+    pub fn new(now: Micros) -> RateLimiter {
+        RateLimiter { micro_tokens: BURST * 1_000_000, refilled_at: now }
     }
 
-    pub fn passed(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.at).min(10_000_000);
-        (self.left, self.at) = ((self.left + passed * A_SECOND).min(AT_ONCE * 1_000_000), now.max(self.at));
+    /// Adds the tokens of the time since the last call.
+    pub fn refill(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.refilled_at).min(10_000_000);
+        (self.micro_tokens, self.refilled_at) = (
+            (self.micro_tokens + elapsed * DATAGRAMS_PER_SECOND).min(BURST * 1_000_000),
+            now.max(self.refilled_at),
+        );
     }
 
-    /// Takes one, if there is one and `keep` more.
-    pub fn take(&mut self, keep: u64) -> bool {
-        let good = self.left >= (keep + 1) * 1_000_000;
-        self.left -= if good { 1_000_000 } else { 0 };
-        good
+    /// Takes a token if there is one beyond `reserve`; returns whether it did.
+    pub fn try_take(&mut self, reserve: u64) -> bool {
+        let is_available = self.micro_tokens >= (reserve + 1) * 1_000_000;
+        self.micro_tokens -= if is_available { 1_000_000 } else { 0 };
+        is_available
     }
 }
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -1,385 +1,413 @@
-//! One node's copy, and how it is kept like the others'.
+//! The replication protocol of one node: processes datagrams and ticks, keeps the node's replica the same as the others',
+//! and decides what to send. Times are in microseconds by this node's clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
 use lilacquay_codec::replica::{BRANCHES, Have, Part, Record, Rights, Said, Sent, Sums, Version, put, read};
 
-use crate::gossip_queue::Rumours;
+use crate::gossip_queue::GossipQueue;
 use crate::orders::{Action, Dot, EffectiveOrder, Order, Orders, TOMBSTONE_RETENTION_US};
-use crate::rate_limit::Pace;
+use crate::rate_limit::RateLimiter;
 use crate::store::{LEVELS, MergeOutcome, Store, StoredRecord, record_checksum, record_id};
 use crate::{Micros, kind};
 
-/// How often a node speaks by itself.
-const PERIOD: Micros = 250_000;
-/// Others that it speaks to in each period, and that it passes urgent news on to at once.
-const SPOKEN_TO: usize = 2;
-const PASSED_ON: usize = 4;
-/// A branch with so many records or fewer is told one by one.
-const FEW: usize = 12;
-/// Datagrams in answer to one that tells sums or what is held, and that give what is wanted.
-const ANSWERS: usize = 6;
-const GIVEN: usize = 40;
-/// One whose copy is another is told so once in so long.
-const AGAIN: Micros = 100_000;
-/// An order is brought to those who have not said that they hold it for so long, to so many in each period.
-const INSISTS: Micros = 5_000_000;
-const INSISTED: usize = 40;
-/// Orders of its own whose holders are counted.
-const COUNTED: usize = 64;
-/// One that is behind and hears of nobody level counts as level after so long: nobody knows more.
-const ALONE: Micros = 2_000_000;
-/// Words of rights that wait to be taken.
-const RIGHTS: usize = 256;
-/// Sends that news must leave for answers.
-const FOR_ANSWERS: u64 = 20;
-
-/// Which node it is, among how many.
+/// The interval between ticks.
+const TICK_INTERVAL_US: Micros = 250_000;
+/// Random nodes to which each tick sends a datagram.
+const PEERS_PER_TICK: usize = 2;
+/// Random nodes to which an urgent change is relayed at once.
+const URGENT_RELAY_FANOUT: usize = 4;
+/// A branch of the checksum tree with at most so many records is listed record by record.
+const MAX_LISTED_RECORDS: usize = 12;
+/// Most datagrams in reply to one.
+const MAX_REPLY_DATAGRAMS: usize = 6;
+/// Most records that a reply sends for one list of wanted or held ids.
+const MAX_RECORDS_PER_REPLY: usize = 40;
+/// The least time between two notices to a node that its replica differs.
+const DIFFERENCE_NOTICE_INTERVAL_US: Micros = 100_000;
+/// How long an order is resent to nodes that have not acknowledged it.
+const ORDER_RESEND_DURATION_US: Micros = 5_000_000;
+/// Most resends of orders in a tick.
+const MAX_RESENDS_PER_TICK: usize = 40;
+/// Own orders whose acknowledgements are counted; the lowest id is dropped for a further one.
+const MAX_TRACKED_ORDERS: usize = 64;
+/// A node that is behind, and hears of no node that is up to date, counts as up to date itself after this time: then no
+/// other node knows more.
+const BEHIND_ALONE_TIMEOUT_US: Micros = 2_000_000;
+/// Received lease messages that are kept until they are fetched; further ones are dropped.
+const MAX_PENDING_LEASE_MESSAGES: usize = 256;
+/// Tokens of the rate limiter that changes must leave for replies.
+const TOKENS_RESERVED_FOR_REPLIES: u64 = 20;
+
+/// The identity of a node and its settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Setup {
-    /// Its place in the list of nodes.
+    /// This node's index in the list of nodes.
     pub own_index: usize,
-    /// How many the list has.
+    /// The length of the list.
     pub node_count: usize,
     /// The site's number.
     pub site_id: u32,
-    /// For random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Higher with each start of this node, as its siblings know it.
+    /// The node's incarnation in the membership protocol: higher with each start.
     pub incarnation: u64,
 }
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// To which node.
+    /// The index of the receiving node.
     pub to: usize,
-    /// 256 bytes at most.
+    /// Its contents, 256 bytes at most.
     pub datagram: Vec<u8>,
 }
 
-/// How far a node has come that has started, was paused or was cut off.
+/// How far the replica of a node that has started, was paused or was cut off has caught up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SyncState {
-    /// It may lack what others hold, since then.
+    /// It may lack what others hold, since this time.
     Behind(Micros),
-    /// It held what a level one held, since then.
+    /// It has held the same as a node that was up to date, at this time first.
     UpToDate(Micros),
 }
 
-/// What is known of another's copy.
+/// What is known of another node's replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct PeerSync {
-    /// The sum of all that it held.
+    /// The root of its checksum tree.
     pub root: u32,
-    /// Whether it was behind by its own word.
+    /// Whether it reported to be behind.
     pub behind: bool,
-    /// When it said so.
+    /// When it reported this.
     pub reported_at: Micros,
 }
 
-/// What has come and gone.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that were read.
+    /// Datagrams received that were valid.
     pub accepted: u64,
-    /// Datagrams that could not be read.
+    /// Datagrams received that could not be read, or came from no other node of the list.
     pub invalid: u64,
-    /// Records that came and were news.
-    pub news: u64,
-    /// Records that a bound has kept out or taken away.
+    /// Received records that were new or newer.
+    pub changes: u64,
+    /// Records that a limit has kept out or removed.
     pub dropped: u64,
 }
 
-/// So many orders are held that no further one is taken.
+/// The error of an order that does not fit: too many are held, or its subject is too long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrdersFull;
 
-/// Random choices, that are a part of the state.
+/// A random number generator that can be hashed as a part of the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Dice(fastrand::Rng);
+struct HashableRng(fastrand::Rng);
 
-impl Hash for Dice {
+impl Hash for HashableRng {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.get_seed().hash(state);
     }
 }
 
-/// Who has said to hold an order of our own.
+/// The nodes that have acknowledged an order of this node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Holders {
-    sum: u32,
+struct Acknowledgements {
+    checksum: u32,
     nodes: BTreeSet<usize>,
-    until: Micros,
+    /// Until when the order is resent.
+    resend_until: Micros,
 }
 
-/// One node's copy.
+/// The replica of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Replica {
     setup: Setup,
     counter: u32,
     store: Store,
     orders: Orders,
-    rumours: Rumours,
-    pace: Pace,
-    /// Who is here, as the siblings see it, and whether that is all of the list.
-    here: Vec<usize>,
-    all_here: bool,
+    gossip: GossipQueue,
+    rate_limiter: RateLimiter,
+    /// The other nodes that are here, by membership, and whether these are all of the list.
+    reachable: Vec<usize>,
+    all_reachable: bool,
     peers: BTreeMap<usize, PeerSync>,
-    /// When each was last told that its copy is another.
-    told: BTreeMap<usize, Micros>,
-    holders: BTreeMap<u64, Holders>,
-    stage: SyncState,
-    /// When one was last heard of that is level.
-    level_heard: Option<Micros>,
-    due: Micros,
-    ticked: Micros,
-    /// Rights that were asked for, lent or given back, and by whom.
-    rights: Vec<(usize, Rights)>,
-    /// What has changed since that was asked last: which kinds.
-    changed: BTreeSet<u8>,
-    counts: Counters,
-    dice: Dice,
+    /// By node, when it was last notified that its replica differs.
+    notified_at: BTreeMap<usize, Micros>,
+    /// By id of the order.
+    acknowledgements: BTreeMap<u64, Acknowledgements>,
+    sync_state: SyncState,
+    /// When a node that is up to date was last heard.
+    up_to_date_heard_at: Option<Micros>,
+    next_tick_at: Micros,
+    ticked_at: Micros,
+    /// Received lease messages, with their senders.
+    lease_messages: Vec<(usize, Rights)>,
+    /// The kinds of which records have changed since they were last fetched.
+    changed_kinds: BTreeSet<u8>,
+    counters: Counters,
+    rng: HashableRng,
 }
 
 impl Replica {
-    /// A copy that holds nothing.
+    /// An empty replica.
     pub fn new(setup: Setup, now: Micros) -> Replica {
         Replica {
             counter: 0,
             store: Store::new(),
             orders: Orders::default(),
-            rumours: Rumours::default(),
-            pace: Pace::new(now),
-            here: Vec::new(),
-            all_here: false,
+            gossip: GossipQueue::default(),
+            rate_limiter: RateLimiter::new(now),
+            reachable: Vec::new(),
+            all_reachable: false,
             peers: BTreeMap::new(),
-            told: BTreeMap::new(),
-            holders: BTreeMap::new(),
-            stage: SyncState::Behind(now),
-            level_heard: None,
-            due: now,
-            ticked: now,
-            rights: Vec::new(),
-            changed: BTreeSet::new(),
-            counts: Counters::default(),
-            dice: Dice(fastrand::Rng::with_seed(setup.seed)),
+            notified_at: BTreeMap::new(),
+            acknowledgements: BTreeMap::new(),
+            sync_state: SyncState::Behind(now),
+            up_to_date_heard_at: None,
+            next_tick_at: now,
+            ticked_at: now,
+            lease_messages: Vec::new(),
+            changed_kinds: BTreeSet::new(),
+            counters: Counters::default(),
+            rng: HashableRng(fastrand::Rng::with_seed(setup.seed)),
             setup,
         }
     }
 
-    // ---- what happens ----
+    // ---- inputs ----
 
     /// When [`Replica::tick`] is to be called next, at the latest.
     pub fn next_tick_at(&self) -> Micros {
-        self.due
+        self.next_tick_at
     }
 
-    /// Who is here now, as the siblings see it.
-    pub fn set_reachable(&mut self, here: Vec<usize>) {
-        self.all_here = here.len() + 1 >= self.setup.node_count;
-        self.here = here;
+    /// Sets which other nodes are here, by membership.
+    pub fn set_reachable(&mut self, reachable: Vec<usize>) {
+        self.all_reachable = reachable.len() + 1 >= self.setup.node_count;
+        self.reachable = reachable;
     }
 
-    /// This node was paused, cut off or not confirmed: what it holds may be old.
+    /// Marks the replica as behind, because this node was paused, cut off or not confirmed.
     pub fn mark_behind(&mut self, now: Micros) {
-        if matches!(self.stage, SyncState::UpToDate(_)) {
-            (self.stage, self.level_heard, self.due) = (SyncState::Behind(now), None, now);
+        if matches!(self.sync_state, SyncState::UpToDate(_)) {
+            (self.sync_state, self.up_to_date_heard_at, self.next_tick_at) =
+                (SyncState::Behind(now), None, now);
         }
     }
 
-    /// A datagram came from the address of this node. Tells what is to be sent.
+    /// Processes a datagram that came from the address of the node `from`. Returns the datagrams to send.
     pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let Ok(said) = read(self.setup.site_id, datagram) else {
-            self.counts.invalid += 1;
+        let Ok(message) = read(self.setup.site_id, datagram) else {
+            self.counters.invalid += 1;
             return out;
         };
         if from == self.setup.own_index || from >= self.setup.node_count {
-            self.counts.invalid += 1;
+            self.counters.invalid += 1;
             return out;
         }
-        self.counts.accepted += 1;
-        self.pace.passed(now);
-        let Said { root, behind, parts } = said;
+        self.counters.accepted += 1;
+        self.rate_limiter.refill(now);
+        let Said { root, behind, parts } = message;
         self.peers.insert(from, PeerSync { root, behind, reported_at: now });
-        self.level_heard = if behind { self.level_heard } else { Some(now) };
-        let (mut answers, mut compared) = (Vec::new(), false);
+        self.up_to_date_heard_at = if behind { self.up_to_date_heard_at } else { Some(now) };
+        let (mut replies, mut was_compared) = (Vec::new(), false);
         for part in parts {
             match part {
-                Part::Record(sent) => self.came(now, from, sent, &mut answers, &mut out),
+                Part::Record(sent) => self.handle_record(now, from, sent, &mut replies, &mut out),
                 Part::Sums(sums) => {
-                    compared = true;
-                    self.compare(&sums, &mut answers);
+                    was_compared = true;
+                    self.compare_sums(&sums, &mut replies);
                 }
                 Part::Have(have) => {
-                    compared = true;
-                    self.complete(now, &have, &mut answers);
+                    was_compared = true;
+                    self.compare_list(now, &have, &mut replies);
+                }
+                Part::Want(ids) => self.add_records(now, &ids, &mut replies),
+                Part::Held(list) => self.record_acknowledgements(from, &list),
+                // Limited, so that a node which sends more lease messages than are fetched cannot fill the memory.
+                Part::Rights(message) if self.lease_messages.len() < MAX_PENDING_LEASE_MESSAGES => {
+                    self.lease_messages.push((from, message))
                 }
-                Part::Want(ids) => self.give(now, &ids, &mut answers),
-                Part::Held(list) => self.held_at(from, &list),
-                // Guards against: a fellow that says more of rights than anybody takes.
-                Part::Rights(rights) if self.rights.len() < RIGHTS => self.rights.push((from, rights)),
                 Part::Rights(_) => {}
             }
         }
-        self.answer(from, answers, &mut out);
+        self.reply(from, replies, &mut out);
         let differs = root != self.store.root();
-        if differs && !compared && self.told.get(&from).is_none_or(|told| now >= told + AGAIN) {
-            self.told.insert(from, now);
-            let sums = self.branches(0, 0);
-            self.answer(from, sums.map(Part::Sums).into_iter().collect(), &mut out);
+        if differs
+            && !was_compared
+            && self
+                .notified_at
+                .get(&from)
+                .is_none_or(|notified_at| now >= notified_at + DIFFERENCE_NOTICE_INTERVAL_US)
+        {
+            self.notified_at.insert(from, now);
+            let sums = self.branch_sums(0, 0);
+            self.reply(from, sums.map(Part::Sums).into_iter().collect(), &mut out);
         }
-        if let (SyncState::Behind(_), false, false) = (self.stage, differs, behind) {
-            self.stage = SyncState::UpToDate(now);
+        if let (SyncState::Behind(_), false, false) = (self.sync_state, differs, behind) {
+            self.sync_state = SyncState::UpToDate(now);
         }
         out
     }
 
-    /// Time has passed. Tells what is to be sent.
+    /// Does what is due as time passes: expires records and sends changes. Returns the datagrams to send.
     pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        self.pace.passed(now);
-        self.age(now);
-        self.due = now + PERIOD;
-        if let SyncState::Behind(since) = self.stage
-            && now >= since + ALONE
-            && self.level_heard.is_none_or(|heard| now >= heard + ALONE)
+        self.rate_limiter.refill(now);
+        self.expire(now);
+        self.next_tick_at = now + TICK_INTERVAL_US;
+        if let SyncState::Behind(since) = self.sync_state
+            && now >= since + BEHIND_ALONE_TIMEOUT_US
+            && self.up_to_date_heard_at.is_none_or(|heard_at| now >= heard_at + BEHIND_ALONE_TIMEOUT_US)
         {
-            self.stage = SyncState::UpToDate(now);
+            self.sync_state = SyncState::UpToDate(now);
         }
-        let behind = matches!(self.stage, SyncState::Behind(_));
-        for _ in 0..SPOKEN_TO {
-            let Some(to) = self.somebody(None) else { break };
-            let mut said = self.opening();
-            if behind {
-                said.parts.extend(self.branches(0, 0).map(Part::Sums));
+        let is_behind = matches!(self.sync_state, SyncState::Behind(_));
+        for _ in 0..PEERS_PER_TICK {
+            let Some(to) = self.random_peer(None) else { break };
+            let mut message = self.new_message();
+            if is_behind {
+                message.parts.extend(self.branch_sums(0, 0).map(Part::Sums));
             }
-            self.fill(now, &mut said);
-            self.put_out(to, &said, &mut out);
+            self.add_changes(now, &mut message);
+            self.push_datagram(to, &message, &mut out);
         }
-        // More than fits goes to others, as long as there is room for it.
-        for _ in 0..(self.rumours.len() / 4).min(8) {
-            let Some(to) = self.somebody(None).filter(|_| self.pace.take(FOR_ANSWERS)) else { break };
-            let mut said = self.opening();
-            self.fill(now, &mut said);
-            self.put_out(to, &said, &mut out);
+        // Changes that do not fit go to further nodes, as the rate limit allows.
+        for _ in 0..(self.gossip.len() / 4).min(8) {
+            let Some(to) =
+                self.random_peer(None).filter(|_| self.rate_limiter.try_take(TOKENS_RESERVED_FOR_REPLIES))
+            else {
+                break;
+            };
+            let mut message = self.new_message();
+            self.add_changes(now, &mut message);
+            self.push_datagram(to, &message, &mut out);
         }
-        self.insist(now, &mut out);
+        self.resend_orders(now, &mut out);
         out
     }
 
-    // ---- what is written here ----
+    // ---- writes of this node ----
 
-    /// Writes a record of this node; it takes the place of the one of that name.
+    /// Writes a record of this node, replacing the one of the same name.
     pub fn write(
         &mut self,
         now: Micros,
         kind: u8,
         name: &[u8],
         value: Vec<u8>,
-        life: Option<Micros>,
+        lifetime: Option<Micros>,
     ) -> MergeOutcome {
         let origin = self.setup.own_index as u16;
-        if let Some(before) = self.store.get(record_id(kind, origin, name)) {
-            // Of a life before, where the clock went back since.
-            self.rise(before.record.version.incarnation);
+        if let Some(previous) = self.store.get(record_id(kind, origin, name)) {
+            // It may be of an earlier process with a higher incarnation, if the clock was put back since.
+            self.raise_incarnation(previous.record.version.incarnation);
         }
         let version = self.next_version();
         let record = Record { kind, origin, name: name.into(), version, value };
-        let until = life.map(|life| now + life);
-        self.take(now, record, until)
+        let expires_at = lifetime.map(|lifetime| now + lifetime);
+        self.merge(now, record, expires_at)
     }
 
-    /// Gives an order at this node. Tells the id by which its holders are counted.
+    /// Issues an order at this node. Returns the id by which its acknowledgements are counted.
     ///
     /// # Errors
-    /// If there is no room for a further one.
+    /// If there is no room for another order.
     pub fn issue_order(
         &mut self,
         now: Micros,
         subject: &[u8],
         action: Action,
-        life: Option<Micros>,
-        at: u32,
+        lifetime: Option<Micros>,
+        issued_at_unix_s: u32,
     ) -> Result<u64, OrdersFull> {
         let dot = Dot { origin: self.setup.own_index as u16, version: self.next_version() };
-        let covers = self.orders.seen(subject);
-        let order = Order { dot, action, subject: subject.into(), issued_at_unix_s: at, covers };
+        let supersedes = self.orders.seen(subject);
+        let order = Order { dot, action, subject: subject.into(), issued_at_unix_s, supersedes };
         let record = order.record().ok_or(OrdersFull)?;
-        let until = match action {
+        let expires_at = match action {
             Action::Undrain => Some(now + TOMBSTONE_RETENTION_US),
-            Action::LeaveOut => Some(now + life.unwrap_or(0) + TOMBSTONE_RETENTION_US),
+            Action::LeaveOut => Some(now + lifetime.unwrap_or(0) + TOMBSTONE_RETENTION_US),
             Action::Drain | Action::LogLevel(_) => None,
         };
-        let (id, sum) = (record_id(kind::ORDER, dot.origin, &record.name), record_checksum(&record));
-        match self.take(now, record, until) {
+        let (id, checksum) = (record_id(kind::ORDER, dot.origin, &record.name), record_checksum(&record));
+        match self.merge(now, record, expires_at) {
             MergeOutcome::New | MergeOutcome::Replaced => {
-                while self.holders.len() >= COUNTED {
-                    self.holders.pop_first();
+                while self.acknowledgements.len() >= MAX_TRACKED_ORDERS {
+                    self.acknowledgements.pop_first();
                 }
-                self.holders.insert(id, Holders { sum, nodes: BTreeSet::new(), until: now + INSISTS });
-                self.due = now; // told without waiting for the next period
+                self.acknowledgements.insert(
+                    id,
+                    Acknowledgements {
+                        checksum,
+                        nodes: BTreeSet::new(),
+                        resend_until: now + ORDER_RESEND_DURATION_US,
+                    },
+                );
+                self.next_tick_at = now; // sends it without waiting for the next tick
                 Ok(id)
             }
             _ => Err(OrdersFull),
         }
     }
 
-    /// Takes back a record of an order that was kept over a restart; one that was covered meanwhile is covered again.
-    pub fn restore(&mut self, now: Micros, record: Record, left: Option<Micros>) -> MergeOutcome {
-        self.take(now, record, left.map(|left| now + left))
+    /// Restores the record of an order that was saved over a restart. If it was superseded meanwhile, it is superseded
+    /// again.
+    pub fn restore(&mut self, now: Micros, record: Record, remaining: Option<Micros>) -> MergeOutcome {
+        self.merge(now, record, remaining.map(|remaining| now + remaining))
     }
 
-    // ---- what is known ----
+    // ---- queries ----
 
-    /// What stands, by subject, and for how long yet.
+    /// The order in effect for each subject, and its remaining lifetime.
     pub fn effective_orders(
         &self,
         now: Micros,
     ) -> impl Iterator<Item = (EffectiveOrder<'_>, Option<Micros>)> {
-        self.orders.effective().map(move |standing| {
-            let until = self.store.get(standing.id).and_then(|held| held.expires_at);
-            (standing, until.map(|until| until.saturating_sub(now)))
+        self.orders.effective().map(move |effective| {
+            let expires_at = self.store.get(effective.id).and_then(|stored| stored.expires_at);
+            (effective, expires_at.map(|expires_at| expires_at.saturating_sub(now)))
         })
     }
 
-    /// The records of a kind.
+    /// All records of a kind.
     pub fn records_of_kind(&self, kind: u8) -> impl Iterator<Item = &StoredRecord> {
-        self.store.records_of_kind(kind).map(|(_, held)| held)
+        self.store.records_of_kind(kind).map(|(_, stored)| stored)
     }
 
-    /// A record by its id.
+    /// The record with this id.
     pub fn record(&self, id: u64) -> Option<&StoredRecord> {
         self.store.get(id)
     }
 
-    /// All records, by id, with a number of what they say.
+    /// All records with their ids and checksums, in the order of ids.
     pub fn records(&self) -> impl Iterator<Item = (u64, u32, &StoredRecord)> {
-        self.store.all().map(|(id, held)| (id, held.sum(), held))
+        self.store.all().map(|(id, stored)| (id, stored.checksum(), stored))
     }
 
-    /// How many nodes hold an order of this one, itself included, as far as they have said so.
+    /// How many nodes hold an order of this one, itself included, as far as they have acknowledged it.
     pub fn holder_count(&self, id: u64) -> usize {
-        1 + self.holders.get(&id).map_or(0, |holders| holders.nodes.len())
+        1 + self.acknowledgements.get(&id).map_or(0, |acknowledgements| acknowledgements.nodes.len())
     }
 
-    /// How far this node has come.
+    /// Whether the replica is behind or up to date, and since when.
     pub fn sync_state(&self) -> SyncState {
-        self.stage
+        self.sync_state
     }
 
-    /// Who is known to hold what.
+    /// What is known of the other nodes' replicas.
     pub fn peers(&self) -> &BTreeMap<usize, PeerSync> {
         &self.peers
     }
 
-    /// A number of all that is told; copies that are alike have the same.
+    /// The root of the checksum tree; identical replicas have the same.
     pub fn root(&self) -> u32 {
         self.store.root()
     }
@@ -389,32 +417,32 @@
         self.store.len()
     }
 
-    /// Whether none is.
+    /// Whether no record is held.
     pub fn is_empty(&self) -> bool {
         self.store.len() == 0
     }
 
-    /// What has come and gone.
+    /// Counters since the start.
     pub fn counters(&self) -> Counters {
-        Counters { dropped: self.store.dropped, ..self.counts }
+        Counters { dropped: self.store.dropped, ..self.counters }
     }
 
-    /// Which kinds have changed since this was asked last.
+    /// Removes and returns the kinds of which records have changed since the last call.
     pub fn take_changed_kinds(&mut self) -> BTreeSet<u8> {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.changed_kinds)
     }
 
-    /// What was said of rights since this was asked last.
+    /// Removes and returns the lease messages received since the last call, with their senders.
     pub fn take_lease_messages(&mut self) -> Vec<(usize, Rights)> {
-        std::mem::take(&mut self.rights)
+        std::mem::take(&mut self.lease_messages)
     }
 
-    /// A datagram that says something of rights.
-    pub fn lease_datagram(&mut self, to: usize, rights: Rights) -> OutgoingDatagram {
-        let mut said = self.opening();
-        said.add(Part::Rights(rights));
+    /// A datagram with a lease message.
+    pub fn lease_datagram(&mut self, to: usize, lease_message: Rights) -> OutgoingDatagram {
+        let mut message = self.new_message();
+        message.add(Part::Rights(lease_message));
         let mut out = Vec::new();
-        self.put_out(to, &said, &mut out);
+        self.push_datagram(to, &message, &mut out);
         out.remove(0)
     }
 
@@ -425,192 +453,215 @@
         Version { incarnation: self.setup.incarnation, counter: self.counter }
     }
 
-    /// Goes above an incarnation of this node that has written before.
-    fn rise(&mut self, other: u64) {
+    /// Raises this node's incarnation above `other`, under which an earlier process of it has written.
+    fn raise_incarnation(&mut self, other: u64) {
         if other > self.setup.incarnation {
             (self.setup.incarnation, self.counter) = (other + 1, 0);
         }
     }
 
-    /// A record came.
-    fn came(
+    /// Merges a received record, relays it if it is new, and acknowledges it if it is an order.
+    fn handle_record(
         &mut self,
         now: Micros,
         from: usize,
         sent: Sent,
-        answers: &mut Vec<Part>,
+        replies: &mut Vec<Part>,
         out: &mut Vec<OutgoingDatagram>,
     ) {
-        let Sent { record, left, asks } = sent;
+        let Sent { record, left: remaining_tenths, asks: asks_for_acknowledgement } = sent;
         let origin = usize::from(record.origin);
         if origin >= self.setup.node_count {
-            return; // no node of the list
+            return; // not in the list of nodes
         }
         if origin == self.setup.own_index {
-            self.rise(record.version.incarnation);
+            self.raise_incarnation(record.version.incarnation);
         }
-        let (kind, id, sum) =
+        let (kind, id, checksum) =
             (record.kind, record_id(record.kind, record.origin, &record.name), record_checksum(&record));
-        let until = left.map(|left| now + u64::from(left) * 100_000);
-        let taken = self.take(now, record, until);
-        match taken {
+        let expires_at = remaining_tenths.map(|remaining| now + u64::from(remaining) * 100_000);
+        let outcome = self.merge(now, record, expires_at);
+        match outcome {
             MergeOutcome::New | MergeOutcome::Replaced => {
-                self.counts.news += 1;
+                self.counters.changes += 1;
                 if kind != kind::EVIDENCE {
-                    self.pass_on(now, id, from, out);
+                    self.relay(now, id, from, out);
                 }
             }
-            MergeOutcome::Unchanged => self.rumours.known(id),
+            MergeOutcome::Unchanged => self.gossip.record_duplicate(id),
             MergeOutcome::Outdated | MergeOutcome::Expired | MergeOutcome::RejectedFull => {}
         }
-        // Its origin counts who holds an order: at the first word of it, and whenever it asks.
-        let held = matches!(taken, MergeOutcome::New | MergeOutcome::Replaced | MergeOutcome::Unchanged);
-        if kind == kind::ORDER && held && origin != self.setup.own_index {
-            if from == origin && (asks || taken.is_change()) {
-                answers.push(Part::Held(vec![(id, sum)]));
-            } else if taken.is_change() && self.here.contains(&origin) && self.pace.take(0) {
-                let mut said = self.opening();
-                said.add(Part::Held(vec![(id, sum)]));
-                self.put_out(origin, &said, out);
+        // An order is acknowledged to its origin when it is new here, and whenever the origin asks.
+        let is_held = matches!(outcome, MergeOutcome::New | MergeOutcome::Replaced | MergeOutcome::Unchanged);
+        if kind == kind::ORDER && is_held && origin != self.setup.own_index {
+            if from == origin && (asks_for_acknowledgement || outcome.is_change()) {
+                replies.push(Part::Held(vec![(id, checksum)]));
+            } else if outcome.is_change() && self.reachable.contains(&origin) && self.rate_limiter.try_take(0)
+            {
+                let mut message = self.new_message();
+                message.add(Part::Held(vec![(id, checksum)]));
+                self.push_datagram(origin, &message, out);
             }
         }
     }
 
-    fn take(&mut self, now: Micros, record: Record, until: Option<Micros>) -> MergeOutcome {
-        let (of, origin) = (record.kind, record.origin);
-        let id = record_id(of, origin, &record.name);
+    fn merge(&mut self, now: Micros, record: Record, expires_at: Option<Micros>) -> MergeOutcome {
+        let (record_kind, origin) = (record.kind, record.origin);
+        let id = record_id(record_kind, origin, &record.name);
         let order = Order::read(&record);
-        if order.as_ref().is_some_and(|order| self.orders.is_covered(order)) {
+        if order.as_ref().is_some_and(|order| self.orders.is_superseded(order)) {
             return MergeOutcome::Outdated;
         }
-        let taken = self.store.take(now, record, until);
-        if taken.is_change() {
+        let outcome = self.store.merge(now, record, expires_at);
+        if outcome.is_change() {
             if let Some(order) = order {
-                for covered in self.orders.enter(id, order) {
-                    self.store.remove(covered);
+                for replaced in self.orders.insert(id, order) {
+                    self.store.remove(replaced);
                 }
             }
-            self.changed.insert(of);
-            let times = (usize::BITS - self.setup.node_count.leading_zeros()) as u8;
-            self.rumours.news(id, times);
+            self.changed_kinds.insert(record_kind);
+            let sends = (usize::BITS - self.setup.node_count.leading_zeros()) as u8;
+            self.gossip.enqueue(id, sends);
         }
-        taken
-    }
-
-    /// Ends what is over. The lives of tombstones stand still while not all are here.
-    fn age(&mut self, now: Micros) {
-        let passed = now.saturating_sub(std::mem::replace(&mut self.ticked, now));
-        // Guards against: tombstones that end in a pause of this node, in which it could not see who was away.
-        let still = if self.all_here { passed.saturating_sub(4 * PERIOD) } else { passed };
-        if still > 0 {
-            let tombstone = |(id, order): (u64, &Order)| {
-                let until = self.store.get(id)?.expires_at?;
-                order.is_tombstone(Some(until.saturating_sub(now - passed))).then_some((id, until + still))
+        outcome
+    }
+
+    /// Expires records. The lifetimes of tombstones do not run while any node of the list is away.
+    fn expire(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(std::mem::replace(&mut self.ticked_at, now));
+        // A gap between ticks may be a pause of this node, in which it could not see who was away. It does not count
+        // either, so that no tombstone expires in a pause.
+        let extension =
+            if self.all_reachable { elapsed.saturating_sub(4 * TICK_INTERVAL_US) } else { elapsed };
+        if extension > 0 {
+            let extended_tombstone = |(id, order): (u64, &Order)| {
+                let expires_at = self.store.get(id)?.expires_at?;
+                order
+                    .is_tombstone(Some(expires_at.saturating_sub(now - elapsed)))
+                    .then_some((id, expires_at + extension))
             };
-            let later: Vec<(u64, Micros)> = self.orders.all().filter_map(tombstone).collect();
-            for (id, until) in later {
-                self.store.set_until(id, Some(until));
+            let extended: Vec<(u64, Micros)> = self.orders.all().filter_map(extended_tombstone).collect();
+            for (id, expires_at) in extended {
+                self.store.set_expires_at(id, Some(expires_at));
             }
         }
-        for (id, held) in self.store.expire(now) {
-            if held.record.kind == kind::ORDER {
-                self.orders.leave(id);
+        for (id, stored) in self.store.expire(now) {
+            if stored.record.kind == kind::ORDER {
+                self.orders.remove(id);
             }
-            self.changed.insert(held.record.kind);
+            self.changed_kinds.insert(stored.record.kind);
         }
-        self.holders.retain(|_, holders| now < holders.until + 10 * INSISTS);
+        self.acknowledgements.retain(|_, acknowledgements| {
+            now < acknowledgements.resend_until + 10 * ORDER_RESEND_DURATION_US
+        });
         self.peers.retain(|_, peer| now < peer.reported_at + 60_000_000);
-        self.told.retain(|_, told| now < *told + AGAIN);
+        self.notified_at.retain(|_, notified_at| now < *notified_at + DIFFERENCE_NOTICE_INTERVAL_US);
     }
 
-    fn sent(&self, now: Micros, id: u64, asks: bool) -> Option<Part> {
-        let held = self.store.get(id)?;
-        Some(Part::Record(Sent { record: held.record.clone(), left: held.left(now), asks }))
+    fn record_part(&self, now: Micros, id: u64, asks_for_acknowledgement: bool) -> Option<Part> {
+        let stored = self.store.get(id)?;
+        Some(Part::Record(Sent {
+            record: stored.record.clone(),
+            left: stored.remaining_tenths(now),
+            asks: asks_for_acknowledgement,
+        }))
     }
 
-    // ---- news ----
+    // ---- changes ----
 
-    /// What can't wait for the next period.
-    fn pass_on(&mut self, now: Micros, id: u64, from: usize, out: &mut Vec<OutgoingDatagram>) {
-        for _ in 0..PASSED_ON {
-            let Some(to) = self.somebody(Some(from)).filter(|_| self.pace.take(FOR_ANSWERS)) else { return };
-            let mut said = self.opening();
-            said.parts.extend(self.sent(now, id, false));
-            self.put_out(to, &said, out);
+    /// Relays a changed record at once, without waiting for the next tick.
+    fn relay(&mut self, now: Micros, id: u64, from: usize, out: &mut Vec<OutgoingDatagram>) {
+        for _ in 0..URGENT_RELAY_FANOUT {
+            let Some(to) = self
+                .random_peer(Some(from))
+                .filter(|_| self.rate_limiter.try_take(TOKENS_RESERVED_FOR_REPLIES))
+            else {
+                return;
+            };
+            let mut message = self.new_message();
+            message.parts.extend(self.record_part(now, id, false));
+            self.push_datagram(to, &message, out);
         }
     }
 
-    /// Fills a datagram with what is news.
-    fn fill(&mut self, now: Micros, said: &mut Said) {
-        for _ in 0..self.rumours.len() {
-            let Some(id) = self.rumours.next() else { return };
-            if let Some(part) = self.sent(now, id, false)
-                && !said.add(part)
+    /// Fills a message with changed records.
+    fn add_changes(&mut self, now: Micros, message: &mut Said) {
+        for _ in 0..self.gossip.len() {
+            let Some(id) = self.gossip.pop() else { return };
+            if let Some(part) = self.record_part(now, id, false)
+                && !message.add(part)
             {
-                self.rumours.news(id, 1);
+                self.gossip.enqueue(id, 1);
                 return;
             }
         }
     }
 
-    /// Brings orders of its own to those who have not said that they hold them.
-    fn insist(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
-        let mut left = INSISTED;
-        let open: Vec<(u64, Vec<usize>)> = self
-            .holders
+    /// Resends own orders to the nodes that have not acknowledged them.
+    fn resend_orders(&mut self, now: Micros, out: &mut Vec<OutgoingDatagram>) {
+        let mut remaining_resends = MAX_RESENDS_PER_TICK;
+        let unacknowledged: Vec<(u64, Vec<usize>)> = self
+            .acknowledgements
             .iter()
-            .filter(|(_, holders)| now < holders.until)
-            .map(|(id, holders)| {
-                let lacks = |node: &usize| !holders.nodes.contains(node);
-                (*id, self.here.iter().copied().filter(lacks).collect())
+            .filter(|(_, acknowledgements)| now < acknowledgements.resend_until)
+            .map(|(id, acknowledgements)| {
+                let is_missing = |node: &usize| !acknowledgements.nodes.contains(node);
+                (*id, self.reachable.iter().copied().filter(is_missing).collect())
             })
             .collect();
-        for (id, mut lacking) in open {
-            self.dice.0.shuffle(&mut lacking);
-            for to in lacking {
-                if left == 0 || !self.pace.take(0) {
+        for (id, mut missing) in unacknowledged {
+            self.rng.0.shuffle(&mut missing);
+            for to in missing {
+                if remaining_resends == 0 || !self.rate_limiter.try_take(0) {
                     return;
                 }
-                left -= 1;
-                let mut said = self.opening();
-                said.parts.extend(self.sent(now, id, true));
-                self.put_out(to, &said, out);
+                remaining_resends -= 1;
+                let mut message = self.new_message();
+                message.parts.extend(self.record_part(now, id, true));
+                self.push_datagram(to, &message, out);
             }
         }
     }
 
-    fn held_at(&mut self, node: usize, list: &[(u64, u32)]) {
-        for (id, sum) in list {
-            if let Some(holders) = self.holders.get_mut(id).filter(|holders| holders.sum == *sum) {
-                holders.nodes.insert(node);
+    fn record_acknowledgements(&mut self, node: usize, list: &[(u64, u32)]) {
+        for (id, checksum) in list {
+            if let Some(acknowledgements) = self
+                .acknowledgements
+                .get_mut(id)
+                .filter(|acknowledgements| acknowledgements.checksum == *checksum)
+            {
+                acknowledgements.nodes.insert(node);
             }
         }
     }
 
-    // ---- differences ----
+    // ---- anti-entropy: finding and repairing differences ----
 
-    fn branches(&self, level: u8, path: u16) -> Option<Sums> {
+    fn branch_sums(&self, level: u8, path: u16) -> Option<Sums> {
         Some(Sums { level, path, sums: self.store.sums(level, path)? })
     }
 
-    /// Tells more of each branch in which the other's copy differs.
-    fn compare(&mut self, theirs: &Sums, answers: &mut Vec<Part>) {
+    /// Replies with the next level, or with a list of records, for each branch in which the other's replica differs.
+    fn compare_sums(&mut self, theirs: &Sums, replies: &mut Vec<Part>) {
         let Some(ours) = self.store.sums(theirs.level, theirs.path) else { return };
-        let mut differ: Vec<usize> = (0..BRANCHES).filter(|&n| ours[n] != theirs.sums[n]).collect();
-        self.dice.0.shuffle(&mut differ);
-        for n in differ {
-            let (level, path) = (theirs.level + 1, theirs.path * BRANCHES as u16 + n as u16);
-            let (first, last) = Store::span(level, path);
-            let some = self.store.list(first, last).take(FEW + 1).count();
-            match self.branches(level, path).filter(|_| some > FEW && level < LEVELS) {
-                Some(sums) => answers.push(Part::Sums(sums)),
-                None => answers.extend(self.have(first, last)),
+        let mut differing: Vec<usize> = (0..BRANCHES).filter(|&n| ours[n] != theirs.sums[n]).collect();
+        self.rng.0.shuffle(&mut differing);
+        for branch in differing {
+            let (level, path) = (theirs.level + 1, theirs.path * BRANCHES as u16 + branch as u16);
+            let (first, last) = Store::id_range(level, path);
+            let record_count = self.store.list(first, last).take(MAX_LISTED_RECORDS + 1).count();
+            match self
+                .branch_sums(level, path)
+                .filter(|_| record_count > MAX_LISTED_RECORDS && level < LEVELS)
+            {
+                Some(sums) => replies.push(Part::Sums(sums)),
+                None => replies.extend(self.record_lists(first, last)),
             }
         }
     }
 
-    /// What is held in a span, in as many parts as it takes.
-    fn have(&self, first: u64, last: u64) -> Vec<Part> {
+    /// Lists of what is held in a range of ids, as many as it takes.
+    fn record_lists(&self, first: u64, last: u64) -> Vec<Part> {
         let all: Vec<(u64, u32)> = self.store.list(first, last).collect();
         let (mut parts, mut from) = (Vec::new(), first);
         let mut chunks = all.chunks(Have::MOST).peekable();
@@ -625,60 +676,66 @@
         parts
     }
 
-    /// Gives what the other lacks in a span, and asks for what is lacking here.
-    fn complete(&mut self, now: Micros, have: &Have, answers: &mut Vec<Part>) {
+    /// Replies to a list with the records that the other node lacks, and asks for those that are lacking here.
+    fn compare_list(&mut self, now: Micros, have: &Have, replies: &mut Vec<Part>) {
         let theirs: BTreeMap<u64, u32> = have.list.iter().copied().collect();
-        let ours: Vec<(u64, u32)> = self.store.list(have.first, have.last).take(4 * GIVEN).collect();
-        let lacks = ours.iter().filter(|(id, sum)| theirs.get(id) != Some(sum));
-        let give: Vec<u64> = lacks.map(|(id, _)| *id).take(GIVEN).collect();
-        self.give(now, &give, answers);
-        let known = |id: u64| self.store.get(id);
-        let wanted = theirs.iter().filter(|(id, sum)| known(**id).is_none_or(|held| held.sum() != **sum));
+        let ours: Vec<(u64, u32)> =
+            self.store.list(have.first, have.last).take(4 * MAX_RECORDS_PER_REPLY).collect();
+        let missing_there = ours.iter().filter(|(id, checksum)| theirs.get(id) != Some(checksum));
+        let to_send: Vec<u64> = missing_there.map(|(id, _)| *id).take(MAX_RECORDS_PER_REPLY).collect();
+        self.add_records(now, &to_send, replies);
+        let stored = |id: u64| self.store.get(id);
+        let wanted = theirs
+            .iter()
+            .filter(|(id, checksum)| stored(**id).is_none_or(|stored| stored.checksum() != **checksum));
         let wanted: Vec<u64> = wanted.map(|(id, _)| *id).collect();
-        answers.extend(wanted.chunks(30).map(|ids| Part::Want(ids.into())));
+        replies.extend(wanted.chunks(30).map(|ids| Part::Want(ids.into())));
     }
 
-    fn give(&self, now: Micros, ids: &[u64], answers: &mut Vec<Part>) {
-        answers.extend(ids.iter().take(GIVEN).filter_map(|id| self.sent(now, *id, false)));
+    fn add_records(&self, now: Micros, ids: &[u64], replies: &mut Vec<Part>) {
+        replies.extend(
+            ids.iter().take(MAX_RECORDS_PER_REPLY).filter_map(|id| self.record_part(now, *id, false)),
+        );
     }
 
-    /// Sends parts to one, as many datagrams as there are sends left.
-    fn answer(&mut self, to: usize, parts: Vec<Part>, out: &mut Vec<OutgoingDatagram>) {
-        let (mut said, mut datagrams) = (self.opening(), 0);
+    /// Sends parts to a node, in as many datagrams as the limits allow.
+    fn reply(&mut self, to: usize, parts: Vec<Part>, out: &mut Vec<OutgoingDatagram>) {
+        let (mut message, mut datagrams) = (self.new_message(), 0);
         for part in parts {
-            if said.add(part.clone()) {
+            if message.add(part.clone()) {
                 continue;
             }
             datagrams += 1;
-            if datagrams > ANSWERS || !self.pace.take(0) {
+            if datagrams > MAX_REPLY_DATAGRAMS || !self.rate_limiter.try_take(0) {
                 return;
             }
-            self.put_out(to, &said, out);
-            said = self.opening();
-            said.add(part);
+            self.push_datagram(to, &message, out);
+            message = self.new_message();
+            message.add(part);
         }
-        if !said.parts.is_empty() && self.pace.take(0) {
-            self.put_out(to, &said, out);
+        if !message.parts.is_empty() && self.rate_limiter.try_take(0) {
+            self.push_datagram(to, &message, out);
         }
     }
 
     // ---- sending ----
 
-    fn opening(&self) -> Said {
-        let behind = matches!(self.stage, SyncState::Behind(_));
+    fn new_message(&self) -> Said {
+        let behind = matches!(self.sync_state, SyncState::Behind(_));
         Said { root: self.store.root(), behind, parts: Vec::new() }
     }
 
-    fn somebody(&mut self, but: Option<usize>) -> Option<usize> {
-        let others = self.here.iter().filter(|&&node| Some(node) != but).count();
-        let nth = (others > 0).then(|| self.dice.0.usize(..others))?;
-        self.here.iter().copied().filter(|&node| Some(node) != but).nth(nth)
+    /// A random node among those that are here, other than `except`.
+    fn random_peer(&mut self, except: Option<usize>) -> Option<usize> {
+        let candidates = self.reachable.iter().filter(|&&node| Some(node) != except).count();
+        let nth = (candidates > 0).then(|| self.rng.0.usize(..candidates))?;
+        self.reachable.iter().copied().filter(|&node| Some(node) != except).nth(nth)
     }
 
-    fn put_out(&mut self, to: usize, said: &Said, out: &mut Vec<OutgoingDatagram>) {
-        let datagram = put(self.setup.site_id, said);
-        self.counts.sent += 1;
-        self.counts.sent_bytes += datagram.len() as u64;
+    fn push_datagram(&mut self, to: usize, message: &Said, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = put(self.setup.site_id, message);
+        self.counters.sent += 1;
+        self.counters.sent_bytes += datagram.len() as u64;
         out.push(OutgoingDatagram { to, datagram });
     }
 }
--- a/crates/replica/src/simulation.rs
+++ b/crates/replica/src/simulation.rs
@@ -1,5 +1,6 @@
-//! Many copies in virtual time, for tests and measurements: ways that lose, delay, double and end, nodes that pause, die and
-//! start again. Who is here is told with a lag, as siblings tell it. The same seed plays the same.
+//! A simulation of many replicas in virtual time, for tests and measurements: links that lose, delay, duplicate and drop
+//! datagrams, and nodes that pause, crash and restart. Which nodes are here is reported with a lag, as membership does.
+//! Runs with the same seed are identical. Times are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,123 +10,126 @@
 pub const MS: Micros = 1_000;
 /// A second.
 pub const SEC: Micros = 1_000_000;
-/// Who is here is looked at so often.
-const LOOK: Micros = 500 * MS;
-/// What a socket holds of what comes to one that is paused.
-const HELD: usize = 300;
+/// How often the reachable nodes are determined.
+const REACHABILITY_INTERVAL_US: Micros = 500 * MS;
+/// How many datagrams the socket of a paused node holds.
+const SOCKET_BUFFER_DATAGRAMS: usize = 300;
 
-enum Happens {
-    Tick { node: usize, life: u64 },
-    Comes { from: usize, to: usize, datagram: Vec<u8> },
+enum SimulationEvent {
+    Tick { node: usize, run: u64 },
+    Delivery { from: usize, to: usize, datagram: Vec<u8> },
 }
 
-/// A node, or the place of one.
+/// A node, whether or not its process runs.
 pub struct Node {
-    /// While it runs.
+    /// The replica of the running process.
     pub replica: Option<Replica>,
-    life: u64,
+    /// The number of its starts, so that ticks of an earlier process are dropped.
+    run: u64,
+    /// While paused, the datagrams that wait in its socket, with their senders.
     paused: Option<Vec<(usize, Vec<u8>)>>,
-    /// Its clock is off by so much.
-    pub off: Micros,
-    /// All that it has sent, over all its lives.
+    /// How far its clock is ahead.
+    pub clock_offset: Micros,
+    /// Bytes that it has sent, over all its processes.
     pub sent_bytes: u64,
-    /// Datagrams of it.
+    /// Datagrams that it has sent, over all its processes.
     pub sent: u64,
 }
 
-/// All nodes, and the ways between them.
+/// The nodes and the links between them.
 pub struct Simulation {
     /// The true time.
     pub now: Micros,
-    /// By number.
+    /// By index.
     pub nodes: Vec<Node>,
-    /// For all choices.
+    /// The generator of all random choices.
     pub rng: fastrand::Rng,
-    /// Datagrams lost, and those doubled, in a thousand.
+    /// Datagrams lost, per thousand.
     pub loss_permille: u32,
     /// Datagrams delivered twice, per thousand.
     pub duplicate_permille: u32,
-    /// Shortest and longest time on a way.
+    /// Shortest and longest delay of a datagram.
     pub delay_range: (Micros, Micros),
-    /// Who is here is told so late.
-    pub lag: Micros,
+    /// How long after a change the nodes learn which others are reachable.
+    pub reachability_lag: Micros,
     cut: BTreeSet<(usize, usize)>,
-    queue: BTreeMap<(Micros, u64), Happens>,
-    /// By node, when who is here is told, and who.
-    seen: BTreeMap<Micros, Vec<Vec<usize>>>,
-    number: u64,
+    queue: BTreeMap<(Micros, u64), SimulationEvent>,
+    /// By time of observation, the reachable nodes of each node.
+    observed: BTreeMap<Micros, Vec<Vec<usize>>>,
+    next_event_number: u64,
 }
 
 impl Simulation {
-    /// So many nodes that have just started.
+    /// A simulation of so many nodes, which have just started.
     pub fn new(nodes: usize, seed: u64) -> Simulation {
-        let node = |_| Node { replica: None, life: 0, paused: None, off: 0, sent_bytes: 0, sent: 0 };
-        let mut world = Simulation {
+        let new_node =
+            |_| Node { replica: None, run: 0, paused: None, clock_offset: 0, sent_bytes: 0, sent: 0 };
+        let mut simulation = Simulation {
             now: 10 * SEC,
-            nodes: (0..nodes).map(node).collect(),
+            nodes: (0..nodes).map(new_node).collect(),
             rng: fastrand::Rng::with_seed(seed),
             loss_permille: 0,
             duplicate_permille: 0,
             delay_range: (MS, 20 * MS),
-            lag: SEC,
+            reachability_lag: SEC,
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
-            seen: BTreeMap::new(),
-            number: 0,
+            observed: BTreeMap::new(),
+            next_event_number: 0,
         };
-        (0..nodes).for_each(|node| world.start(node));
-        world.look();
-        world.tell_here();
-        world
+        (0..nodes).for_each(|node| simulation.start(node));
+        simulation.observe_reachability();
+        simulation.report_reachability();
+        simulation
     }
 
-    fn at(&mut self, at: Micros, what: Happens) {
-        self.number += 1;
-        self.queue.insert((at, self.number), what);
+    fn schedule(&mut self, at: Micros, event: SimulationEvent) {
+        self.next_event_number += 1;
+        self.queue.insert((at, self.next_event_number), event);
     }
 
-    /// A node's clock.
+    /// The time of a node's clock.
     pub fn clock(&self, node: usize) -> Micros {
-        self.now + self.nodes[node].off
+        self.now + self.nodes[node].clock_offset
     }
 
-    /// Starts one that doesn't run, with nothing.
+    /// Starts a node that does not run, with an empty replica.
     pub fn start(&mut self, node: usize) {
-        let life = self.nodes[node].life + 1;
+        let run = self.nodes[node].run + 1;
         let (seed, nodes) = (self.rng.u64(..), self.nodes.len());
-        let setup = Setup { own_index: node, node_count: nodes, site_id: 7, seed, incarnation: life };
+        let setup = Setup { own_index: node, node_count: nodes, site_id: 7, seed, incarnation: run };
         let now = self.clock(node);
-        let place = &mut self.nodes[node];
-        (place.replica, place.life, place.paused) = (Some(Replica::new(setup, now)), life, None);
+        let started = &mut self.nodes[node];
+        (started.replica, started.run, started.paused) = (Some(Replica::new(setup, now)), run, None);
         let at = self.now + self.rng.u64(0..250 * MS);
-        self.at(at, Happens::Tick { node, life });
+        self.schedule(at, SimulationEvent::Tick { node, run });
     }
 
-    /// Kills one.
+    /// Kills a node's process.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].replica = None;
     }
 
-    /// Stops one, with what it believes.
+    /// Pauses a node, which keeps its state.
     pub fn pause(&mut self, node: usize) {
         self.nodes[node].paused.get_or_insert_default();
     }
 
-    /// Has one go on, which notices that it was paused.
+    /// Resumes a node, which detects that it was paused.
     pub fn resume(&mut self, node: usize) {
-        let (now, life) = (self.clock(node), self.nodes[node].life);
-        let held = self.nodes[node].paused.take().unwrap_or_default();
+        let (now, run) = (self.clock(node), self.nodes[node].run);
+        let waiting = self.nodes[node].paused.take().unwrap_or_default();
         if let Some(replica) = &mut self.nodes[node].replica {
             replica.mark_behind(now);
         }
-        for (from, datagram) in held {
-            self.comes(from, node, &datagram);
+        for (from, datagram) in waiting {
+            self.receive(from, node, &datagram);
         }
         let at = self.now;
-        self.at(at, Happens::Tick { node, life });
+        self.schedule(at, SimulationEvent::Tick { node, run });
     }
 
-    /// Cuts the way from one to another, or mends it.
+    /// Cuts or restores one direction of a link.
     pub fn cut(&mut self, from: usize, to: usize, cut: bool) {
         if cut {
             self.cut.insert((from, to));
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Cuts all ways between those of one side and all others, or mends them.
+    /// Cuts or restores all links between the nodes of one side and the others, in both directions.
     pub fn split(&mut self, side: impl Fn(usize) -> bool, cut: bool) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
@@ -150,44 +154,45 @@
         self.nodes[node].replica.is_some() && self.nodes[node].paused.is_none()
     }
 
-    /// A node that runs.
+    /// The replica of a node that runs.
     pub fn replica(&self, node: usize) -> &Replica {
-        self.nodes[node].replica.as_ref().expect("it runs")
+        self.nodes[node].replica.as_ref().expect("the node runs")
     }
 
-    /// Does something at a node that runs.
-    pub fn with_replica<T>(&mut self, node: usize, work: impl FnOnce(&mut Replica, Micros) -> T) -> T {
+    /// Calls a function with the replica of a node that runs and the time of its clock.
+    pub fn with_replica<T>(&mut self, node: usize, call: impl FnOnce(&mut Replica, Micros) -> T) -> T {
         let now = self.clock(node);
-        let replica = self.nodes[node].replica.as_mut().expect("it runs");
-        let done = work(replica, now);
-        // It is told that it is due at once where it is.
+        let replica = self.nodes[node].replica.as_mut().expect("the node runs");
+        let result = call(replica, now);
+        // The call may have made a tick due at once.
         if replica.next_tick_at() <= now {
             let out = replica.tick(now);
-            self.gather(node, out);
+            self.send(node, out);
         }
-        done
+        result
     }
 
-    /// Runs for a time.
-    pub fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    /// Runs the simulation for a duration.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
-            let look = self.now / LOOK * LOOK + LOOK;
-            let until = look.min(end);
+            let next_observation =
+                self.now / REACHABILITY_INTERVAL_US * REACHABILITY_INTERVAL_US + REACHABILITY_INTERVAL_US;
+            let until = next_observation.min(end);
             while let Some((&(at, number), _)) =
                 self.queue.first_key_value().filter(|((at, _), _)| *at <= until)
             {
-                let what = self.queue.remove(&(at, number)).expect("looked at above");
+                let event = self.queue.remove(&(at, number)).expect("the event was read above");
                 self.now = self.now.max(at);
-                match what {
-                    Happens::Tick { node, life } => self.tick(node, life),
-                    Happens::Comes { from, to, datagram } => self.comes(from, to, &datagram),
+                match event {
+                    SimulationEvent::Tick { node, run } => self.tick(node, run),
+                    SimulationEvent::Delivery { from, to, datagram } => self.receive(from, to, &datagram),
                 }
             }
             self.now = until;
-            if until == look {
-                self.look();
-                self.tell_here();
+            if until == next_observation {
+                self.observe_reachability();
+                self.report_reachability();
             }
             if until == end {
                 return;
@@ -195,42 +200,43 @@
         }
     }
 
-    /// Who could hear whom, to be told later.
-    fn look(&mut self) {
+    /// Stores which nodes are reachable for each node now, to be reported after the lag.
+    fn observe_reachability(&mut self) {
         let nodes = self.nodes.len();
-        let hears = |at: usize, of: usize| {
+        let is_reachable = |at: usize, of: usize| {
             at != of && self.runs(of) && !self.cut.contains(&(of, at)) && !self.cut.contains(&(at, of))
         };
-        let seen = (0..nodes).map(|at| (0..nodes).filter(|&of| hears(at, of)).collect()).collect();
-        self.seen.insert(self.now, seen);
+        let reachable =
+            (0..nodes).map(|at| (0..nodes).filter(|&of| is_reachable(at, of)).collect()).collect();
+        self.observed.insert(self.now, reachable);
     }
 
-    fn tell_here(&mut self) {
-        let told = self.seen.range(..=self.now.saturating_sub(self.lag)).next_back();
-        let Some((&at, seen)) = told.or_else(|| self.seen.first_key_value()) else { return };
-        let seen = seen.clone();
-        self.seen = self.seen.split_off(&at);
-        for (node, here) in seen.into_iter().enumerate() {
+    fn report_reachability(&mut self) {
+        let due = self.observed.range(..=self.now.saturating_sub(self.reachability_lag)).next_back();
+        let Some((&at, observed)) = due.or_else(|| self.observed.first_key_value()) else { return };
+        let observed = observed.clone();
+        self.observed = self.observed.split_off(&at);
+        for (node, reachable) in observed.into_iter().enumerate() {
             let Node { replica: Some(replica), paused: None, .. } = &mut self.nodes[node] else { continue };
-            replica.set_reachable(here);
+            replica.set_reachable(reachable);
         }
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life != life || !self.runs(node) {
+    fn tick(&mut self, node: usize, run: u64) {
+        if self.nodes[node].run != run || !self.runs(node) {
             return;
         }
         let now = self.clock(node);
         let Some(replica) = &mut self.nodes[node].replica else { return };
-        let (out, due) = (replica.tick(now), replica.next_tick_at());
-        let at = self.now + due.saturating_sub(now) + self.rng.u64(0..2 * MS);
-        self.at(at, Happens::Tick { node, life });
-        self.gather(node, out);
+        let (out, next_tick_at) = (replica.tick(now), replica.next_tick_at());
+        let at = self.now + next_tick_at.saturating_sub(now) + self.rng.u64(0..2 * MS);
+        self.schedule(at, SimulationEvent::Tick { node, run });
+        self.send(node, out);
     }
 
-    fn comes(&mut self, from: usize, to: usize, datagram: &[u8]) {
+    fn receive(&mut self, from: usize, to: usize, datagram: &[u8]) {
         if let Some(waiting) = &mut self.nodes[to].paused {
-            if waiting.len() < HELD {
+            if waiting.len() < SOCKET_BUFFER_DATAGRAMS {
                 waiting.push((from, datagram.to_vec()));
             }
             return;
@@ -238,41 +244,44 @@
         let now = self.clock(to);
         let Some(replica) = &mut self.nodes[to].replica else { return };
         let out = replica.handle_datagram(now, from, datagram);
-        self.gather(to, out);
+        self.send(to, out);
     }
 
-    /// Sends what a node says.
-    pub fn gather(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
+    /// Sends datagrams of a node.
+    pub fn send(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
         for out in out {
             assert!(out.datagram.len() <= 256 && out.to != node);
             self.nodes[node].sent_bytes += out.datagram.len() as u64;
             self.nodes[node].sent += 1;
-            let times = 1 + u32::from(self.rng.u32(0..1000) < self.duplicate_permille);
-            for _ in 0..times {
+            let copies = 1 + u32::from(self.rng.u32(0..1000) < self.duplicate_permille);
+            for _ in 0..copies {
                 if !self.cut.contains(&(node, out.to)) && self.rng.u32(0..1000) >= self.loss_permille {
                     let at = self.now + self.rng.u64(self.delay_range.0..=self.delay_range.1);
-                    self.at(at, Happens::Comes { from: node, to: out.to, datagram: out.datagram.clone() });
+                    self.schedule(
+                        at,
+                        SimulationEvent::Delivery { from: node, to: out.to, datagram: out.datagram.clone() },
+                    );
                 }
             }
         }
     }
 
-    /// Whether all that run hold the same.
+    /// Whether all running nodes have identical replicas.
     pub fn is_converged(&self) -> bool {
         let roots: BTreeSet<u32> =
             (0..self.nodes.len()).filter(|&n| self.runs(n)).map(|n| self.replica(n).root()).collect();
         roots.len() <= 1
     }
 
-    /// Runs until something holds; tells after what time.
-    pub fn run_until(&mut self, most: Micros, holds: impl Fn(&Simulation) -> bool) -> Micros {
+    /// Runs until a condition holds, and returns how long that took. Panics after `limit`.
+    pub fn run_until(&mut self, limit: Micros, condition: impl Fn(&Simulation) -> bool) -> Micros {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             let roots: Vec<u32> = (0..self.nodes.len().min(12))
                 .filter(|&n| self.runs(n))
                 .map(|n| self.replica(n).root())
                 .collect();
-            assert!(self.now < start + most, "not within {most} us: {roots:x?}");
+            assert!(self.now < start + limit, "not within {limit} us: {roots:x?}");
             self.run(20 * MS);
         }
         self.now - start
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -1,134 +1,141 @@
-//! What is lent: in no order of asking, losing, doubling, pausing and starting again is more used than there is.
+//! Lending of shares: in no order of requests, losses, duplicates, pauses and restarts do the nodes together use more than
+//! the total.
 
 use lilacquay_codec::replica::Rights;
 use lilacquay_replica::Micros;
-use lilacquay_replica::leases::{Purse, Terms};
+use lilacquay_replica::leases::{LeaseLedger, LeaseLimits};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
-const PART: u32 = 1_000;
+/// The share of one node, in thousandths.
+const NODE_SHARE: u32 = 1_000;
 const STEP: Micros = 500_000;
-/// A lending outlasts the next asking, as it does in a node.
-const TERMS: Terms = Terms { drift: 10, longest: 4 * STEP };
-/// In thousandths: as far apart as the terms allow.
-const DRIFTS: [u64; NODES] = [990, 1_000, 1_010];
+/// A lease lasts longer than the interval between two requests, as it does in production.
+const LIMITS: LeaseLimits = LeaseLimits { max_drift_permille: 10, max_duration: 4 * STEP };
+/// The speeds of the clocks, in thousandths: as far apart as the limits allow.
+const CLOCK_SPEEDS_PERMILLE: [u64; NODES] = [990, 1_000, 1_010];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Whole {
+struct ModelState {
     now: Micros,
-    purses: Vec<Purse>,
-    /// Until when each has its own part, by its own clock.
+    ledgers: Vec<LeaseLedger>,
+    /// Until when each node has its own share, by its own clock.
     own_until: [Micros; NODES],
-    /// No fellow confirms it: its part runs out.
+    /// Nodes that no watcher confirms, so that their shares expire.
     cut: [bool; NODES],
     paused: [bool; NODES],
-    under_way: Vec<(usize, usize, Rights)>,
+    in_flight: Vec<(usize, usize, Rights)>,
     starts: u32,
-    left: u8,
+    /// Steps that may still be taken.
+    steps_left: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Pass,
-    Comes(usize),
-    Comes2(usize),
-    Lost(usize),
-    Wants(usize, u32),
+    /// Time passes.
+    Advance,
+    /// The message with this index is delivered.
+    Deliver(usize),
+    /// The same, and it stays in flight to be delivered again.
+    DeliverDuplicate(usize),
+    Lose(usize),
+    SetDemand(usize, u32),
+    /// The watchers stop confirming the node, or confirm it again.
     Cut(usize),
-    Mend(usize),
+    Restore(usize),
     Pause(usize),
     Resume(usize),
     Restart(usize),
 }
 
-impl Whole {
-    fn new(left: u8) -> Whole {
+impl ModelState {
+    fn new(steps_left: u8) -> ModelState {
         let now = 20 * STEP;
-        let mut whole = Whole {
+        let mut state = ModelState {
             now,
-            purses: Vec::new(),
+            ledgers: Vec::new(),
             own_until: [0; NODES],
             cut: [false; NODES],
             paused: [false; NODES],
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             starts: 0,
-            left,
+            steps_left,
         };
-        whole.purses = (0..NODES).map(|node| Purse::new(TERMS, whole.clock(node) / 2, 0)).collect();
-        whole.confirm();
-        whole
+        state.ledgers = (0..NODES).map(|node| LeaseLedger::new(LIMITS, state.clock(node) / 2, 0)).collect();
+        state.renew_shares();
+        state
     }
 
     fn clock(&self, node: usize) -> Micros {
-        self.now * DRIFTS[node] / 1_000
+        self.now * CLOCK_SPEEDS_PERMILLE[node] / 1_000
     }
 
-    /// Those who are not cut have their part for a lease from now.
-    fn confirm(&mut self) {
+    /// Nodes that are confirmed have their share for one lease from now.
+    fn renew_shares(&mut self) {
         for node in (0..NODES).filter(|&node| !self.cut[node] && !self.paused[node]) {
-            self.own_until[node] = self.clock(node) + TERMS.longest;
+            self.own_until[node] = self.clock(node) + LIMITS.max_duration;
         }
     }
 
-    /// A paused one may wake up in the midst of a use.
-    fn used(&self) -> u32 {
-        (0..NODES).map(|n| self.purses[n].has(self.clock(n), PART, self.own_until[n])).sum()
+    /// What all nodes may use together. A paused node counts too: it may resume in the middle of using its share.
+    fn total_used(&self) -> u32 {
+        (0..NODES).map(|n| self.ledgers[n].usable(self.clock(n), NODE_SHARE, self.own_until[n])).sum()
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Pass => {
+            Step::Advance => {
                 self.now += STEP;
-                self.confirm();
+                self.renew_shares();
                 for node in (0..NODES).filter(|&node| !self.paused[node]) {
                     let (now, until) = (self.clock(node), self.own_until[node]);
-                    let here: Vec<usize> = (0..NODES).filter(|&other| other != node).collect();
-                    let mut n = node;
-                    let some = |of: usize| {
-                        n += 1;
-                        n % of
+                    let reachable: Vec<usize> = (0..NODES).filter(|&other| other != node).collect();
+                    let mut next = node;
+                    let choose = |bound: usize| {
+                        next += 1;
+                        next % bound
                     };
-                    let say = self.purses[node].tick(now, PART, until, &here, some);
-                    self.under_way.extend(say.into_iter().map(|(to, rights)| (node, to, rights)));
+                    let messages = self.ledgers[node].tick(now, NODE_SHARE, until, &reachable, choose);
+                    self.in_flight.extend(messages.into_iter().map(|(to, message)| (node, to, message)));
                 }
             }
-            Step::Comes(n) | Step::Comes2(n) => {
-                let (from, to, rights) = self.under_way[n];
-                if matches!(step, Step::Comes(_)) {
-                    self.under_way.remove(n);
+            Step::Deliver(n) | Step::DeliverDuplicate(n) => {
+                let (from, to, message) = self.in_flight[n];
+                if matches!(step, Step::Deliver(_)) {
+                    self.in_flight.remove(n);
                 }
                 if !self.paused[to] {
                     let (now, until) = (self.clock(to), self.own_until[to]);
-                    let answer = self.purses[to].heard(now, from, rights, PART, until);
-                    self.under_way.extend(answer.map(|(back, rights)| (to, back, rights)));
+                    let answer = self.ledgers[to].handle_message(now, from, message, NODE_SHARE, until);
+                    self.in_flight.extend(answer.map(|(receiver, message)| (to, receiver, message)));
                 }
             }
-            Step::Lost(n) => _ = self.under_way.remove(n),
-            Step::Wants(node, amount) => self.purses[node].wants(amount),
+            Step::Lose(n) => _ = self.in_flight.remove(n),
+            Step::SetDemand(node, amount) => self.ledgers[node].set_demand(amount),
             Step::Cut(node) => self.cut[node] = true,
-            Step::Mend(node) => self.cut[node] = false,
+            Step::Restore(node) => self.cut[node] = false,
             Step::Pause(node) => self.paused[node] = true,
             Step::Resume(node) => self.paused[node] = false,
             Step::Restart(node) => {
                 self.starts += 1;
-                self.purses[node] = Purse::new(TERMS, self.clock(node), 1_000 * self.starts);
+                self.ledgers[node] = LeaseLedger::new(LIMITS, self.clock(node), 1_000 * self.starts);
             }
         }
-        self.under_way.truncate(6);
+        self.in_flight.truncate(6);
     }
 
     fn steps(&self) -> Vec<Step> {
-        let mut steps = vec![Step::Pass];
-        for n in 0..self.under_way.len() {
-            steps.extend([Step::Comes(n), Step::Lost(n)]);
+        let mut steps = vec![Step::Advance];
+        for n in 0..self.in_flight.len() {
+            steps.extend([Step::Deliver(n), Step::Lose(n)]);
         }
-        if !self.under_way.is_empty() {
-            steps.push(Step::Comes2(0));
+        if !self.in_flight.is_empty() {
+            steps.push(Step::DeliverDuplicate(0));
         }
-        steps.extend([Step::Wants(0, 2_000), Step::Wants(0, 0), Step::Wants(1, 1_500)]);
+        steps.extend([Step::SetDemand(0, 2_000), Step::SetDemand(0, 0), Step::SetDemand(1, 1_500)]);
         for node in 0..2 {
             steps.extend([
-                if self.cut[node] { Step::Mend(node) } else { Step::Cut(node) },
+                if self.cut[node] { Step::Restore(node) } else { Step::Cut(node) },
                 if self.paused[node] { Step::Resume(node) } else { Step::Pause(node) },
                 Step::Restart(node),
             ]);
@@ -137,73 +144,76 @@
     }
 }
 
-struct All(u8);
+/// The model; its number is the depth of the exploration, in steps.
+struct LendingModel(u8);
 
-impl Model for All {
-    type State = Whole;
+impl Model for LendingModel {
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Whole> {
-        vec![Whole::new(self.0)]
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState::new(self.0)]
     }
 
-    fn actions(&self, state: &Whole, actions: &mut Vec<Step>) {
-        if state.left > 0 {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Step>) {
+        if state.steps_left > 0 {
             actions.extend(state.steps());
         }
     }
 
-    fn next_state(&self, state: &Whole, step: Step) -> Option<Whole> {
+    fn next_state(&self, state: &ModelState, step: Step) -> Option<ModelState> {
         let mut next = state.clone();
-        next.left -= 1;
+        next.steps_left -= 1;
         next.step(step);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more than there is", |_, whole: &Whole| whole.used() <= PART * NODES as u32),
-            Property::sometimes("something is lent", |_, whole: &Whole| {
-                (0..NODES).any(|n| whole.purses[n].borrowed(whole.clock(n)) > 0)
+            Property::always("no more than the total is used", |_, state: &ModelState| {
+                state.total_used() <= NODE_SHARE * NODES as u32
+            }),
+            Property::sometimes("some share is lent", |_, state: &ModelState| {
+                (0..NODES).any(|n| state.ledgers[n].borrowed(state.clock(n)) > 0)
             }),
         ]
     }
 }
 
-/// `LILACQUAY_DEPTH=9` looks deeper, for some minutes.
+/// `LILACQUAY_DEPTH=9` explores deeper, which takes some minutes.
 #[test]
-fn in_no_order_of_events_is_more_used_than_there_is() {
+fn in_no_order_of_events_is_more_than_the_total_used() {
     let depth = std::env::var("LILACQUAY_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(6);
-    All(depth).checker().threads(2).spawn_bfs().join().assert_properties();
+    LendingModel(depth).checker().threads(2).spawn_bfs().join().assert_properties();
 }
 
-/// Ten thousand histories of sixty steps.
+/// Ten thousand random sequences of sixty steps. In the end all lent shares are used by their owners again.
 #[test]
-fn in_seeded_histories_no_more_is_used_and_all_comes_back() {
-    let mut lent = 0;
+fn in_random_sequences_no_more_than_the_total_is_used_and_all_shares_return() {
+    let mut steps_with_loans = 0;
     for seed in 0..10_000 {
-        let (mut rng, mut whole) = (fastrand::Rng::with_seed(seed), Whole::new(0));
+        let (mut rng, mut state) = (fastrand::Rng::with_seed(seed), ModelState::new(0));
         for _ in 0..60 {
-            let steps = whole.steps();
-            // What brings things about more often than what ends them.
+            let steps = state.steps();
+            // Steps that make lending happen are more frequent than those that end it.
             let step = match rng.u8(..10) {
-                0..=2 => Step::Pass,
-                3..=6 if !whole.under_way.is_empty() => Step::Comes(rng.usize(..whole.under_way.len())),
+                0..=2 => Step::Advance,
+                3..=6 if !state.in_flight.is_empty() => Step::Deliver(rng.usize(..state.in_flight.len())),
                 _ => steps[rng.usize(..steps.len())],
             };
-            whole.step(step);
-            assert!(whole.used() <= PART * NODES as u32, "seed {seed} after {step:?}: {whole:?}");
-            let borrowed = |n: usize| whole.purses[n].borrowed(whole.clock(n));
-            lent += u32::from((0..NODES).any(|n| borrowed(n) > 0));
+            state.step(step);
+            assert!(state.total_used() <= NODE_SHARE * NODES as u32, "seed {seed} after {step:?}: {state:?}");
+            let borrowed = |n: usize| state.ledgers[n].borrowed(state.clock(n));
+            steps_with_loans += u32::from((0..NODES).any(|n| borrowed(n) > 0));
         }
-        (whole.cut, whole.paused) = Default::default();
-        whole.under_way.clear();
-        (0..NODES).for_each(|node| whole.purses[node].wants(0));
+        (state.cut, state.paused) = Default::default();
+        state.in_flight.clear();
+        (0..NODES).for_each(|node| state.ledgers[node].set_demand(0));
         (0..8).for_each(|_| {
-            whole.step(Step::Pass);
-            whole.under_way.clear();
+            state.step(Step::Advance);
+            state.in_flight.clear();
         });
-        assert_eq!(whole.used(), PART * NODES as u32, "seed {seed}: all of it is used again");
+        assert_eq!(state.total_used(), NODE_SHARE * NODES as u32, "seed {seed}: the total is used again");
     }
-    assert!(lent > 10_000, "{lent}");
+    assert!(steps_with_loans > 10_000, "{steps_with_loans}");
 }
--- a/crates/replica/tests/orders.rs
+++ b/crates/replica/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Three copies and one server: in all orders of drains, undrains, one-sided words, exchanges and restarts no drain is lifted by
-//! who had not seen it, none is lost while a node that held it lives, and all end alike.
+//! Three replicas and one server: in all sequences of drains, undrains, one-way messages, exchanges and restarts, no drain is
+//! lifted by a node that had not seen it, none is lost while a node that held it runs, and all replicas converge.
 
 use std::collections::BTreeSet;
 
@@ -9,90 +9,100 @@
 
 const NODES: usize = 3;
 const SEC: Micros = 1_000_000;
-const BOX: &[u8] = b"box";
+const SERVER: &[u8] = b"box";
 
-/// An order as the model knows it: its number, what it ordered, and which orders its node held or had lifted by then.
+/// An order as the model tracks it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Given {
+struct IssuedOrder {
     id: u64,
-    drains: bool,
+    is_drain: bool,
+    /// The orders that its node held, or had held, when it was issued.
     seen: BTreeSet<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Site {
+struct ModelState {
     now: Micros,
-    copies: Vec<Replica>,
-    lives: u64,
-    given: Vec<Given>,
-    /// By node, all orders that have come to its present life.
-    met: Vec<BTreeSet<u64>>,
-    left: u8,
+    replicas: Vec<Replica>,
+    /// Processes started so far, which gives each its incarnation.
+    starts: u64,
+    issued: Vec<IssuedOrder>,
+    /// By node, all orders that its present process has received.
+    received: Vec<BTreeSet<u64>>,
+    /// Steps that may still be taken.
+    steps_left: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Drain(usize),
     Undrain(usize),
-    /// What one says comes to the other, and no answer.
-    Word(usize, usize),
-    /// The two speak until both are silent.
-    Talk(usize, usize),
+    /// What one node sends reaches the other, whose answer is lost.
+    OneWay(usize, usize),
+    /// The two exchange datagrams until neither has more to send.
+    Exchange(usize, usize),
     Restart(usize),
 }
 
-impl Site {
-    fn new(left: u8) -> Site {
-        let (now, met) = (100 * SEC, vec![BTreeSet::new(); NODES]);
-        let mut site = Site { now, copies: Vec::new(), lives: 0, given: Vec::new(), met, left };
-        site.copies = (0..NODES).map(|me| site.copy(me)).collect();
-        site
-    }
-
-    fn copy(&mut self, me: usize) -> Replica {
-        self.lives += 1;
-        let setup =
-            Setup { own_index: me, node_count: NODES, site_id: 1, seed: me as u64, incarnation: self.lives };
-        let mut copy = Replica::new(setup, self.now);
-        copy.set_reachable((0..NODES).filter(|&other| other != me).collect());
-        copy
+impl ModelState {
+    fn new(steps_left: u8) -> ModelState {
+        let (now, received) = (100 * SEC, vec![BTreeSet::new(); NODES]);
+        let mut state =
+            ModelState { now, replicas: Vec::new(), starts: 0, issued: Vec::new(), received, steps_left };
+        state.replicas = (0..NODES).map(|node| state.start(node)).collect();
+        state
+    }
+
+    fn start(&mut self, node: usize) -> Replica {
+        self.starts += 1;
+        let setup = Setup {
+            own_index: node,
+            node_count: NODES,
+            site_id: 1,
+            seed: node as u64,
+            incarnation: self.starts,
+        };
+        let mut replica = Replica::new(setup, self.now);
+        replica.set_reachable((0..NODES).filter(|&other| other != node).collect());
+        replica
     }
 
     fn held(&self, node: usize) -> BTreeSet<u64> {
-        let orders = self.copies[node].records().filter(|(_, _, held)| held.record.kind == kind::ORDER);
+        let orders = self.replicas[node].records().filter(|(_, _, held)| held.record.kind == kind::ORDER);
         orders.map(|(id, ..)| id).collect()
     }
 
     fn order(&mut self, node: usize, action: Action) {
-        let seen = self.met[node].clone();
-        let id = self.copies[node].issue_order(self.now, BOX, action, None, 0).expect("there is room");
-        self.given.push(Given { id, drains: action == Action::Drain, seen });
+        let seen = self.received[node].clone();
+        let id = self.replicas[node].issue_order(self.now, SERVER, action, None, 0).expect("there is room");
+        self.issued.push(IssuedOrder { id, is_drain: action == Action::Drain, seen });
     }
 
-    /// What a node says by itself comes to another; tells what that answers.
-    fn word(&mut self, from: usize, to: usize) -> Vec<OutgoingDatagram> {
-        let mut all: Vec<usize> = (0..NODES).filter(|&node| node != from).collect();
-        self.copies[from].set_reachable(vec![to]);
-        let out = self.copies[from].tick(self.now);
-        self.copies[from].set_reachable(std::mem::take(&mut all));
-        self.carry(from, to, out)
+    /// Delivers what a node sends in a tick to one other node; returns the answers.
+    fn send_one_way(&mut self, from: usize, to: usize) -> Vec<OutgoingDatagram> {
+        let mut others: Vec<usize> = (0..NODES).filter(|&node| node != from).collect();
+        self.replicas[from].set_reachable(vec![to]);
+        let out = self.replicas[from].tick(self.now);
+        self.replicas[from].set_reachable(std::mem::take(&mut others));
+        self.deliver(from, to, out)
     }
 
-    fn carry(&mut self, from: usize, to: usize, out: Vec<OutgoingDatagram>) -> Vec<OutgoingDatagram> {
-        let to_it = out.into_iter().filter(|out| out.to == to);
-        let answers: Vec<OutgoingDatagram> =
-            to_it.flat_map(|out| self.copies[to].handle_datagram(self.now, from, &out.datagram)).collect();
+    fn deliver(&mut self, from: usize, to: usize, out: Vec<OutgoingDatagram>) -> Vec<OutgoingDatagram> {
+        let for_receiver = out.into_iter().filter(|out| out.to == to);
+        let answers: Vec<OutgoingDatagram> = for_receiver
+            .flat_map(|out| self.replicas[to].handle_datagram(self.now, from, &out.datagram))
+            .collect();
         let held = self.held(to);
-        self.met[to].extend(held);
+        self.received[to].extend(held);
         answers
     }
 
-    fn talk(&mut self, one: usize, other: usize) {
+    fn exchange(&mut self, one: usize, other: usize) {
         for (from, to) in [(one, other), (other, one)] {
-            let (mut from, mut to, mut out) = (from, to, self.word(from, to));
+            let (mut from, mut to, mut out) = (from, to, self.send_one_way(from, to));
             for _ in 0..20 {
                 (from, to) = (to, from);
-                out = self.carry(from, to, out);
+                out = self.deliver(from, to, out);
             }
         }
     }
@@ -102,121 +112,133 @@
         match step {
             Step::Drain(node) => self.order(node, Action::Drain),
             Step::Undrain(node) => self.order(node, Action::Undrain),
-            Step::Word(from, to) => _ = self.word(from, to),
-            Step::Talk(one, other) => self.talk(one, other),
+            Step::OneWay(from, to) => _ = self.send_one_way(from, to),
+            Step::Exchange(one, other) => self.exchange(one, other),
             Step::Restart(node) => {
-                self.copies[node] = self.copy(node);
-                self.met[node].clear();
+                self.replicas[node] = self.start(node);
+                self.received[node].clear();
             }
         }
         for node in 0..NODES {
             let held = self.held(node);
-            self.met[node].extend(held);
+            self.received[node].extend(held);
         }
     }
 
-    /// Orders that were lifted, or taken the place of, by whoever had seen them.
-    fn covered(&self) -> BTreeSet<u64> {
-        self.given.iter().flat_map(|given| given.seen.iter().copied()).collect()
+    /// Orders that were superseded by one whose issuer had seen them.
+    fn superseded(&self) -> BTreeSet<u64> {
+        self.issued.iter().flat_map(|order| order.seen.iter().copied()).collect()
     }
 
-    fn drains(&self, node: usize) -> bool {
-        let mut standing = self.copies[node].effective_orders(self.now);
-        standing.any(|(standing, _)| standing.order.action == Action::Drain)
+    fn has_drain(&self, node: usize) -> bool {
+        let mut effective = self.replicas[node].effective_orders(self.now);
+        effective.any(|(effective, _)| effective.order.action == Action::Drain)
     }
 
-    /// Whoever has met a drain that nobody who saw it has lifted keeps it.
+    /// Whether each node that has received a drain still has one, unless an issuer that had seen it has superseded it.
     fn keeps_drains(&self) -> bool {
-        let covered = self.covered();
-        let open = |id: &u64| {
-            !covered.contains(id) && self.given.iter().any(|given| given.id == *id && given.drains)
+        let superseded = self.superseded();
+        let is_standing_drain = |id: &u64| {
+            !superseded.contains(id) && self.issued.iter().any(|order| order.id == *id && order.is_drain)
         };
-        (0..NODES).all(|node| !self.met[node].iter().any(open) || self.drains(node))
+        (0..NODES).all(|node| !self.received[node].iter().any(is_standing_drain) || self.has_drain(node))
     }
 
-    /// Once all have spoken they hold the same, and nothing that was lifted in sight of it.
-    fn ends_alike(&self) -> bool {
-        let mut end = self.clone();
+    /// Whether all replicas converge after some exchanges, on a state without any superseded order.
+    fn converges(&self) -> bool {
+        let mut after_exchanges = self.clone();
         for _ in 0..4 {
-            end.now += SEC;
+            after_exchanges.now += SEC;
             for (one, other) in [(0, 1), (1, 2), (0, 2)] {
-                end.talk(one, other);
+                after_exchanges.exchange(one, other);
             }
         }
-        let alike = end.copies.iter().all(|copy| copy.root() == end.copies[0].root());
-        // Nobody holds a drain that an order which any of them has met has lifted.
-        let met: BTreeSet<u64> = end.met.iter().flatten().copied().collect();
-        let lifted = end.given.iter().filter(|given| met.contains(&given.id)).flat_map(|given| &given.seen);
-        let (held, lifted): (BTreeSet<u64>, BTreeSet<u64>) = (end.held(0), lifted.copied().collect());
-        alike && held.is_disjoint(&lifted) && end.keeps_drains()
+        let is_converged = after_exchanges
+            .replicas
+            .iter()
+            .all(|replica| replica.root() == after_exchanges.replicas[0].root());
+        // No node holds a drain that was superseded by an order which any of them has received.
+        let received: BTreeSet<u64> = after_exchanges.received.iter().flatten().copied().collect();
+        let superseded = after_exchanges
+            .issued
+            .iter()
+            .filter(|order| received.contains(&order.id))
+            .flat_map(|order| &order.seen);
+        let (held, superseded): (BTreeSet<u64>, BTreeSet<u64>) =
+            (after_exchanges.held(0), superseded.copied().collect());
+        is_converged && held.is_disjoint(&superseded) && after_exchanges.keeps_drains()
     }
 }
 
-struct All(u8);
+/// The model; its number is the depth of the exploration, in steps.
+struct OrdersModel(u8);
 
-impl Model for All {
-    type State = Site;
+impl Model for OrdersModel {
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Site> {
-        vec![Site::new(self.0)]
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState::new(self.0)]
     }
 
-    fn actions(&self, state: &Site, steps: &mut Vec<Step>) {
-        if state.left == 0 {
+    fn actions(&self, state: &ModelState, steps: &mut Vec<Step>) {
+        if state.steps_left == 0 {
             return;
         }
         for node in 0..NODES {
             steps.extend([Step::Drain(node), Step::Undrain(node), Step::Restart(node)]);
             let next = (node + 1) % NODES;
-            steps.extend([Step::Word(node, next), Step::Word(next, node), Step::Talk(node, next)]);
+            steps.extend([Step::OneWay(node, next), Step::OneWay(next, node), Step::Exchange(node, next)]);
         }
     }
 
-    fn next_state(&self, state: &Site, step: Step) -> Option<Site> {
+    fn next_state(&self, state: &ModelState, step: Step) -> Option<ModelState> {
         let mut next = state.clone();
-        next.left -= 1;
+        next.steps_left -= 1;
         next.step(step);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a drain is kept", |_, site: &Site| site.keeps_drains()),
-            Property::always("all end alike", |_, site: &Site| site.left > 1 || site.ends_alike()),
-            Property::sometimes("a drain is lifted", |_, site: &Site| {
-                site.given.iter().any(|given| !given.drains && !given.seen.is_empty()) && !site.drains(0)
+            Property::always("a drain is kept", |_, state: &ModelState| state.keeps_drains()),
+            Property::always("all replicas converge", |_, state: &ModelState| {
+                state.steps_left > 1 || state.converges()
+            }),
+            Property::sometimes("a drain is superseded", |_, state: &ModelState| {
+                state.issued.iter().any(|order| !order.is_drain && !order.seen.is_empty())
+                    && !state.has_drain(0)
             }),
         ]
     }
 }
 
-/// `LILACQUAY_DEPTH=5` looks deeper, for some minutes.
+/// `LILACQUAY_DEPTH=5` explores deeper, which takes some minutes.
 #[test]
-fn in_no_order_of_events_is_a_drain_lifted_unseen_or_lost() {
+fn in_no_order_of_events_is_a_drain_lost_or_lifted_by_a_node_that_had_not_seen_it() {
     let depth = std::env::var("LILACQUAY_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(3);
-    All(depth).checker().threads(2).spawn_dfs().join().assert_properties();
+    OrdersModel(depth).checker().threads(2).spawn_dfs().join().assert_properties();
 }
 
-/// Twenty steps, drawn from a seed; `LILACQUAY_SEEDS=10000` plays more of them.
+/// Random sequences of twenty steps; `LILACQUAY_SEEDS=10000` runs more of them.
 #[test]
-fn in_seeded_histories_all_end_alike() {
+fn in_random_sequences_all_replicas_converge() {
     let seeds = std::env::var("LILACQUAY_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(2_000);
     for seed in 0..seeds {
-        let (mut rng, mut site) = (fastrand::Rng::with_seed(seed), Site::new(0));
+        let (mut rng, mut state) = (fastrand::Rng::with_seed(seed), ModelState::new(0));
         for _ in 0..20 {
             let (node, next) = (rng.usize(..NODES), rng.usize(1..NODES));
             let other = (node + next) % NODES;
             let step = match rng.u8(..12) {
                 0..=2 => Step::Drain(node),
                 3..=5 => Step::Undrain(node),
-                6..=7 => Step::Word(node, other),
-                8..=10 => Step::Talk(node, other),
+                6..=7 => Step::OneWay(node, other),
+                8..=10 => Step::Exchange(node, other),
                 _ => Step::Restart(node),
             };
-            site.step(step);
-            assert!(site.keeps_drains(), "seed {seed}, after {step:?}: {:?}", site.given);
+            state.step(step);
+            assert!(state.keeps_drains(), "seed {seed}, after {step:?}: {:?}", state.issued);
         }
-        assert!(site.ends_alike(), "seed {seed}: {:?}", site.given);
+        assert!(state.converges(), "seed {seed}: {:?}", state.issued);
     }
 }
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! Copies in virtual time: what becomes of orders, words and lendings through loss, splits, pauses, deaths and returns.
+//! Tests of replicas in virtual time: orders, endpoint reports, evidence and lease messages under loss, splits, pauses,
+//! crashes and restarts. Times are in microseconds.
 
 use std::collections::BTreeSet;
 
@@ -8,189 +9,199 @@
 use lilacquay_replica::simulation::{MS, SEC, Simulation};
 use lilacquay_replica::{Micros, SyncState, evidence, kind};
 
-fn world(nodes: usize, seed: u64) -> Simulation {
-    let mut world = Simulation::new(nodes, seed);
-    world.run(5 * SEC);
-    world
+/// A simulation of so many nodes that has run for 5 s.
+fn new_simulation(nodes: usize, seed: u64) -> Simulation {
+    let mut sim = Simulation::new(nodes, seed);
+    sim.run(5 * SEC);
+    sim
 }
 
-fn order(world: &mut Simulation, node: usize, server: &str, action: Action) -> u64 {
-    let life = (action == Action::LeaveOut).then_some(30 * SEC);
-    world.with_replica(node, |replica, now| {
-        replica.issue_order(now, server.as_bytes(), action, life, 0).unwrap()
+fn issue_order(sim: &mut Simulation, node: usize, server: &str, action: Action) -> u64 {
+    let lifetime = (action == Action::LeaveOut).then_some(30 * SEC);
+    sim.with_replica(node, |replica, now| {
+        replica.issue_order(now, server.as_bytes(), action, lifetime, 0).unwrap()
     })
 }
 
-/// What stands at a node for a server, and whether others contradict it; a tombstone is nothing.
-fn stands(world: &Simulation, node: usize, server: &str) -> Option<(Action, bool)> {
-    let now = world.clock(node);
-    let mut all = world.replica(node).effective_orders(now);
-    let found = all.find(|(standing, left)| {
-        standing.subject == server.as_bytes() && !standing.order.is_tombstone(*left)
+/// The action in effect for a server at a node, and whether concurrent orders contradict it; none if it is a tombstone.
+fn effective_action(sim: &Simulation, node: usize, server: &str) -> Option<(Action, bool)> {
+    let now = sim.clock(node);
+    let mut effective = sim.replica(node).effective_orders(now);
+    let found = effective.find(|(effective, remaining)| {
+        effective.subject == server.as_bytes() && !effective.order.is_tombstone(*remaining)
     });
-    found.map(|(standing, _)| (standing.order.action, standing.is_conflict()))
+    found.map(|(effective, _)| (effective.order.action, effective.is_conflict()))
 }
 
-fn all_hold(world: &Simulation, server: &str, what: Option<Action>) -> bool {
-    (0..world.nodes.len())
-        .filter(|&node| world.runs(node))
-        .all(|node| stands(world, node, server).map(|(action, _)| action) == what)
+/// Whether this action is in effect for a server at all running nodes.
+fn all_hold(sim: &Simulation, server: &str, expected: Option<Action>) -> bool {
+    (0..sim.nodes.len())
+        .filter(|&node| sim.runs(node))
+        .all(|node| effective_action(sim, node, server).map(|(action, _)| action) == expected)
 }
 
 #[test]
-fn a_drain_is_held_by_all_within_its_times_and_its_holders_are_counted() {
+fn a_drain_reaches_all_nodes_within_its_time_limits_and_its_holders_are_counted() {
     for (nodes, loss) in [(3, 0), (30, 100), (300, 0), (300, 100)] {
-        let mut world = world(nodes, 1);
-        (world.loss_permille, world.duplicate_permille) = (loss, 20);
-        let id = order(&mut world, nodes / 2, "box-1", Action::Drain);
-        let all = world.run_until(3 * SEC, |w| all_hold(w, "box-1", Some(Action::Drain)));
-        assert!(all <= if nodes < 300 { SEC } else { 2 * SEC }, "{nodes} nodes: held by all after {all}");
-        world.run_until(8 * SEC, |w| w.replica(nodes / 2).holder_count(id) == nodes);
-        world.run_until(8 * SEC, Simulation::is_converged);
-        order(&mut world, 0, "box-1", Action::Undrain);
-        world.run_until(3 * SEC, |w| all_hold(w, "box-1", None));
+        let mut sim = new_simulation(nodes, 1);
+        (sim.loss_permille, sim.duplicate_permille) = (loss, 20);
+        let id = issue_order(&mut sim, nodes / 2, "box-1", Action::Drain);
+        let held_by_all_after = sim.run_until(3 * SEC, |w| all_hold(w, "box-1", Some(Action::Drain)));
+        assert!(
+            held_by_all_after <= if nodes < 300 { SEC } else { 2 * SEC },
+            "{nodes} nodes: held by all after {held_by_all_after}"
+        );
+        sim.run_until(8 * SEC, |w| w.replica(nodes / 2).holder_count(id) == nodes);
+        sim.run_until(8 * SEC, Simulation::is_converged);
+        issue_order(&mut sim, 0, "box-1", Action::Undrain);
+        sim.run_until(3 * SEC, |w| all_hold(w, "box-1", None));
     }
 }
 
-/// A drain in one half, its undrain in the other; the undrain had not seen the drain that was renewed meanwhile.
+/// During a split, a drain is renewed in one half and lifted in the other: the undrain had not seen the renewed drain.
 #[test]
-fn of_orders_that_had_not_seen_one_another_the_drain_stands_until_it_is_settled() {
-    let mut world = world(6, 2);
-    order(&mut world, 0, "box", Action::Drain);
-    world.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
-    world.split(|node| node < 3, true);
-    world.run(3 * SEC);
-    order(&mut world, 1, "box", Action::Drain);
-    order(&mut world, 4, "box", Action::Undrain);
-    world.run(10 * SEC);
-    assert_eq!((stands(&world, 0, "box"), stands(&world, 5, "box")), (Some((Action::Drain, false)), None));
-    world.split(|node| node < 3, false);
-    world.run_until(6 * SEC, Simulation::is_converged);
+fn of_concurrent_orders_the_drain_is_in_effect_until_the_conflict_is_resolved() {
+    let mut sim = new_simulation(6, 2);
+    issue_order(&mut sim, 0, "box", Action::Drain);
+    sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+    sim.split(|node| node < 3, true);
+    sim.run(3 * SEC);
+    issue_order(&mut sim, 1, "box", Action::Drain);
+    issue_order(&mut sim, 4, "box", Action::Undrain);
+    sim.run(10 * SEC);
+    assert_eq!(
+        (effective_action(&sim, 0, "box"), effective_action(&sim, 5, "box")),
+        (Some((Action::Drain, false)), None)
+    );
+    sim.split(|node| node < 3, false);
+    sim.run_until(6 * SEC, Simulation::is_converged);
     assert!(
-        (0..6).all(|node| stands(&world, node, "box") == Some((Action::Drain, true))),
+        (0..6).all(|node| effective_action(&sim, node, "box") == Some((Action::Drain, true))),
         "shown as a conflict"
     );
-    // Whoever settles it has seen both.
-    order(&mut world, 5, "box", Action::Undrain);
-    world.run_until(3 * SEC, |w| all_hold(w, "box", None));
-    world.run(5 * SEC);
-    assert!(world.is_converged() && all_hold(&world, "box", None));
+    // The order that resolves the conflict was issued with both in sight.
+    issue_order(&mut sim, 5, "box", Action::Undrain);
+    sim.run_until(3 * SEC, |w| all_hold(w, "box", None));
+    sim.run(5 * SEC);
+    assert!(sim.is_converged() && all_hold(&sim, "box", None));
 }
 
-/// By k holders: k - 1 may die, and the one that is left brings it to all that come back with nothing.
+/// Of the nodes that hold an order all but one may crash: the last one brings it to all that restart with empty replicas.
 #[test]
-fn an_order_that_k_hold_outlasts_the_death_of_all_but_one() {
+fn an_order_survives_while_one_of_its_holders_runs() {
     for seed in 0..12 {
-        let mut world = world(5, seed);
-        (world.loss_permille, world.duplicate_permille) = (200, 50);
-        let id = order(&mut world, 0, "box", Action::Drain);
-        let wanted = 2 + seed as usize % 3;
-        world.run_until(6 * SEC, |w| w.replica(0).holder_count(id) >= wanted);
-        let holds = |w: &Simulation, n: usize| stands(w, n, "box").is_some();
-        let held: Vec<usize> = (0..5).filter(|&n| holds(&world, n)).collect();
-        let survivor = held[world.rng.usize(..held.len())];
-        (0..5).filter(|&n| n != survivor).for_each(|n| world.kill(n));
-        world.run(300 * MS);
-        (0..5).filter(|&n| n != survivor).for_each(|n| world.start(n));
-        world.run_until(8 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+        let mut sim = new_simulation(5, seed);
+        (sim.loss_permille, sim.duplicate_permille) = (200, 50);
+        let id = issue_order(&mut sim, 0, "box", Action::Drain);
+        let min_holders = 2 + seed as usize % 3;
+        sim.run_until(6 * SEC, |w| w.replica(0).holder_count(id) >= min_holders);
+        let holds = |w: &Simulation, n: usize| effective_action(w, n, "box").is_some();
+        let held: Vec<usize> = (0..5).filter(|&n| holds(&sim, n)).collect();
+        let survivor = held[sim.rng.usize(..held.len())];
+        (0..5).filter(|&n| n != survivor).for_each(|n| sim.kill(n));
+        sim.run(300 * MS);
+        (0..5).filter(|&n| n != survivor).for_each(|n| sim.start(n));
+        sim.run_until(8 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
     }
 }
 
-/// It was away for longer than tombstones live; they did not live on while it was away.
+/// A node is away for longer than tombstones are kept. Their time must not run while it is away, or it would bring back a
+/// lifted drain.
 #[test]
-fn one_that_was_away_for_however_long_brings_nothing_back() {
+fn a_node_that_was_away_for_any_time_brings_no_lifted_drain_back() {
     for paused in [true, false] {
-        let mut world = world(5, 3);
-        order(&mut world, 0, "box", Action::Drain);
-        world.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+        let mut sim = new_simulation(5, 3);
+        issue_order(&mut sim, 0, "box", Action::Drain);
+        sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
         if paused {
-            world.pause(4);
+            sim.pause(4);
         } else {
-            world.split(|node| node == 4, true);
+            sim.split(|node| node == 4, true);
         }
-        world.run(3 * SEC);
-        order(&mut world, 1, "box", Action::Undrain);
-        world.run(3 * TOMBSTONE_RETENTION_US);
-        assert_eq!(world.replica(0).len(), 1, "the tombstone waits for it");
+        sim.run(3 * SEC);
+        issue_order(&mut sim, 1, "box", Action::Undrain);
+        sim.run(3 * TOMBSTONE_RETENTION_US);
+        assert_eq!(sim.replica(0).len(), 1, "the tombstone waits for it");
         if paused {
-            world.resume(4);
+            sim.resume(4);
         } else {
-            world.split(|node| node == 4, false);
+            sim.split(|node| node == 4, false);
         }
-        world.run_until(5 * SEC, |w| w.is_converged() && all_hold(w, "box", None));
-        world.run(TOMBSTONE_RETENTION_US + 30 * SEC);
-        assert!((0..5).all(|node| world.replica(node).is_empty()), "then it goes");
+        sim.run_until(5 * SEC, |w| w.is_converged() && all_hold(w, "box", None));
+        sim.run(TOMBSTONE_RETENTION_US + 30 * SEC);
+        assert!((0..5).all(|node| sim.replica(node).is_empty()), "then it expires");
     }
 }
 
 #[test]
-fn a_time_that_is_over_is_over_everywhere_whatever_the_clocks_say() {
-    let mut world = Simulation::new(5, 4);
-    world.kill(1);
-    world.nodes[1].off = 5 * SEC;
-    world.start(1);
-    world.run(5 * SEC);
-    order(&mut world, 1, "box", Action::LeaveOut);
-    world.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::LeaveOut)));
-    world.run(26 * SEC);
-    assert!(all_hold(&world, "box", Some(Action::LeaveOut)));
-    world.run(5 * SEC);
-    assert!(all_hold(&world, "box", None));
+fn an_order_with_a_time_limit_ends_everywhere_even_if_clocks_differ() {
+    let mut sim = Simulation::new(5, 4);
+    sim.kill(1);
+    sim.nodes[1].clock_offset = 5 * SEC;
+    sim.start(1);
+    sim.run(5 * SEC);
+    issue_order(&mut sim, 1, "box", Action::LeaveOut);
+    sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::LeaveOut)));
+    sim.run(26 * SEC);
+    assert!(all_hold(&sim, "box", Some(Action::LeaveOut)));
+    sim.run(5 * SEC);
+    assert!(all_hold(&sim, "box", None));
 }
 
-/// Seeded histories of orders, splits, pauses, deaths and returns: all copies are alike soon after the last of them, no
-/// drain is lost while one that held it lives, and none comes back that was lifted by one that had seen it.
+/// Random sequences of orders, splits, pauses, crashes and restarts: all replicas converge soon after the last fault, no drain
+/// is lost while a node that held it runs, and none comes back that was lifted by an order whose issuer had seen it.
 #[test]
-fn whatever_happens_all_copies_end_alike_and_no_drain_is_lost() {
+fn under_random_faults_all_replicas_converge_and_no_drain_is_lost() {
     for seed in 0..60 {
-        let mut world = Simulation::new(5, seed);
-        (world.loss_permille, world.duplicate_permille) = (world.rng.u32(0..300), 100);
-        world.delay_range = (MS, 300 * MS);
-        world.run(4 * SEC);
+        let mut sim = Simulation::new(5, seed);
+        (sim.loss_permille, sim.duplicate_permille) = (sim.rng.u32(0..300), 100);
+        sim.delay_range = (MS, 300 * MS);
+        sim.run(4 * SEC);
         let servers = ["a", "b", "c"];
         for _ in 0..30 {
-            let node = world.rng.usize(..5);
-            match world.rng.u8(..8) {
-                0..=2 if world.runs(node) => {
-                    let server = servers[world.rng.usize(..3)];
-                    let action = [Action::Drain, Action::Undrain, Action::LeaveOut][world.rng.usize(..3)];
-                    order(&mut world, node, server, action);
+            let node = sim.rng.usize(..5);
+            match sim.rng.u8(..8) {
+                0..=2 if sim.runs(node) => {
+                    let server = servers[sim.rng.usize(..3)];
+                    let action = [Action::Drain, Action::Undrain, Action::LeaveOut][sim.rng.usize(..3)];
+                    issue_order(&mut sim, node, server, action);
                 }
-                3 => world.pause(node),
-                4 => (0..5).for_each(|node| world.resume(node)),
+                3 => sim.pause(node),
+                4 => (0..5).for_each(|node| sim.resume(node)),
                 5 => {
-                    let odd = world.rng.u8(..);
-                    world.split(|node| odd >> node & 1 > 0, true);
+                    let group_bits = sim.rng.u8(..);
+                    sim.split(|node| group_bits >> node & 1 > 0, true);
                 }
-                6 => world.split(|node| node == 0, false),
-                _ if (0..5).filter(|&n| world.runs(n)).count() > 2 => {
-                    world.kill(node);
-                    let time = world.rng.u64(..SEC);
-                    world.run(time);
-                    world.start(node);
+                6 => sim.split(|node| node == 0, false),
+                _ if (0..5).filter(|&n| sim.runs(n)).count() > 2 => {
+                    sim.kill(node);
+                    let time = sim.rng.u64(..SEC);
+                    sim.run(time);
+                    sim.start(node);
                 }
                 _ => {}
             }
-            let time = world.rng.u64(..1500 * MS);
-            world.run(time);
+            let time = sim.rng.u64(..1500 * MS);
+            sim.run(time);
         }
         let before: Vec<BTreeSet<&str>> = (0..5)
             .map(|n| {
-                let holds = |server: &&str| matches!(stands(&world, n, server), Some((Action::Drain, _)));
+                let holds =
+                    |server: &&str| matches!(effective_action(&sim, n, server), Some((Action::Drain, _)));
                 servers.iter().copied().filter(holds).collect()
             })
             .collect();
-        (0..5).for_each(|node| world.resume(node));
+        (0..5).for_each(|node| sim.resume(node));
         for from in 0..5 {
-            (0..5).for_each(|to| world.cut(from, to, false));
+            (0..5).for_each(|to| sim.cut(from, to, false));
         }
-        (world.loss_permille, world.duplicate_permille) = (100, 100);
-        world.run_until(12 * SEC, Simulation::is_converged);
-        world.run(2 * SEC);
+        (sim.loss_permille, sim.duplicate_permille) = (100, 100);
+        sim.run_until(12 * SEC, Simulation::is_converged);
+        sim.run(2 * SEC);
         for server in servers {
-            let after: BTreeSet<_> = (0..5).map(|n| stands(&world, n, server)).collect();
+            let after: BTreeSet<_> = (0..5).map(|n| effective_action(&sim, n, server)).collect();
             assert_eq!(after.len(), 1, "seed {seed}, {server}: {after:?}");
-            // What all held before the end holds after it.
+            // A drain that all nodes held before the repair is in effect after it.
             if before.iter().all(|held| held.contains(server)) {
                 assert!(matches!(after.first().unwrap(), Some((Action::Drain, _))), "seed {seed}, {server}");
             }
@@ -199,132 +210,146 @@
 }
 
 #[test]
-fn one_who_returns_is_level_soon_and_so_are_two_hundred_at_once() {
-    for (nodes, back, records) in [(30, 1, 30), (300, 1, 60), (300, 200, 60)] {
-        let mut world = world(nodes, 5);
+fn a_restarted_node_is_up_to_date_soon_and_so_are_two_hundred_at_once() {
+    for (nodes, restarted, records) in [(30, 1, 30), (300, 1, 60), (300, 200, 60)] {
+        let mut sim = new_simulation(nodes, 5);
         for n in 0..records {
-            order(&mut world, n % nodes, &format!("box-{n}"), Action::Drain);
+            issue_order(&mut sim, n % nodes, &format!("box-{n}"), Action::Drain);
         }
-        world.run_until(20 * SEC, Simulation::is_converged);
-        (0..back).for_each(|node| world.kill(node));
-        (0..back).for_each(|node| world.start(node));
-        let level =
-            |w: &Simulation| (0..back).all(|n| matches!(w.replica(n).sync_state(), SyncState::UpToDate(_)));
-        assert!(!level(&world));
-        let before: Vec<u64> = world.nodes.iter().map(|node| node.sent).collect();
-        let time = world.run_until(6 * SEC, |w| {
-            // Nobody says so that lacks what the others hold.
-            let early = |n: usize| {
+        sim.run_until(20 * SEC, Simulation::is_converged);
+        (0..restarted).for_each(|node| sim.kill(node));
+        (0..restarted).for_each(|node| sim.start(node));
+        let all_up_to_date = |w: &Simulation| {
+            (0..restarted).all(|n| matches!(w.replica(n).sync_state(), SyncState::UpToDate(_)))
+        };
+        assert!(!all_up_to_date(&sim));
+        let before: Vec<u64> = sim.nodes.iter().map(|node| node.sent).collect();
+        let time = sim.run_until(6 * SEC, |w| {
+            // No node may count as up to date while it lacks records that the others hold.
+            let is_premature = |n: usize| {
                 matches!(w.replica(n).sync_state(), SyncState::UpToDate(_)) && w.replica(n).len() < records
             };
-            assert!(!(0..back).any(early));
-            level(w) && w.is_converged()
+            assert!(!(0..restarted).any(is_premature));
+            all_up_to_date(w) && w.is_converged()
         });
-        assert!(time <= if back > 1 { 5 * SEC } else { 2 * SEC }, "{back} of {nodes}: level after {time}");
-        // Whoever is asked answers no quicker than stated.
-        let most = (0..nodes).map(|n| world.nodes[n].sent - before[n]).max().unwrap();
+        assert!(
+            time <= if restarted > 1 { 5 * SEC } else { 2 * SEC },
+            "{restarted} of {nodes}: up to date after {time}"
+        );
+        // No node sends more datagrams than the rate limit and its ticks allow.
+        let max_sent = (0..nodes).map(|n| sim.nodes[n].sent - before[n]).max().unwrap();
         let bound = 60 + 150 * time / SEC + 10 * (time / (250 * MS) + 1) + 10;
-        assert!(most <= bound, "{most} datagrams of {bound}");
+        assert!(max_sent <= bound, "{max_sent} datagrams of {bound}");
     }
 }
 
 #[test]
-fn a_difference_of_ten_thousand_is_found_and_mended() {
-    let mut world = world(40, 6);
-    world.split(|node| node < 20, true);
-    world.run(3 * SEC);
+fn a_difference_of_ten_thousand_records_is_found_and_repaired() {
+    let mut sim = new_simulation(40, 6);
+    sim.split(|node| node < 20, true);
+    sim.run(3 * SEC);
     for node in 0..40 {
-        world.with_replica(node, |replica, now| {
+        sim.with_replica(node, |replica, now| {
             for n in 0..250_u32 {
                 replica.write(now, kind::ENDPOINT_REPORT, &n.to_be_bytes(), vec![7; 17], Some(3_000 * SEC));
             }
         });
     }
-    world.split(|node| node < 20, false);
-    world.run_until(120 * SEC, Simulation::is_converged);
-    assert_eq!(world.replica(0).len(), 4_096, "the bound of the kind, the same at all");
-    // And one alone is found among them at once.
-    world.with_replica(3, |replica, now| _ = replica.write(now, 99, b"of a later build", vec![1], None));
-    let time =
-        world.run_until(5 * SEC, |w| w.is_converged() && w.replica(39).records_of_kind(99).count() == 1);
+    sim.split(|node| node < 20, false);
+    sim.run_until(120 * SEC, Simulation::is_converged);
+    assert_eq!(sim.replica(0).len(), 4_096, "the limit of the kind, the same at all nodes");
+    // A single different record among them is found soon.
+    sim.with_replica(3, |replica, now| _ = replica.write(now, 99, b"of a later build", vec![1], None));
+    let time = sim.run_until(5 * SEC, |w| w.is_converged() && w.replica(39).records_of_kind(99).count() == 1);
     assert!(time <= 3 * SEC, "{time}");
 }
 
-fn listed(started_ms: u64) -> Option<ServerEntry> {
+fn serving_entry(started_ms: u64) -> Option<ServerEntry> {
     Some(ServerEntry { serves: true, started_ms })
 }
 
-fn own(version: u64, servers: usize) -> LocalServerList {
-    let mut own = LocalServerList::default();
+fn local_list(version: u64, servers: usize) -> LocalServerList {
+    let mut list = LocalServerList::default();
     assert!(
-        own.apply_update(true, Some(version), (0..servers).map(|n| (format!("s{n}"), listed(5)))).is_empty()
+        list.apply_update(true, Some(version), (0..servers).map(|n| (format!("s{n}"), serving_entry(5))))
+            .is_empty()
     );
-    own
+    list
 }
 
 #[test]
-fn word_takes_away_only_and_no_more_than_its_bound() {
-    let (mut world, mut list) = (world(8, 7), own(40, 20));
-    let drains = |n: usize| (format!("s{n}"), Some(ServerEntry { serves: false, started_ms: 5 }));
-    let ended =
-        list.apply_update(false, Some(41), [drains(3), ("s4".into(), None), ("new".into(), listed(9))]);
-    assert_eq!(ended.len(), 2);
-    world.with_replica(0, |replica, now| publish(replica, now, &list, &ended));
-    world.run(2 * SEC);
+fn endpoint_reports_only_exclude_and_no_more_servers_than_their_bound() {
+    let (mut sim, mut list) = (new_simulation(8, 7), local_list(40, 20));
+    let draining = |n: usize| (format!("s{n}"), Some(ServerEntry { serves: false, started_ms: 5 }));
+    let withdrawn = list.apply_update(
+        false,
+        Some(41),
+        [draining(3), ("s4".into(), None), ("new".into(), serving_entry(9))],
+    );
+    assert_eq!(withdrawn.len(), 2);
+    sim.with_replica(0, |replica, now| publish(replica, now, &list, &withdrawn));
+    sim.run(2 * SEC);
     let names = |set: BTreeSet<String>| set.into_iter().collect::<Vec<_>>().join(" ");
-    let out = |world: &Simulation, at: usize, own: &LocalServerList| {
-        names(excluded_servers(world.replica(at), at as u16, own))
+    let excluded_at = |sim: &Simulation, at: usize, own: &LocalServerList| {
+        names(excluded_servers(sim.replica(at), at as u16, own))
     };
-    let behind = own(40, 20);
-    assert_eq!(out(&world, 1, &behind), "s3", "one node's word: one server of twenty");
-    assert_eq!(out(&world, 0, &behind), "", "nobody goes by its own word");
-    assert_eq!(out(&world, 1, &own(41, 20)), "", "a list as new as the word goes before it");
-    let mut restarted = own(40, 20);
-    restarted.apply_update(false, Some(40), [("s3".into(), listed(6))]);
-    assert_eq!(out(&world, 1, &restarted), "s4", "it was of the start before");
-    // One that lies about all; then two; then four.
-    for liars in [1, 2, 4] {
-        for liar in 2..2 + liars {
-            let mut list = own(50, 20);
-            let ended = list.apply_update(true, Some(99), []);
-            assert_eq!(ended.len(), 20);
-            world.with_replica(liar, |replica, now| {
-                for ended in &ended {
-                    publish(replica, now, &list, std::slice::from_ref(ended));
+    let behind = local_list(40, 20);
+    assert_eq!(excluded_at(&sim, 1, &behind), "s3", "reports of one node: one server of twenty");
+    assert_eq!(excluded_at(&sim, 0, &behind), "", "a node ignores its own reports");
+    assert_eq!(excluded_at(&sim, 1, &local_list(41, 20)), "", "a list as new as the report takes precedence");
+    let mut restarted = local_list(40, 20);
+    restarted.apply_update(false, Some(40), [("s3".into(), serving_entry(6))]);
+    assert_eq!(excluded_at(&sim, 1, &restarted), "s4", "the report was made for the previous start");
+    // One node falsely reports all servers; then two nodes; then four.
+    for false_reporters in [1, 2, 4] {
+        for reporter in 2..2 + false_reporters {
+            let mut list = local_list(50, 20);
+            let withdrawn = list.apply_update(true, Some(99), []);
+            assert_eq!(withdrawn.len(), 20);
+            sim.with_replica(reporter, |replica, now| {
+                for withdrawn in &withdrawn {
+                    publish(replica, now, &list, std::slice::from_ref(withdrawn));
                 }
             });
-            world.run(2 * SEC);
+            sim.run(2 * SEC);
         }
-        let most = match liars {
+        let max_excluded = match false_reporters {
             1 => 1,
             2 => 4,
             _ => 10,
         };
-        assert!(excluded_servers(world.replica(1), 1, &behind).len() <= most.max(2), "{liars}");
+        assert!(
+            excluded_servers(sim.replica(1), 1, &behind).len() <= max_excluded.max(2),
+            "{false_reporters}"
+        );
     }
-    world.run(70 * SEC);
-    assert_eq!(out(&world, 1, &behind), "", "it ends by itself");
+    sim.run(70 * SEC);
+    assert_eq!(excluded_at(&sim, 1, &behind), "", "the reports expire");
 }
 
 #[test]
-fn evidence_takes_two_who_have_seen_it_and_feeds_no_rumour() {
-    let mut world = world(6, 8);
-    let seen = |slowness| vec![evidence::SlownessObservation { server: "box".into(), slowness }];
-    world.with_replica(0, |replica, now| evidence::publish(replica, now, 0, seen(1e9)));
-    world.run(2 * SEC);
-    assert!(evidence::corroborated(world.replica(1), 1).is_empty(), "one moves nobody");
-    world.with_replica(2, |replica, now| evidence::publish(replica, now, 2, seen(3.0)));
-    world.run(2 * SEC);
-    assert_eq!(evidence::corroborated(world.replica(1), 1)["box"], 3.0);
-    assert!(evidence::corroborated(world.replica(2), 2).is_empty(), "its own sight does not count twice");
-    world.run(12 * SEC);
-    assert!(evidence::corroborated(world.replica(1), 1).is_empty());
+fn evidence_needs_two_observers_and_is_not_confirmed_by_itself() {
+    let mut sim = new_simulation(6, 8);
+    let observed = |slowness| vec![evidence::SlownessObservation { server: "box".into(), slowness }];
+    sim.with_replica(0, |replica, now| evidence::publish(replica, now, 0, observed(1e9)));
+    sim.run(2 * SEC);
+    assert!(evidence::corroborated(sim.replica(1), 1).is_empty(), "one observer is not believed");
+    sim.with_replica(2, |replica, now| evidence::publish(replica, now, 2, observed(3.0)));
+    sim.run(2 * SEC);
+    assert_eq!(evidence::corroborated(sim.replica(1), 1)["box"], 3.0);
+    assert!(
+        evidence::corroborated(sim.replica(2), 2).is_empty(),
+        "its own observation does not count as another's"
+    );
+    sim.run(12 * SEC);
+    assert!(evidence::corroborated(sim.replica(1), 1).is_empty());
 }
 
-/// Of a node's name with another copy; of a name that its process before has used with a higher number.
+/// Two different records of one origin, name and version must not stay apart. A node must be able to replace a record that an
+/// earlier process of it has written under a higher incarnation, as happens when its clock was put back.
 #[test]
-fn two_copies_of_one_name_end_as_one_and_a_clock_put_back_is_overcome() {
-    let mut world = world(4, 9);
+fn conflicting_records_of_one_version_converge_and_a_clock_put_back_is_overcome() {
+    let mut sim = new_simulation(4, 9);
     let record = |counter: u32, value: u8| {
         let version = Version { incarnation: 77, counter };
         Record {
@@ -335,64 +360,66 @@
             value: vec![value; 17],
         }
     };
-    let said = |record: Record| {
-        let mut said = Said::default();
-        said.add(Part::Record(Sent { record, left: Some(600), asks: false }));
-        put(7, &said)
+    let datagram_with = |record: Record| {
+        let mut message = Said::default();
+        message.add(Part::Record(Sent { record, left: Some(600), asks: false }));
+        put(7, &message)
     };
     for (at, value) in [(0, 1), (1, 9), (3, 5)] {
-        world.with_replica(at, |replica, now| _ = replica.handle_datagram(now, 2, &said(record(3, value))));
+        sim.with_replica(at, |replica, now| {
+            _ = replica.handle_datagram(now, 2, &datagram_with(record(3, value)))
+        });
     }
-    world.run_until(5 * SEC, Simulation::is_converged);
+    sim.run_until(5 * SEC, Simulation::is_converged);
     let value = |w: &Simulation, at: usize| {
         w.replica(at).records_of_kind(kind::ENDPOINT_REPORT).next().unwrap().record.value[0]
     };
-    assert_eq!(value(&world, 0), 9);
+    assert_eq!(value(&sim, 0), 9);
     // Node 2 writes it anew, though its own incarnation is 1.
-    world.with_replica(2, |replica, now| {
+    sim.with_replica(2, |replica, now| {
         _ = replica.write(now, kind::ENDPOINT_REPORT, b"box", vec![4; 17], Some(60 * SEC))
     });
-    world.run_until(5 * SEC, Simulation::is_converged);
-    assert!((0..4).all(|at| value(&world, at) == 4));
-    // As one that is kept over a restart, of a life whose numbers were higher.
+    sim.run_until(5 * SEC, Simulation::is_converged);
+    assert!((0..4).all(|at| value(&sim, at) == 4));
+    // A record that was saved over a restart, written by a process with a higher incarnation and counter.
     let version = Version { incarnation: 900, counter: 9 };
-    let kept = Record { kind: 99, origin: 1, name: b"kept".into(), version, value: vec![1] };
-    world.with_replica(1, |replica, now| {
-        replica.restore(now, kept, None);
+    let saved = Record { kind: 99, origin: 1, name: b"kept".into(), version, value: vec![1] };
+    sim.with_replica(1, |replica, now| {
+        replica.restore(now, saved, None);
         assert!(replica.write(now, 99, b"kept", vec![2], None).is_change());
     });
-    world.run_until(5 * SEC, |w| {
+    sim.run_until(5 * SEC, |w| {
         (0..4).all(|at| w.replica(at).records_of_kind(99).any(|held| held.record.value == [2]))
     });
 }
 
 #[test]
-fn at_rest_few_bytes_are_sent_and_in_a_storm_no_more_than_stated() {
-    let mut world = world(100, 10);
-    let sent = |w: &Simulation| w.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
-    let before = sent(&world);
-    world.run(10 * SEC);
-    let rest = (sent(&world) - before) / 1_000;
-    assert!(rest <= 200, "{rest} bytes a second and node");
-    let before: Vec<u64> = world.nodes.iter().map(|node| node.sent).collect();
+fn bytes_sent_are_few_at_rest_and_datagrams_bounded_after_many_changes() {
+    let mut sim = new_simulation(100, 10);
+    let total_sent = |w: &Simulation| w.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
+    let before = total_sent(&sim);
+    sim.run(10 * SEC);
+    let at_rest = (total_sent(&sim) - before) / 1_000;
+    assert!(at_rest <= 200, "{at_rest} bytes a second and node");
+    let before: Vec<u64> = sim.nodes.iter().map(|node| node.sent).collect();
     for n in 0..100 {
-        order(&mut world, n, &format!("box-{n}"), Action::Drain);
+        issue_order(&mut sim, n, &format!("box-{n}"), Action::Drain);
     }
-    let time: Micros = world.run_until(20 * SEC, Simulation::is_converged);
-    let most = (0..100).map(|n| world.nodes[n].sent - before[n]).max().unwrap();
-    assert!(most <= 60 + 150 * time / SEC + 10 * (time / (250 * MS) + 2), "{most} in {time}");
+    let time: Micros = sim.run_until(20 * SEC, Simulation::is_converged);
+    let max_sent = (0..100).map(|n| sim.nodes[n].sent - before[n]).max().unwrap();
+    assert!(max_sent <= 60 + 150 * time / SEC + 10 * (time / (250 * MS) + 2), "{max_sent} in {time}");
 }
 
-/// Whatever a listed address says, and however often.
+/// A node that sends more lease messages than are fetched must not fill the memory of another.
 #[test]
-fn words_of_rights_that_nobody_takes_do_not_pile_up() {
-    let mut world = world(3, 11);
-    let mut said = Said::default();
-    (0..10).for_each(|number| _ = said.add(Part::Rights(Rights::Ask { number, amount: 1 })));
-    let datagram = put(7, &said);
-    let kept = world.with_replica(0, |replica, now| {
+fn lease_messages_that_are_not_fetched_do_not_pile_up() {
+    let mut sim = new_simulation(3, 11);
+    let mut message = Said::default();
+    (0..10).for_each(|number| _ = message.add(Part::Rights(Rights::Ask { number, amount: 1 })));
+    let datagram = put(7, &message);
+    let pending = sim.with_replica(0, |replica, now| {
         (0..1_000).for_each(|_| _ = replica.handle_datagram(now, 1, &datagram));
         replica.take_lease_messages().len()
     });
-    assert_eq!(kept, 256);
+    assert_eq!(pending, 256);
 }
