--- a/crates/replica/src/endpoint_reports.rs
+++ b/crates/replica/src/endpoint_reports.rs
@@ -15,7 +15,7 @@
 
 /// How long a report lives. A node whose list source is silent for longer detects that by its own rules.
 pub const REPORT_TTL_US: Micros = 60_000_000;
-/// A node does not publish what so many others have published.
+/// A node does not publish a report that at least this many nodes have published.
 const SUFFICIENT_REPORTS: usize = 3;
 /// Length of a report's value, in bytes.
 const VALUE_BYTES: usize = 17;
--- a/crates/replica/src/gossip_queue.rs
+++ b/crates/replica/src/gossip_queue.rs
@@ -13,7 +13,7 @@
 }
 
 impl GossipQueue {
-    /// Queues a changed record, to be sent so many times.
+    /// Queues a changed record, to be sent `sends` times.
     pub fn enqueue(&mut self, id: u64, sends: u8) {
         if self.remaining_sends.len() < MAX_QUEUED_RECORDS && self.remaining_sends.insert(id, sends).is_none()
         {
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -18,7 +18,7 @@
 const PEERS_PER_TICK: usize = 2;
 /// Random nodes to which an urgent change is relayed at once.
 const URGENT_RELAY_FANOUT: usize = 4;
-/// A branch of the checksum tree with at most so many records is listed record by record.
+/// A branch of the checksum tree with at most this many records is listed record by record.
 const MAX_LISTED_RECORDS: usize = 12;
 /// Most datagrams in reply to one.
 const MAX_REPLY_DATAGRAMS: usize = 6;
@@ -133,7 +133,7 @@
     orders: Orders,
     gossip: GossipQueue,
     rate_limiter: RateLimiter,
-    /// The other nodes that are here, by membership, and whether these are all of the list.
+    /// The other nodes that the membership protocol holds to be here, and whether these are all of the list.
     reachable: Vec<usize>,
     all_reachable: bool,
     peers: BTreeMap<usize, PeerSync>,
@@ -187,7 +187,7 @@
         self.next_tick_at
     }
 
-    /// Sets which other nodes are here, by membership.
+    /// Sets which other nodes the membership protocol holds to be here.
     pub fn set_reachable(&mut self, reachable: Vec<usize>) {
         self.all_reachable = reachable.len() + 1 >= self.setup.node_count;
         self.reachable = reachable;
@@ -644,7 +644,8 @@
     /// Replies with the next level, or with a list of records, for each branch in which the other's replica differs.
     fn compare_sums(&mut self, theirs: &Sums, replies: &mut Vec<Part>) {
         let Some(ours) = self.store.sums(theirs.level, theirs.path) else { return };
-        let mut differing: Vec<usize> = (0..BRANCHES).filter(|&n| ours[n] != theirs.sums[n]).collect();
+        let mut differing: Vec<usize> =
+            (0..BRANCHES).filter(|&branch| ours[branch] != theirs.sums[branch]).collect();
         self.rng.0.shuffle(&mut differing);
         for branch in differing {
             let (level, path) = (theirs.level + 1, theirs.path * BRANCHES as u16 + branch as u16);
--- a/crates/replica/src/simulation.rs
+++ b/crates/replica/src/simulation.rs
@@ -60,13 +60,13 @@
 }
 
 impl Simulation {
-    /// A simulation of so many nodes, which have just started.
-    pub fn new(nodes: usize, seed: u64) -> Simulation {
+    /// A simulation of `node_count` nodes, which have just started.
+    pub fn new(node_count: usize, seed: u64) -> Simulation {
         let new_node =
             |_| Node { replica: None, run: 0, paused: None, clock_offset: 0, sent_bytes: 0, sent: 0 };
         let mut simulation = Simulation {
             now: 10 * SEC,
-            nodes: (0..nodes).map(new_node).collect(),
+            nodes: (0..node_count).map(new_node).collect(),
             rng: fastrand::Rng::with_seed(seed),
             loss_permille: 0,
             duplicate_permille: 0,
@@ -77,7 +77,7 @@
             observed: BTreeMap::new(),
             next_event_number: 0,
         };
-        (0..nodes).for_each(|node| simulation.start(node));
+        (0..node_count).for_each(|node| simulation.start(node));
         simulation.observe_reachability();
         simulation.report_reachability();
         simulation
@@ -248,18 +248,22 @@
     }
 
     /// Sends datagrams of a node.
-    pub fn send(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
-        for out in out {
-            assert!(out.datagram.len() <= 256 && out.to != node);
-            self.nodes[node].sent_bytes += out.datagram.len() as u64;
+    pub fn send(&mut self, node: usize, datagrams: Vec<OutgoingDatagram>) {
+        for outgoing in datagrams {
+            assert!(outgoing.datagram.len() <= 256 && outgoing.to != node);
+            self.nodes[node].sent_bytes += outgoing.datagram.len() as u64;
             self.nodes[node].sent += 1;
             let copies = 1 + u32::from(self.rng.u32(0..1000) < self.duplicate_permille);
             for _ in 0..copies {
-                if !self.cut.contains(&(node, out.to)) && self.rng.u32(0..1000) >= self.loss_permille {
+                if !self.cut.contains(&(node, outgoing.to)) && self.rng.u32(0..1000) >= self.loss_permille {
                     let at = self.now + self.rng.u64(self.delay_range.0..=self.delay_range.1);
                     self.schedule(
                         at,
-                        SimulationEvent::Delivery { from: node, to: out.to, datagram: out.datagram.clone() },
+                        SimulationEvent::Delivery {
+                            from: node,
+                            to: outgoing.to,
+                            datagram: outgoing.datagram.clone(),
+                        },
                     );
                 }
             }
@@ -268,8 +272,10 @@
 
     /// Whether all running nodes have identical replicas.
     pub fn is_converged(&self) -> bool {
-        let roots: BTreeSet<u32> =
-            (0..self.nodes.len()).filter(|&n| self.runs(n)).map(|n| self.replica(n).root()).collect();
+        let roots: BTreeSet<u32> = (0..self.nodes.len())
+            .filter(|&node| self.runs(node))
+            .map(|node| self.replica(node).root())
+            .collect();
         roots.len() <= 1
     }
 
@@ -278,8 +284,8 @@
         let start = self.now;
         while !condition(self) {
             let roots: Vec<u32> = (0..self.nodes.len().min(12))
-                .filter(|&n| self.runs(n))
-                .map(|n| self.replica(n).root())
+                .filter(|&node| self.runs(node))
+                .map(|node| self.replica(node).root())
                 .collect();
             assert!(self.now < start + limit, "not within {limit} us: {roots:x?}");
             self.run(20 * MS);
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -79,7 +79,9 @@
 
     /// What all nodes may use together. A paused node counts too: it may resume in the middle of using its share.
     fn total_used(&self) -> u32 {
-        (0..NODES).map(|n| self.ledgers[n].usable(self.clock(n), NODE_SHARE, self.own_until[n])).sum()
+        (0..NODES)
+            .map(|node| self.ledgers[node].usable(self.clock(node), NODE_SHARE, self.own_until[node]))
+            .sum()
     }
 
     fn step(&mut self, step: Step) {
@@ -99,10 +101,10 @@
                     self.in_flight.extend(messages.into_iter().map(|(to, message)| (node, to, message)));
                 }
             }
-            Step::Deliver(n) | Step::DeliverDuplicate(n) => {
-                let (from, to, message) = self.in_flight[n];
+            Step::Deliver(index) | Step::DeliverDuplicate(index) => {
+                let (from, to, message) = self.in_flight[index];
                 if matches!(step, Step::Deliver(_)) {
-                    self.in_flight.remove(n);
+                    self.in_flight.remove(index);
                 }
                 if !self.paused[to] {
                     let (now, until) = (self.clock(to), self.own_until[to]);
@@ -110,7 +112,7 @@
                     self.in_flight.extend(answer.map(|(receiver, message)| (to, receiver, message)));
                 }
             }
-            Step::Lose(n) => _ = self.in_flight.remove(n),
+            Step::Lose(index) => _ = self.in_flight.remove(index),
             Step::SetDemand(node, amount) => self.ledgers[node].set_demand(amount),
             Step::Cut(node) => self.cut[node] = true,
             Step::Restore(node) => self.cut[node] = false,
@@ -126,8 +128,8 @@
 
     fn steps(&self) -> Vec<Step> {
         let mut steps = vec![Step::Advance];
-        for n in 0..self.in_flight.len() {
-            steps.extend([Step::Deliver(n), Step::Lose(n)]);
+        for index in 0..self.in_flight.len() {
+            steps.extend([Step::Deliver(index), Step::Lose(index)]);
         }
         if !self.in_flight.is_empty() {
             steps.push(Step::DeliverDuplicate(0));
@@ -174,7 +176,7 @@
                 state.total_used() <= NODE_SHARE * NODES as u32
             }),
             Property::sometimes("some share is lent", |_, state: &ModelState| {
-                (0..NODES).any(|n| state.ledgers[n].borrowed(state.clock(n)) > 0)
+                (0..NODES).any(|node| state.ledgers[node].borrowed(state.clock(node)) > 0)
             }),
         ]
     }
@@ -203,8 +205,8 @@
             };
             state.step(step);
             assert!(state.total_used() <= NODE_SHARE * NODES as u32, "seed {seed} after {step:?}: {state:?}");
-            let borrowed = |n: usize| state.ledgers[n].borrowed(state.clock(n));
-            steps_with_loans += u32::from((0..NODES).any(|n| borrowed(n) > 0));
+            let borrowed = |node: usize| state.ledgers[node].borrowed(state.clock(node));
+            steps_with_loans += u32::from((0..NODES).any(|node| borrowed(node) > 0));
         }
         (state.cut, state.paused) = Default::default();
         state.in_flight.clear();
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -9,7 +9,7 @@
 use lilacquay_replica::simulation::{MS, SEC, Simulation};
 use lilacquay_replica::{Micros, SyncState, evidence, kind};
 
-/// A simulation of so many nodes that has run for 5 s.
+/// A simulation of `nodes` nodes that has run for 5 s.
 fn new_simulation(nodes: usize, seed: u64) -> Simulation {
     let mut sim = Simulation::new(nodes, seed);
     sim.run(5 * SEC);
@@ -46,15 +46,15 @@
         let mut sim = new_simulation(nodes, 1);
         (sim.loss_permille, sim.duplicate_permille) = (loss, 20);
         let id = issue_order(&mut sim, nodes / 2, "box-1", Action::Drain);
-        let held_by_all_after = sim.run_until(3 * SEC, |w| all_hold(w, "box-1", Some(Action::Drain)));
+        let held_by_all_after = sim.run_until(3 * SEC, |sim| all_hold(sim, "box-1", Some(Action::Drain)));
         assert!(
             held_by_all_after <= if nodes < 300 { SEC } else { 2 * SEC },
             "{nodes} nodes: held by all after {held_by_all_after}"
         );
-        sim.run_until(8 * SEC, |w| w.replica(nodes / 2).holder_count(id) == nodes);
+        sim.run_until(8 * SEC, |sim| sim.replica(nodes / 2).holder_count(id) == nodes);
         sim.run_until(8 * SEC, Simulation::is_converged);
         issue_order(&mut sim, 0, "box-1", Action::Undrain);
-        sim.run_until(3 * SEC, |w| all_hold(w, "box-1", None));
+        sim.run_until(3 * SEC, |sim| all_hold(sim, "box-1", None));
     }
 }
 
@@ -63,7 +63,7 @@
 fn of_concurrent_orders_the_drain_is_in_effect_until_the_conflict_is_resolved() {
     let mut sim = new_simulation(6, 2);
     issue_order(&mut sim, 0, "box", Action::Drain);
-    sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+    sim.run_until(3 * SEC, |sim| all_hold(sim, "box", Some(Action::Drain)));
     sim.split(|node| node < 3, true);
     sim.run(3 * SEC);
     issue_order(&mut sim, 1, "box", Action::Drain);
@@ -81,7 +81,7 @@
     );
     // The order that resolves the conflict was issued with both in sight.
     issue_order(&mut sim, 5, "box", Action::Undrain);
-    sim.run_until(3 * SEC, |w| all_hold(w, "box", None));
+    sim.run_until(3 * SEC, |sim| all_hold(sim, "box", None));
     sim.run(5 * SEC);
     assert!(sim.is_converged() && all_hold(&sim, "box", None));
 }
@@ -94,14 +94,14 @@
         (sim.loss_permille, sim.duplicate_permille) = (200, 50);
         let id = issue_order(&mut sim, 0, "box", Action::Drain);
         let min_holders = 2 + seed as usize % 3;
-        sim.run_until(6 * SEC, |w| w.replica(0).holder_count(id) >= min_holders);
-        let holds = |w: &Simulation, n: usize| effective_action(w, n, "box").is_some();
+        sim.run_until(6 * SEC, |sim| sim.replica(0).holder_count(id) >= min_holders);
+        let holds = |sim: &Simulation, n: usize| effective_action(sim, n, "box").is_some();
         let held: Vec<usize> = (0..5).filter(|&n| holds(&sim, n)).collect();
         let survivor = held[sim.rng.usize(..held.len())];
         (0..5).filter(|&n| n != survivor).for_each(|n| sim.kill(n));
         sim.run(300 * MS);
         (0..5).filter(|&n| n != survivor).for_each(|n| sim.start(n));
-        sim.run_until(8 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+        sim.run_until(8 * SEC, |sim| all_hold(sim, "box", Some(Action::Drain)));
     }
 }
 
@@ -112,7 +112,7 @@
     for paused in [true, false] {
         let mut sim = new_simulation(5, 3);
         issue_order(&mut sim, 0, "box", Action::Drain);
-        sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::Drain)));
+        sim.run_until(3 * SEC, |sim| all_hold(sim, "box", Some(Action::Drain)));
         if paused {
             sim.pause(4);
         } else {
@@ -127,7 +127,7 @@
         } else {
             sim.split(|node| node == 4, false);
         }
-        sim.run_until(5 * SEC, |w| w.is_converged() && all_hold(w, "box", None));
+        sim.run_until(5 * SEC, |sim| sim.is_converged() && all_hold(sim, "box", None));
         sim.run(TOMBSTONE_RETENTION_US + 30 * SEC);
         assert!((0..5).all(|node| sim.replica(node).is_empty()), "then it expires");
     }
@@ -141,7 +141,7 @@
     sim.start(1);
     sim.run(5 * SEC);
     issue_order(&mut sim, 1, "box", Action::LeaveOut);
-    sim.run_until(3 * SEC, |w| all_hold(w, "box", Some(Action::LeaveOut)));
+    sim.run_until(3 * SEC, |sim| all_hold(sim, "box", Some(Action::LeaveOut)));
     sim.run(26 * SEC);
     assert!(all_hold(&sim, "box", Some(Action::LeaveOut)));
     sim.run(5 * SEC);
@@ -219,18 +219,19 @@
         sim.run_until(20 * SEC, Simulation::is_converged);
         (0..restarted).for_each(|node| sim.kill(node));
         (0..restarted).for_each(|node| sim.start(node));
-        let all_up_to_date = |w: &Simulation| {
-            (0..restarted).all(|n| matches!(w.replica(n).sync_state(), SyncState::UpToDate(_)))
+        let all_up_to_date = |sim: &Simulation| {
+            (0..restarted).all(|n| matches!(sim.replica(n).sync_state(), SyncState::UpToDate(_)))
         };
         assert!(!all_up_to_date(&sim));
         let before: Vec<u64> = sim.nodes.iter().map(|node| node.sent).collect();
-        let time = sim.run_until(6 * SEC, |w| {
+        let time = sim.run_until(6 * SEC, |sim| {
             // No node may count as up to date while it lacks records that the others hold.
             let is_premature = |n: usize| {
-                matches!(w.replica(n).sync_state(), SyncState::UpToDate(_)) && w.replica(n).len() < records
+                matches!(sim.replica(n).sync_state(), SyncState::UpToDate(_))
+                    && sim.replica(n).len() < records
             };
             assert!(!(0..restarted).any(is_premature));
-            all_up_to_date(w) && w.is_converged()
+            all_up_to_date(sim) && sim.is_converged()
         });
         assert!(
             time <= if restarted > 1 { 5 * SEC } else { 2 * SEC },
@@ -260,7 +261,8 @@
     assert_eq!(sim.replica(0).len(), 4_096, "the limit of the kind, the same at all nodes");
     // A single different record among them is found soon.
     sim.with_replica(3, |replica, now| _ = replica.write(now, 99, b"of a later build", vec![1], None));
-    let time = sim.run_until(5 * SEC, |w| w.is_converged() && w.replica(39).records_of_kind(99).count() == 1);
+    let time =
+        sim.run_until(5 * SEC, |sim| sim.is_converged() && sim.replica(39).records_of_kind(99).count() == 1);
     assert!(time <= 3 * SEC, "{time}");
 }
 
@@ -371,8 +373,8 @@
         });
     }
     sim.run_until(5 * SEC, Simulation::is_converged);
-    let value = |w: &Simulation, at: usize| {
-        w.replica(at).records_of_kind(kind::ENDPOINT_REPORT).next().unwrap().record.value[0]
+    let value = |sim: &Simulation, at: usize| {
+        sim.replica(at).records_of_kind(kind::ENDPOINT_REPORT).next().unwrap().record.value[0]
     };
     assert_eq!(value(&sim, 0), 9);
     // Node 2 writes it anew, though its own incarnation is 1.
@@ -388,15 +390,15 @@
         replica.restore(now, saved, None);
         assert!(replica.write(now, 99, b"kept", vec![2], None).is_change());
     });
-    sim.run_until(5 * SEC, |w| {
-        (0..4).all(|at| w.replica(at).records_of_kind(99).any(|held| held.record.value == [2]))
+    sim.run_until(5 * SEC, |sim| {
+        (0..4).all(|at| sim.replica(at).records_of_kind(99).any(|held| held.record.value == [2]))
     });
 }
 
 #[test]
 fn bytes_sent_are_few_at_rest_and_datagrams_bounded_after_many_changes() {
     let mut sim = new_simulation(100, 10);
-    let total_sent = |w: &Simulation| w.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
+    let total_sent = |sim: &Simulation| sim.nodes.iter().map(|node| node.sent_bytes).sum::<u64>();
     let before = total_sent(&sim);
     sim.run(10 * SEC);
     let at_rest = (total_sent(&sim) - before) / 1_000;
--- a/crates/siblings/src/ring.rs
+++ b/crates/siblings/src/ring.rs
@@ -17,10 +17,10 @@
 }
 
 impl Ring {
-    /// The ring of so many nodes; 0 counts as 1.
+    /// The ring of `node_count` nodes; 0 counts as 1.
     pub fn new(node_count: usize) -> Ring {
         let node_count = node_count.max(1);
-        // About the golden section of the list, and coprime to its length.
+        // About the golden section of the list's length, and coprime to it.
         let stride = (node_count * 382 / 1000..node_count)
             .find(|&stride| gcd(stride, node_count) == 1)
             .unwrap_or(1)
@@ -114,7 +114,11 @@
                 assert!(ring.expiry_quorum() + ring.confirmation_quorum() > ring.watcher_count());
                 assert!(ring.confirmation_quorum() >= 1 && ring.expiry_quorum() <= ring.watcher_count());
             } else {
-                assert_eq!(ring.confirmation_quorum(), 0, "nobody can take anything of one of two");
+                assert_eq!(
+                    ring.confirmation_quorum(),
+                    0,
+                    "of two nodes neither can take over the other's share"
+                );
                 assert!(ring.expiry_quorum() > ring.watcher_count());
             }
         }
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -18,23 +18,24 @@
 
 /// Nodes that are not neighbours on the ring to which each tick sends a datagram. Through these, news spreads everywhere.
 const DISTANT_PEERS_PER_TICK: usize = 3;
-/// One more of them is added for so many queued changes, about as many brief rows as a datagram holds ...
+/// While changes are queued, one more such node per this many changes gets a datagram, which holds about as many brief rows.
 const CHANGES_PER_EXTRA_PEER: usize = 6;
-/// ... up to so many more.
+/// Most nodes that a tick adds for queued changes.
 const MAX_EXTRA_PEERS_PER_TICK: usize = 12;
 /// Rows in rotation are added to a datagram only up to this length, in bytes.
 const ROTATION_LENGTH_LIMIT_BYTES: usize = 170;
 /// Distant nodes to which urgent news is relayed at once.
 const URGENT_RELAY_FANOUT: usize = 2;
-/// Token bucket for datagrams beyond those of each tick: its capacity, ...
+/// Capacity of the token bucket for datagrams beyond those of each tick.
 const EXTRA_SEND_BURST: u64 = 20;
-/// ... and how many it gains per second.
+/// How many of these datagrams the bucket gains per second.
 const EXTRA_SENDS_PER_SECOND: u64 = 20;
-/// Rows of another process under this node's name that must be seen within the window before this node gives way. Fewer may
-/// come from this node's own past.
+/// How many rows of another process under this node's name must arrive within the window before this process yields. Fewer may
+/// be leftovers of this node's own earlier process.
 const NAME_CONFLICT_THRESHOLD: u32 = 3;
+/// The window in which these rows are counted.
 const NAME_CONFLICT_WINDOW_US: Micros = 10_000_000;
-/// Only a process that has run for this long gives way to another of its name.
+/// Only a process that has run for longer than this yields to another process of its name.
 const ESTABLISHED_AFTER_US: Micros = 30_000_000;
 /// Events that are kept until they are fetched; further ones are dropped.
 const MAX_PENDING_EVENTS: usize = 4096;
@@ -99,7 +100,7 @@
     },
     /// A quorum of watchers confirms this node again, or no longer.
     ConfirmationChanged(bool),
-    /// Another process runs under this node's name, and this one has given way.
+    /// Another process runs under this node's name, and this one has yielded.
     Superseded,
 }
 
@@ -294,8 +295,8 @@
                     && record.row.beat > sender_row.beat.saturating_add(EARLIER_PROCESS_HEARTBEAT_GAP)
         });
         let mut is_urgent = false;
-        for (n, row) in message.rows.iter().enumerate() {
-            is_urgent |= self.merge_row(now, *row, false, from, n == 0);
+        for (position, row) in message.rows.iter().enumerate() {
+            is_urgent |= self.merge_row(now, *row, false, from, position == 0);
         }
         // Neighbours send full rows as well, which a newer brief row without a `heard` list would hide.
         for row in &message.briefs {
@@ -666,7 +667,7 @@
         now < self.self_state.confirmed_until()
     }
 
-    /// Whether this process has given way to another one under its name.
+    /// Whether this process has yielded to another one under its name.
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
     }
@@ -804,8 +805,8 @@
         let (count, window_start) = self.name_conflicts;
         self.name_conflicts =
             if now > window_start + NAME_CONFLICT_WINDOW_US { (1, now) } else { (count + 1, window_start) };
-        // If both processes are established, the one with the lower nonce gives way sooner; otherwise the established one
-        // gives way.
+        // If both processes are established, the one with the lower nonce yields sooner; otherwise the established one
+        // yields.
         let has_lower_nonce = self.self_state.incarnation() & 0xFF < row.incarnation & 0xFF;
         let threshold = if has_lower_nonce { NAME_CONFLICT_THRESHOLD } else { 4 * NAME_CONFLICT_THRESHOLD };
         if now > self.started_at + ESTABLISHED_AFTER_US && self.name_conflicts.0 >= threshold {
--- a/crates/siblings/src/simulation.rs
+++ b/crates/siblings/src/simulation.rs
@@ -76,8 +76,8 @@
 }
 
 impl Simulation {
-    /// A simulation of so many nodes, none of which has started yet.
-    pub fn new(nodes: usize, seed: u64) -> Simulation {
+    /// A simulation of `node_count` nodes, none of which has started yet.
+    pub fn new(node_count: usize, seed: u64) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let new_node = |rng: &mut fastrand::Rng| Node {
             membership: None,
@@ -87,7 +87,7 @@
             paused: None,
             sent_bytes: 0,
         };
-        let nodes: Vec<Node> = (0..nodes).map(|_| new_node(&mut rng)).collect();
+        let nodes: Vec<Node> = (0..node_count).map(|_| new_node(&mut rng)).collect();
         Simulation {
             now: SEC,
             nodes,
@@ -235,21 +235,25 @@
         self.receive(from, to, datagram);
     }
 
-    fn send(&mut self, node: usize, out: Vec<OutgoingDatagram>) {
+    fn send(&mut self, node: usize, datagrams: Vec<OutgoingDatagram>) {
         for event in self.nodes[node].membership.as_mut().map(Membership::take_events).unwrap_or_default() {
             self.events.push((self.now, node, event));
         }
-        for out in out {
-            assert!(out.datagram.len() <= 256 && out.to != node);
-            self.nodes[node].sent_bytes += out.datagram.len() as u64;
-            let link = *self.links.get(&(node, out.to)).unwrap_or(&self.default_link);
+        for outgoing in datagrams {
+            assert!(outgoing.datagram.len() <= 256 && outgoing.to != node);
+            self.nodes[node].sent_bytes += outgoing.datagram.len() as u64;
+            let link = *self.links.get(&(node, outgoing.to)).unwrap_or(&self.default_link);
             let copies = 1 + u32::from(self.rng.u32(0..1000) < link.duplicate_permille);
             for _ in 0..copies {
                 if !link.cut && self.rng.u32(0..1000) >= link.loss_permille {
                     let at = self.now + self.rng.u64(link.delay_range.0..=link.delay_range.1);
                     self.schedule(
                         at,
-                        SimulationEvent::Delivery { from: node, to: out.to, datagram: out.datagram.clone() },
+                        SimulationEvent::Delivery {
+                            from: node,
+                            to: outgoing.to,
+                            datagram: outgoing.datagram.clone(),
+                        },
                     );
                 }
             }
@@ -335,8 +339,8 @@
             + &format!(
                 "{:?}",
                 (0..self.nodes.len())
-                    .filter(|&n| self.runs(n))
-                    .map(|n| self.membership(n).view_digest())
+                    .filter(|&node| self.runs(node))
+                    .map(|node| self.membership(node).view_digest())
                     .collect::<BTreeSet<_>>()
             )
     }
--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -35,15 +35,16 @@
         let mut sim = settled(nodes, seed);
         let crashed = seed as usize % nodes;
         sim.kill(crashed);
-        let is_known =
-            |w: &Simulation| (0..nodes).all(|at| at == crashed || w.state(crashed, at) == NodeState::Gone);
+        let is_known = |sim: &Simulation| {
+            (0..nodes).all(|at| at == crashed || sim.state(crashed, at) == NodeState::Gone)
+        };
         sim.run_until(DETECTION_LIMIT_US, is_known);
-        sim.run_until(DETECTION_LIMIT_US, |w| {
-            (0..nodes).map(|node| w.usable_share(node)).sum::<u32>() == nodes as u32 * FULL_SHARE
+        sim.run_until(DETECTION_LIMIT_US, |sim| {
+            (0..nodes).map(|node| sim.usable_share(node)).sum::<u32>() == nodes as u32 * FULL_SHARE
         });
         let now = sim.now;
         sim.start_at(crashed, now);
-        sim.run_until(5 * SEC, |w| w.runs(crashed) && w.usable_share(crashed) == FULL_SHARE);
+        sim.run_until(5 * SEC, |sim| sim.runs(crashed) && sim.usable_share(crashed) == FULL_SHARE);
         sim.run_until(DETECTION_LIMIT_US, Simulation::is_converged);
     }
 }
@@ -149,7 +150,7 @@
 fn a_cut_in_one_direction_is_shown_as_such_and_expires_no_lease() {
     for nodes in [3, 5, 30] {
         let mut sim = settled(nodes, 9);
-        let (a, b) = (0, sim.membership(0).peers(0).iter().find(|f| f.we_hear.is_some()).unwrap().node);
+        let (a, b) = (0, sim.membership(0).peers(0).iter().find(|peer| peer.we_hear.is_some()).unwrap().node);
         sim.events.clear();
         sim.cut(a, b, true); // b doesn't hear a
         sim.run(60 * SEC);
@@ -237,7 +238,7 @@
         sim.check();
     }
     sim.run_until(DETECTION_LIMIT_US, Simulation::is_converged);
-    sim.run_until(DETECTION_LIMIT_US, |w| (0..100).all(|node| w.usable_share(node) == FULL_SHARE));
+    sim.run_until(DETECTION_LIMIT_US, |sim| (0..100).all(|node| sim.usable_share(node) == FULL_SHARE));
     sim.check();
 }
 
@@ -285,7 +286,9 @@
     sim.nodes[3].wall_offset -= 20_000_000;
     let now = sim.now;
     sim.start_at(3, now);
-    sim.run_until(5 * SEC, |w| w.runs(3) && w.membership(3).incarnation() > before && w.is_converged());
+    sim.run_until(5 * SEC, |sim| {
+        sim.runs(3) && sim.membership(3).incarnation() > before && sim.is_converged()
+    });
 }
 
 /// At rest the bytes that a node sends do not grow with the number of nodes; while a split heals they are bounded.
@@ -468,9 +471,9 @@
     assert!((0..4).all(|node| sim.membership(node).is_confirmed(sim.clock(node))));
 }
 
-/// Two processes under one name learn of each other through other nodes. Exactly one gives way, and reports it.
+/// Two processes under one name learn of each other through other nodes. Exactly one yields, and reports it.
 #[test]
-fn of_two_processes_under_one_name_exactly_one_gives_way() {
+fn of_two_processes_under_one_name_exactly_one_yields() {
     use lilacquay_siblings::{Membership, Setup};
     for seed in 0..8 {
         // Processes 2 and 3 both run as node 2 of three.
@@ -517,7 +520,7 @@
             1,
             "seed {seed}: {superseded:?}"
         );
-        assert!(superseded_events == 1 && superseded[2], "the process that has run for longer gives way");
+        assert!(superseded_events == 1 && superseded[2], "the process that has run for longer yields");
         assert!(processes[3].is_confirmed(now - 500 * MS), "seed {seed}: the other is node 2");
     }
 }
@@ -571,7 +574,7 @@
     }
     let (returning, adjacent) = (ring_order[0], ring_order[1]);
     sim.kill(returning);
-    sim.run_until(DETECTION_LIMIT_US, |w| w.usable_share(adjacent) > FULL_SHARE);
+    sim.run_until(DETECTION_LIMIT_US, |sim| sim.usable_share(adjacent) > FULL_SHARE);
     let other_side = [ring_order[1], ring_order[2], ring_order[3]];
     sim.split(|node| other_side.contains(&node), true);
     let now = sim.now;
