--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -15,7 +15,7 @@
 use lilacquay_lifecycle::Event;
 use lilacquay_members::{discovery, etcd};
 use lilacquay_metrics::Book;
-use lilacquay_replica::endpoint_reports::OwnList;
+use lilacquay_replica::endpoint_reports::LocalServerList;
 use lilacquay_upstreams::ServerConnector;
 use paddlefold::setup::Names;
 use tokio::net::{TcpListener, TcpSocket};
@@ -144,7 +144,7 @@
     let kin = config.siblings.clone().map(|site| {
         let (to, site) = watch::channel(site);
         let (orders, nodes, keeper) = (orders.clone(), nodes.clone(), keeper.clone());
-        let (commands, own, seed) = (to_node.clone(), OwnList::default(), config.seed);
+        let (commands, own, seed) = (to_node.clone(), LocalServerList::default(), config.seed);
         parts.spawn(Ties { orders, nodes, keeper, asks, site, seed, lists, commands, kept, own }.run());
         to
     });
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -9,9 +9,9 @@
 use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
 use lilacquay_observe::CommonNow;
 use lilacquay_overrides::{Ask, Hold, Kept, Order as Asked};
-use lilacquay_replica::endpoint_reports::{self, Ended, Listed, OwnList};
-use lilacquay_replica::orders::{Action, KEPT, Order, Standing};
-use lilacquay_replica::{Out, Replica, Setup, Stage, evidence, kind};
+use lilacquay_replica::endpoint_reports::{self, LocalServerList, ServerEntry, WithdrawnServer};
+use lilacquay_replica::orders::{Action, EffectiveOrder, Order, TOMBSTONE_RETENTION_US};
+use lilacquay_replica::{OutgoingDatagram, Replica, Setup, SyncState, evidence, kind};
 use tokio::sync::{mpsc, oneshot};
 use tracing::{info, warn};
 
@@ -71,7 +71,7 @@
     fn has(&self, of: u8) -> bool {
         match of {
             kind::ORDER => self.orders,
-            kind::WORD => self.words,
+            kind::ENDPOINT_REPORT => self.words,
             kind::EVIDENCE => self.evidence,
             _ => false,
         }
@@ -81,7 +81,7 @@
 fn name_of(kind: u8) -> String {
     match kind {
         kind::ORDER => "order".into(),
-        kind::WORD => "word".into(),
+        kind::ENDPOINT_REPORT => "word".into(),
         kind::EVIDENCE => "evidence".into(),
         other => format!("kind {other}"),
     }
@@ -98,7 +98,7 @@
     /// Of an order that lasted, if it is one in common.
     pub fn of(kept: &Kept) -> Option<KeptRecord> {
         let record = of_mark(kept.mark.as_deref()?)?;
-        Some(KeptRecord { record, left: kept.left.map(|left| left + KEPT) })
+        Some(KeptRecord { record, left: kept.left.map(|left| left + TOMBSTONE_RETENTION_US) })
     }
 
     /// Of what a process before has handed over.
@@ -124,15 +124,15 @@
 }
 
 /// Goes by a list of the node's own source; tells what it has taken away.
-pub fn list(own: &mut OwnList, told: ListUpdate) -> Vec<Ended> {
+pub fn list(own: &mut LocalServerList, told: ListUpdate) -> Vec<WithdrawnServer> {
     let listed = |entry: lilacquay_core::ServerEntry| {
-        let listed = Listed {
+        let listed = ServerEntry {
             serves: entry.state == ServerState::Serving,
             started_ms: entry.started_ms.max(0.0) as u64,
         };
         (entry.id, (entry.state != ServerState::Deleted).then_some(listed))
     };
-    own.told(told.list.full, told.version, told.list.servers.into_iter().map(listed))
+    own.apply_update(told.list.full, told.version, told.list.servers.into_iter().map(listed))
 }
 
 /// Whoever waits for an order to be held.
@@ -154,7 +154,7 @@
     commands: mpsc::Sender<Command>,
     waiting: Vec<Waiting>,
     here: usize,
-    stage: Option<Stage>,
+    stage: Option<SyncState>,
     level: Option<u8>,
     conflicts: BTreeSet<Vec<u8>>,
     left_out: BTreeSet<String>,
@@ -199,8 +199,8 @@
     /// All records, for the process that follows.
     pub fn handed(&self, now: Micros) -> Vec<(String, Option<Micros>)> {
         let left = |until: Micros| until.saturating_sub(now);
-        let told = |held: &lilacquay_replica::Held| (mark(&held.record), held.until.map(left));
-        self.replica.all().take(TOLD).map(|(_, _, held)| told(held)).collect()
+        let told = |held: &lilacquay_replica::StoredRecord| (mark(&held.record), held.expires_at.map(left));
+        self.replica.records().take(TOLD).map(|(_, _, held)| told(held)).collect()
     }
 
     /// Takes back what was kept.
@@ -212,24 +212,24 @@
 
     /// The orders, to be kept over another list of nodes.
     pub fn kept(&self, now: Micros) -> Vec<KeptRecord> {
-        let kept = |held: &lilacquay_replica::Held| KeptRecord {
+        let kept = |held: &lilacquay_replica::StoredRecord| KeptRecord {
             record: held.record.clone(),
-            left: held.until.map(|until| until.saturating_sub(now)),
+            left: held.expires_at.map(|until| until.saturating_sub(now)),
         };
-        self.replica.of_kind(kind::ORDER).map(kept).collect()
+        self.replica.records_of_kind(kind::ORDER).map(kept).collect()
     }
 
     pub fn due(&self) -> Micros {
-        self.replica.due()
+        self.replica.next_tick_at()
     }
 
-    pub fn heard(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<Out> {
-        let out = self.replica.heard(now, from, datagram);
+    pub fn heard(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
+        let out = self.replica.handle_datagram(now, from, datagram);
         self.answer_waiting(now);
         out
     }
 
-    pub fn tick(&mut self, now: Micros) -> Vec<Out> {
+    pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         if self.kinds.evidence {
             self.see(now);
         }
@@ -241,8 +241,9 @@
     /// Says what this node has seen of servers, and asks the core for the next look.
     fn see(&mut self, now: Micros) {
         if let Some(Ok(seen)) = self.seen.as_mut().map(oneshot::Receiver::try_recv) {
-            let seen = seen.into_iter().map(|(server, slowness)| evidence::Seen { server, slowness });
-            evidence::say(&mut self.replica, now, self.setup.me as u16, seen.collect());
+            let seen =
+                seen.into_iter().map(|(server, slowness)| evidence::SlownessObservation { server, slowness });
+            evidence::publish(&mut self.replica, now, self.setup.own_index as u16, seen.collect());
             self.seen = None;
         }
         if now >= self.seen_at + SEEN {
@@ -253,17 +254,17 @@
     /// Who is here; `back`: this node was cut off, or paused for longer than a lease.
     pub fn set_here(&mut self, now: Micros, here: Vec<usize>, back: bool) {
         self.here = here.len();
-        self.replica.set_here(here);
+        self.replica.set_reachable(here);
         if back {
-            self.replica.fell_behind(now);
+            self.replica.mark_behind(now);
         }
     }
 
     /// The node's own list has changed.
-    pub fn list(&mut self, now: Micros, own: &OwnList, ended: &[Ended]) {
+    pub fn list(&mut self, now: Micros, own: &LocalServerList, ended: &[WithdrawnServer]) {
         if self.kinds.words {
-            endpoint_reports::say(&mut self.replica, now, own, ended);
-            self.changed.insert(kind::WORD);
+            endpoint_reports::publish(&mut self.replica, now, own, ended);
+            self.changed.insert(kind::ENDPOINT_REPORT);
         }
     }
 
@@ -283,19 +284,19 @@
             },
             CommonOrder::Level(level) => {
                 let level = LEVELS.iter().position(|name| name == level).unwrap_or(2);
-                (&b""[..], Action::Level(level as u8), None)
+                (&b""[..], Action::LogLevel(level as u8), None)
             }
         };
-        let stands = self.replica.orders(now).any(|(standing, _)| standing.subject == subject);
+        let stands = self.replica.effective_orders(now).any(|(standing, _)| standing.subject == subject);
         if !self.kinds.orders || action == Action::Undrain && !stands {
             let _ = answer.send(None); // who asked may have left
             return;
         }
-        if let Action::Level(level) = action {
+        if let Action::LogLevel(level) = action {
             self.level = Some(level); // it is obeyed here already
         }
         let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs() as u32;
-        match self.replica.order(now, subject, action, life, at) {
+        match self.replica.issue_order(now, subject, action, life, at) {
             Ok(id) => {
                 let until = now + if wanted.is_some() { WAITED } else { ANSWERED };
                 let subject = subject.into();
@@ -312,34 +313,35 @@
 
     fn answer_waiting(&mut self, now: Micros) {
         let of = self.here + 1;
-        let held = |waiting: &Waiting| self.replica.holders(waiting.id);
+        let held = |waiting: &Waiting| self.replica.holder_count(waiting.id);
         let (done, waiting) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|waiting| now >= waiting.until || held(waiting) >= waiting.wanted.unwrap_or(of));
         self.waiting = waiting;
         for Waiting { id, subject, since, answer, .. } in done {
-            let standing = self.replica.orders(now).find(|(standing, _)| standing.subject == subject);
+            let standing =
+                self.replica.effective_orders(now).find(|(standing, _)| standing.subject == subject);
             let conflict = standing.is_some_and(|(standing, _)| standing.is_conflict());
             let after_ms = (now - since) / 1_000;
-            let nodes = self.replica.holders(id);
+            let nodes = self.replica.holder_count(id);
             let _ = answer.send(Some(HeldBy { nodes, of: of.max(nodes), after_ms, conflict })); // who asked may have left
         }
     }
 
     /// Tells the rest of the node what it goes by, where that has changed.
-    pub fn tell(&mut self, now: Micros, own: &OwnList) {
-        self.changed.extend(self.replica.changed());
-        let stage = self.replica.stage();
+    pub fn tell(&mut self, now: Micros, own: &LocalServerList) {
+        self.changed.extend(self.replica.take_changed_kinds());
+        let stage = self.replica.sync_state();
         if self.stage != Some(stage) {
             match (stage, self.stage) {
-                (Stage::Level(_), Some(Stage::Behind(since))) => {
+                (SyncState::UpToDate(_), Some(SyncState::Behind(since))) => {
                     info!(
                         ms = (now - since) / 1_000,
                         records = self.replica.len(),
                         "common: this node is level"
                     )
                 }
-                (Stage::Behind(_), Some(_)) => {
+                (SyncState::Behind(_), Some(_)) => {
                     info!("common: this node was away; it asks what it has missed")
                 }
                 _ => {}
@@ -351,14 +353,14 @@
         for of in changed {
             match of {
                 kind::ORDER if self.kinds.orders => self.tell_orders(now),
-                kind::WORD if self.kinds.words => self.tell_words(own),
+                kind::ENDPOINT_REPORT if self.kinds.words => self.tell_words(own),
                 kind::EVIDENCE if now < self.believed_at + BELIEVED => _ = self.changed.insert(of),
                 kind::EVIDENCE if self.kinds.evidence => self.tell_evidence(now),
                 _ => {}
             }
         }
         let seen = CommonNow {
-            behind: matches!(stage, Stage::Behind(_)),
+            behind: matches!(stage, SyncState::Behind(_)),
             records: self.replica.len(),
             conflicts: self.conflicts.len(),
             left_out: self.left_out.len(),
@@ -371,11 +373,11 @@
 
     fn tell_orders(&mut self, now: Micros) {
         let (mut orders, mut conflicts, mut level) = (Vec::new(), BTreeSet::new(), None);
-        for (standing, left) in self.replica.orders(now) {
+        for (standing, left) in self.replica.effective_orders(now) {
             if standing.is_conflict() {
                 conflicts.insert(standing.subject.to_vec());
             }
-            if let Action::Level(number) = standing.order.action {
+            if let Action::LogLevel(number) = standing.order.action {
                 level = Some(number);
             }
             let Some(hold) = hold(standing.order, now, left) else { continue };
@@ -390,7 +392,7 @@
             );
         }
         self.conflicts = conflicts;
-        let whole = matches!(self.replica.stage(), Stage::Level(_));
+        let whole = matches!(self.replica.sync_state(), SyncState::UpToDate(_));
         self.core.apply_replicated(ReplicatedUpdate::Orders { complete: whole, orders });
         if let Some(number) = level.filter(|_| level != self.level) {
             self.level = level;
@@ -400,8 +402,8 @@
         }
     }
 
-    fn tell_words(&mut self, own: &OwnList) {
-        let left_out = endpoint_reports::left_out(&self.replica, self.setup.me as u16, own);
+    fn tell_words(&mut self, own: &LocalServerList) {
+        let left_out = endpoint_reports::excluded_servers(&self.replica, self.setup.own_index as u16, own);
         if left_out == self.left_out {
             return;
         }
@@ -414,7 +416,7 @@
 
     /// Told again while it is believed: the core forgets it otherwise.
     fn tell_evidence(&mut self, now: Micros) {
-        let believed = evidence::believed(&self.replica, self.setup.me as u16);
+        let believed = evidence::corroborated(&self.replica, self.setup.own_index as u16);
         if !believed.is_empty() || !self.believed.is_empty() {
             self.core.apply_replicated(ReplicatedUpdate::PeerSlowness(believed.clone()));
         }
@@ -424,19 +426,19 @@
     /// What is held, in words.
     pub fn look(&self, now: Micros) -> CopyNow {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
-        let (stage, since) = match self.replica.stage() {
-            Stage::Behind(since) => ("behind", since),
-            Stage::Level(since) => ("level", since),
+        let (stage, since) = match self.replica.sync_state() {
+            SyncState::Behind(since) => ("behind", since),
+            SyncState::UpToDate(since) => ("level", since),
         };
-        let (root, counts) = (self.replica.root(), self.replica.counts());
+        let (root, counts) = (self.replica.root(), self.replica.counters());
         let mut numbers: BTreeMap<u8, usize> =
-            [kind::ORDER, kind::WORD, kind::EVIDENCE].map(|of| (of, 0)).into();
-        for (_, _, held) in self.replica.all() {
+            [kind::ORDER, kind::ENDPOINT_REPORT, kind::EVIDENCE].map(|of| (of, 0)).into();
+        for (_, _, held) in self.replica.records() {
             *numbers.entry(held.record.kind).or_default() += 1;
         }
         let of_kind =
             |(of, records): (u8, usize)| KindNow { kind: name_of(of), records, on: self.kinds.has(of) };
-        let record = |(id, sum, held): (u64, u32, &lilacquay_replica::Held)| RecordNow {
+        let record = |(id, sum, held): (u64, u32, &lilacquay_replica::StoredRecord)| RecordNow {
             id,
             kind: name_of(held.record.kind),
             origin: held.record.origin.into(),
@@ -444,13 +446,17 @@
             sum,
         };
         CopyNow {
-            me: self.setup.me,
-            nodes: self.setup.nodes,
+            me: self.setup.own_index,
+            nodes: self.setup.node_count,
             stage: stage.into(),
             since_s: ago(since),
             root: format!("{root:08x}"),
             kinds: numbers.into_iter().map(of_kind).collect(),
-            orders: self.replica.orders(now).map(|(standing, left)| told(&standing, left)).collect(),
+            orders: self
+                .replica
+                .effective_orders(now)
+                .map(|(standing, left)| told(&standing, left))
+                .collect(),
             left_out: self.left_out.iter().cloned().collect(),
             believed: self.believed.clone().into_iter().collect(),
             peers: self
@@ -461,15 +467,15 @@
                     node,
                     same: peer.root == root,
                     behind: peer.behind,
-                    ago_s: ago(peer.at),
+                    ago_s: ago(peer.reported_at),
                 })
                 .collect(),
             dropped: counts.dropped,
             sent: counts.sent,
             sent_bytes: counts.sent_bytes,
-            read: counts.read,
-            unread: counts.unread,
-            records: self.replica.all().take(TOLD).map(record).collect(),
+            read: counts.accepted,
+            unread: counts.invalid,
+            records: self.replica.records().take(TOLD).map(record).collect(),
         }
     }
 }
@@ -479,23 +485,25 @@
     match order.action {
         _ if order.is_tombstone(left) => None,
         Action::Drain => Some(Hold::Drain),
-        Action::LeaveOut => Some(Hold::LeftOut(now + left?.saturating_sub(KEPT))),
-        Action::Undrain | Action::Level(_) => None,
+        Action::LeaveOut => Some(Hold::LeftOut(now + left?.saturating_sub(TOMBSTONE_RETENTION_US))),
+        Action::Undrain | Action::LogLevel(_) => None,
     }
 }
 
 /// An order, in words.
-fn told(standing: &Standing, left: Option<Micros>) -> OrderHeld {
-    let Standing { subject, order, beside, .. } = standing;
+fn told(standing: &EffectiveOrder, left: Option<Micros>) -> OrderHeld {
+    let EffectiveOrder { subject, order, concurrent: beside, .. } = standing;
     let tombstone = order.is_tombstone(left);
-    let lasts = left.filter(|_| !tombstone).map(|left| left.saturating_sub(KEPT) as f64 / 1e6);
-    let word =
-        |order: &&Order| format!("{} by node {} at {}", order.action.word(), order.dot.origin, order.at);
+    let lasts =
+        left.filter(|_| !tombstone).map(|left| left.saturating_sub(TOMBSTONE_RETENTION_US) as f64 / 1e6);
+    let word = |order: &&Order| {
+        format!("{} by node {} at {}", order.action.name(), order.dot.origin, order.issued_at_unix_s)
+    };
     OrderHeld {
         server: String::from_utf8_lossy(subject).into(),
-        action: order.action.word(),
+        action: order.action.name(),
         node: order.dot.origin.into(),
-        at: order.at,
+        at: order.issued_at_unix_s,
         seconds_left: lasts,
         tombstone,
         beside: beside.iter().map(word).collect(),
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -12,8 +12,10 @@
 use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
 use lilacquay_core::{Clock, CoreHandle, ListUpdate, Micros, PeerStatus};
 use lilacquay_lifecycle::State as Life;
-use lilacquay_replica::endpoint_reports::OwnList;
-use lilacquay_siblings::{Change, Fellow, Out, Setup, Siblings, State, Terms, Why};
+use lilacquay_replica::endpoint_reports::LocalServerList;
+use lilacquay_siblings::{
+    Membership, MembershipEvent, NodeState, OutgoingDatagram, Parameters, PeerStatus, Setup, StateReason,
+};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, watch};
 use tokio::task::yield_now;
@@ -136,7 +138,7 @@
     /// What is held in common from before: over a restart, another list of nodes, a hand-over.
     pub kept: Vec<KeptRecord>,
     /// What the node's own list says.
-    pub own: OwnList,
+    pub own: LocalServerList,
 }
 
 impl Ties {
@@ -164,7 +166,7 @@
     site: Site,
     by_address: HashMap<SocketAddr, usize>,
     clock: Clock,
-    siblings: Siblings,
+    siblings: Membership,
     /// Datagrams from addresses that are no node's.
     unlisted: u64,
     told: Option<PeerStatus>,
@@ -178,19 +180,19 @@
     fn new(site: Site, socket: UdpSocket, ties: &mut Ties) -> Kin {
         let clock = Clock::new();
         let setup = Setup {
-            me: site.me,
-            nodes: site.nodes.len(),
-            site: self::site(&site.name, site.nodes.len()),
+            own_index: site.me,
+            node_count: site.nodes.len(),
+            site_id: self::site(&site.name, site.nodes.len()),
             seed: ties.seed ^ wall(),
-            terms: Terms::default(),
+            parameters: Parameters::default(),
         };
         let by_address = site.nodes.iter().copied().zip(0..).collect();
-        let siblings = Siblings::new(setup, clock.now(), wall());
+        let siblings = Membership::new(setup, clock.now(), wall());
         let common = site.common.any().then(|| {
             let setup = lilacquay_replica::Setup {
-                me: site.me,
-                nodes: site.nodes.len(),
-                site: self::site(&site.name, site.nodes.len()),
+                own_index: site.me,
+                node_count: site.nodes.len(),
+                site_id: self::site(&site.name, site.nodes.len()),
                 seed: ties.seed ^ wall() ^ 1,
                 incarnation: siblings.incarnation(),
             };
@@ -207,7 +209,7 @@
         let mut bearing = ties.keeper.bearing();
         let (mut datagram, mut leaving) = ([0; LONGEST + 1], false);
         loop {
-            let due = self.common.as_ref().map_or(Micros::MAX, Common::due).min(self.siblings.due());
+            let due = self.common.as_ref().map_or(Micros::MAX, Common::due).min(self.siblings.next_tick_at());
             let out = tokio::select! {
                 biased;
                 () = sleep_until(self.clock.instant(due)) => self.tick(),
@@ -262,9 +264,9 @@
     }
 
     /// Time has passed.
-    fn tick(&mut self) -> Vec<Out> {
+    fn tick(&mut self) -> Vec<OutgoingDatagram> {
         let (now, mut out) = (self.clock.now(), Vec::new());
-        if now >= self.siblings.due() {
+        if now >= self.siblings.next_tick_at() {
             out.extend(self.siblings.tick(now, wall()));
             self.mind_common(now);
         }
@@ -279,8 +281,8 @@
         let Some(common) = &mut self.common else { return };
         let confirmed = self.siblings.is_confirmed(now);
         // One that too few confirm is cut off; one that is superseded is to be silent.
-        let fellows = self.siblings.fellows(now);
-        let heard = |fellow: &&Fellow| fellow.state == State::Here;
+        let fellows = self.siblings.peers(now);
+        let heard = |fellow: &&PeerStatus| fellow.state == NodeState::Here;
         let here = match self.siblings.is_superseded() {
             true => Vec::new(),
             false => fellows.iter().filter(heard).map(|fellow| fellow.node).collect(),
@@ -308,7 +310,7 @@
         }
     }
 
-    fn heard(&mut self, from: SocketAddr, datagram: &[u8]) -> Vec<Out> {
+    fn heard(&mut self, from: SocketAddr, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         match self.by_address.get(&from) {
             Some(&node) if datagram.starts_with(&replica::MAGIC) => {
                 let now = self.clock.now();
@@ -317,7 +319,7 @@
                 let out = common.map_or(Vec::new(), |common| common.heard(now, node, datagram));
                 out.into_iter().map(worded).collect()
             }
-            Some(&node) => self.siblings.heard(self.clock.now(), wall(), node, datagram),
+            Some(&node) => self.siblings.handle_datagram(self.clock.now(), wall(), node, datagram),
             None => {
                 self.unlisted += 1;
                 if self.unlisted == 1 {
@@ -330,8 +332,8 @@
         }
     }
 
-    async fn send(&self, out: Vec<Out>) {
-        for Out { to, datagram } in out {
+    async fn send(&self, out: Vec<OutgoingDatagram>) {
+        for OutgoingDatagram { to, datagram } in out {
             // One that is lost is said again; what a network refuses is as lost.
             let _: io::Result<usize> = self.socket.send_to(&datagram, self.site.nodes[to]).await;
         }
@@ -340,12 +342,12 @@
     /// Tells the rest of the node what it may use, if that is something else or holds for longer.
     fn tell(&mut self, ties: &Ties) {
         let now = self.clock.now();
-        let part = self.siblings.part(now);
+        let part = self.siblings.resource_share(now);
         let left = Duration::from_micros(part.until.saturating_sub(now)).min(LONG);
         let fellows = PeerStatus {
-            share_thousandths: part.at(now),
+            share_thousandths: part.thousandths_at(now),
             valid_until: Instant::now() + left,
-            peer_counts: self.siblings.numbers(),
+            peer_counts: self.siblings.state_counts(),
         };
         let renewed = |told: &PeerStatus| {
             (told.share_thousandths, told.peer_counts) == (fellows.share_thousandths, fellows.peer_counts)
@@ -363,33 +365,40 @@
     }
 
     fn log(&mut self) {
-        let changes = self.siblings.changes();
-        let states = changes.iter().filter(|change| matches!(change, Change::State { .. })).count();
+        let changes = self.siblings.take_events();
+        let states =
+            changes.iter().filter(|change| matches!(change, MembershipEvent::StateChanged { .. })).count();
         if states > NAMED {
-            let [here, gone, unknown] = self.siblings.numbers();
+            let [here, gone, unknown] = self.siblings.state_counts();
             info!(here, gone, unknown, "siblings: {states} changes at once");
         }
         for change in &changes {
             match change {
-                Change::State { .. } if states > NAMED => {}
-                Change::State { node, was, is, incarnation, why } => {
-                    let (was, is, why) = (was.word(), is.word(), words(why));
+                MembershipEvent::StateChanged { .. } if states > NAMED => {}
+                MembershipEvent::StateChanged {
+                    node,
+                    previous: was,
+                    current: is,
+                    incarnation,
+                    reason: why,
+                } => {
+                    let (was, is, why) = (was.as_str(), is.as_str(), words(why));
                     info!(incarnation, "siblings: node {node} is {is}, was {was}: {why}");
                 }
-                Change::Paused { time } => {
+                MembershipEvent::Paused { duration: time } => {
                     warn!(
                         ms = time / 1_000,
                         "siblings: this node was paused; it accuses nobody and asks again"
                     )
                 }
-                Change::Began { incarnation, denied } => {
+                MembershipEvent::IncarnationStarted { incarnation, denials: denied } => {
                     info!(incarnation, denied, "siblings: this node begins a new incarnation");
                 }
-                Change::Confirmed(true) => info!("siblings: this node is confirmed"),
-                Change::Confirmed(false) => {
+                MembershipEvent::ConfirmationChanged(true) => info!("siblings: this node is confirmed"),
+                MembershipEvent::ConfirmationChanged(false) => {
                     warn!("siblings: too few confirm this node; it uses nothing shared until they do")
                 }
-                Change::Superseded => error!(
+                MembershipEvent::Superseded => error!(
                     "siblings: another process runs as node {}; this one gives way and uses nothing shared; end one of them",
                     self.site.me
                 ),
@@ -400,71 +409,71 @@
     /// What it sees, in words.
     fn sight(&self) -> Sight {
         let now = self.clock.now();
-        let [here, gone, unknown] = self.siblings.numbers();
-        let (part, counts) = (self.siblings.part(now), self.siblings.counts());
-        let fellow = |fellow: Fellow| self.fellow(now, fellow);
-        let way = |way: lilacquay_siblings::Way| WayNow { from: way.from, to: way.to, open: way.open };
+        let [here, gone, unknown] = self.siblings.state_counts();
+        let (part, counts) = (self.siblings.resource_share(now), self.siblings.counters());
+        let fellow = |fellow: PeerStatus| self.fellow(now, fellow);
+        let way = |way: lilacquay_siblings::LinkState| WayNow { from: way.from, to: way.to, open: way.is_up };
         Sight {
             site: self.site.name.clone(),
             me: self.site.me,
             nodes: self.site.nodes.len(),
             incarnation: self.siblings.incarnation(),
-            epoch: format!("{:08x}", self.siblings.epoch()),
+            epoch: format!("{:08x}", self.siblings.view_digest()),
             confirmed: self.siblings.is_confirmed(now),
             superseded: self.siblings.is_superseded(),
-            part: f64::from(part.at(now)) / 1e3,
-            doubt: self.siblings.doubt(),
+            part: f64::from(part.thousandths_at(now)) / 1e3,
+            doubt: self.siblings.health_penalty(),
             pauses: counts.pauses,
             here,
             gone,
             unknown,
             sent: counts.sent,
             sent_bytes: counts.sent_bytes,
-            read: counts.read,
-            unread: counts.unread,
-            strangers: counts.strangers,
+            read: counts.accepted,
+            unread: counts.invalid,
+            strangers: counts.other_site,
             unlisted: self.unlisted,
-            fellows: self.siblings.fellows(now).into_iter().map(fellow).collect(),
-            ways: self.siblings.ways(now).into_iter().map(way).collect(),
+            fellows: self.siblings.peers(now).into_iter().map(fellow).collect(),
+            ways: self.siblings.link_states(now).into_iter().map(way).collect(),
         }
     }
 
-    fn fellow(&self, now: Micros, fellow: Fellow) -> FellowNow {
+    fn fellow(&self, now: Micros, fellow: PeerStatus) -> FellowNow {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
         FellowNow {
             node: fellow.node,
             address: self.site.nodes[fellow.node].to_string(),
-            state: fellow.state.word().into(),
+            state: fellow.state.as_str().into(),
             since_s: ago(fellow.since),
-            why: words(&fellow.why),
+            why: words(&fellow.reason),
             incarnation: fellow.incarnation,
-            heard_s: fellow.heard.map(|(at, _)| ago(at)),
-            heard_by: fellow.heard.map(|(_, by)| by),
+            heard_s: fellow.last_heard.map(|(at, _)| ago(at)),
+            heard_by: fellow.last_heard.map(|(_, by)| by),
             we_hear: fellow.we_hear,
             hears_us: fellow.hears_us,
-            suspected: fellow.suspected && fellow.state != State::Gone,
+            suspected: fellow.is_suspected && fellow.state != NodeState::Gone,
         }
     }
 }
 
 /// One that the copy sends goes the same way.
-fn worded(out: lilacquay_replica::Out) -> Out {
-    Out { to: out.to, datagram: out.datagram }
+fn worded(out: lilacquay_replica::OutgoingDatagram) -> OutgoingDatagram {
+    OutgoingDatagram { to: out.to, datagram: out.datagram }
 }
 
 /// On what evidence.
-fn words(why: &Why) -> String {
+fn words(why: &StateReason) -> String {
     match why {
-        Why::NeverHeard => "nothing was heard of it yet".into(),
-        Why::Heard { by } => format!("its word came through node {by}"),
-        Why::Newer { than, by } => {
+        StateReason::NeverHeard => "nothing was heard of it yet".into(),
+        StateReason::Heard { via: by } => format!("its word came through node {by}"),
+        StateReason::NewIncarnation { previous: than, via: by } => {
             format!("it began anew after incarnation {than}, by word through node {by}")
         }
-        Why::Left => "it said that it leaves".into(),
-        Why::Expired { by } => format!("its lease has run out at nodes {by:?}"),
-        Why::Silent => "nothing new was heard of it for too long".into(),
-        Why::Unconfirmed => "it is not confirmed, by its own word".into(),
-        Why::Deaf => "it has not confirmed hearing this node".into(),
+        StateReason::Left => "it said that it leaves".into(),
+        StateReason::LeaseExpired { reported_by: by } => format!("its lease has run out at nodes {by:?}"),
+        StateReason::Silent => "nothing new was heard of it for too long".into(),
+        StateReason::Unconfirmed => "it is not confirmed, by its own word".into(),
+        StateReason::DoesNotHearUs => "it has not confirmed hearing this node".into(),
     }
 }
 
