--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -33,7 +33,7 @@
 use crate::list::ServerList;
 use crate::members::MembershipHandle;
 use crate::message::{
-    CoreHandle, HandoverState, ListUpdate, Message, NewRequest, PeerStatus, ReplicatedUpdate,
+    CoreHandle, HandoverState, ListUpdate, MembershipSummary, Message, NewRequest, ReplicatedUpdate,
 };
 use crate::overrides::{Overrides, ServerStatus};
 use crate::permit::{ClientLeftAt, PermitRequest};
@@ -189,7 +189,7 @@
     list_updates: Option<UnboundedSender<ListUpdate>>,
     request_log: RequestLog,
     /// The state of the other nodes, if the nodes communicate with one another.
-    peer_status: Option<PeerStatus>,
+    membership_summary: Option<MembershipSummary>,
     /// The size of the state that the nodes replicate.
     replication_statistics: Option<CommonNow>,
     book: Book,
@@ -247,7 +247,7 @@
             overrides: options.persisted_orders.map(|kept| Overrides::new(clock.now(), kept)),
             list_updates: options.list_updates,
             request_log,
-            peer_status: None,
+            membership_summary: None,
             replication_statistics: None,
             clock,
             upstream,
@@ -333,7 +333,7 @@
             }
             Message::HandoverState(answer) => drop(answer.send(self.handover_state())),
             Message::Observe(added) => self.request_log.observe(added),
-            Message::SetPeerStatus(status) => self.set_peer_status(status),
+            Message::SetMembershipSummary(status) => self.set_membership_summary(status),
             Message::ApplyReplicated(update) => self.apply_replicated(update),
             Message::ObservedSlowness(answer) => drop(answer.send(self.observed_slowness())),
             Message::ShutDownAt(at) => {
@@ -372,14 +372,14 @@
 
     /// Applies the state of the other nodes: the share that this node may use, and the number of nodes that share the
     /// servers' connections.
-    fn set_peer_status(&mut self, status: PeerStatus) {
+    fn set_membership_summary(&mut self, status: MembershipSummary) {
         let left = status.valid_until.saturating_duration_since(Instant::now());
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
         self.events
             .push_back(Event::CapacityShare { share: f64::from(status.share_thousandths) / 1e3, until });
         self.directory.set_nodes(status.node_count());
         self.book.siblings(status.peer_counts);
-        self.peer_status = Some(status);
+        self.membership_summary = Some(status);
     }
 
     fn timer_expired(&mut self, timer: TimerKind) {
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -55,7 +55,7 @@
         let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
         snapshot.since_start = Answers { served, busy, failed, gone: 0 };
         snapshot.tries = totals.tries;
-        snapshot.siblings = self.peer_status.map(|status| SiblingsNow {
+        snapshot.siblings = self.membership_summary.map(|status| SiblingsNow {
             here: status.peer_counts[0],
             gone: status.peer_counts[1],
             unknown: status.peer_counts[2],
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -42,7 +42,9 @@
 pub use driver::{Driver, Gauges, Handles, Options};
 pub use list::{ServerEntry, ServerList, ServerState};
 pub use members::MembershipHandle;
-pub use message::{CoreHandle, HandoverState, ListUpdate, ObserverGuard, PeerStatus, ReplicatedUpdate};
+pub use message::{
+    CoreHandle, HandoverState, ListUpdate, MembershipSummary, ObserverGuard, ReplicatedUpdate,
+};
 pub use overrides::{OrdersInForce, ServerStatus};
 pub use paddlefold::{Learned, Micros, Outcome};
 pub use requests::{DuplicateRequestId, PendingAnswer, Requests};
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -35,7 +35,7 @@
     Observe(bool),
     Snapshot(oneshot::Sender<Snapshot>),
     ShutDownAt(Instant),
-    SetPeerStatus(PeerStatus),
+    SetMembershipSummary(MembershipSummary),
     ApplyReplicated(ReplicatedUpdate),
     ObservedSlowness(oneshot::Sender<BTreeMap<String, f64>>),
 }
@@ -69,7 +69,7 @@
 
 /// The state of the other nodes, and the share of common resources that this node may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerStatus {
+pub struct MembershipSummary {
     /// The fraction of its equal share that this node may use, in thousandths.
     pub share_thousandths: u32,
     /// Until when the share is valid.
@@ -78,7 +78,7 @@
     pub peer_counts: [usize; 3],
 }
 
-impl PeerStatus {
+impl MembershipSummary {
     /// The number of nodes that may be using common resources, this one included.
     pub fn node_count(&self) -> usize {
         1 + self.peer_counts[0] + self.peer_counts[2]
@@ -146,8 +146,8 @@
     }
 
     /// Sets the state of the other nodes and the share that this node may use.
-    pub fn set_peer_status(&self, status: PeerStatus) {
-        let _ = self.0.send(Message::SetPeerStatus(status)); // no effect once the core has ended
+    pub fn set_membership_summary(&self, status: MembershipSummary) {
+        let _ = self.0.send(Message::SetMembershipSummary(status)); // no effect once the core has ended
     }
 
     /// Applies an update of the replicated state. On a core that was created without overrides, updates of orders and
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -10,7 +10,7 @@
 use lilacquay_codec::replica;
 use lilacquay_codec::siblings::{LONGEST, site};
 use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
-use lilacquay_core::{Clock, CoreHandle, ListUpdate, Micros, PeerStatus};
+use lilacquay_core::{Clock, CoreHandle, ListUpdate, MembershipSummary, Micros};
 use lilacquay_lifecycle::State as Life;
 use lilacquay_replica::endpoint_reports::LocalServerList;
 use lilacquay_siblings::{
@@ -169,7 +169,7 @@
     siblings: Membership,
     /// Datagrams from addresses that are no node's.
     unlisted: u64,
-    told: Option<PeerStatus>,
+    told: Option<MembershipSummary>,
     /// What is held in common, if anything is.
     common: Option<Common>,
     /// Whether enough of the others confirmed this node at the last look.
@@ -344,18 +344,18 @@
         let now = self.clock.now();
         let part = self.siblings.resource_share(now);
         let left = Duration::from_micros(part.until.saturating_sub(now)).min(LONG);
-        let fellows = PeerStatus {
+        let fellows = MembershipSummary {
             share_thousandths: part.thousandths_at(now),
             valid_until: Instant::now() + left,
             peer_counts: self.siblings.state_counts(),
         };
-        let renewed = |told: &PeerStatus| {
+        let renewed = |told: &MembershipSummary| {
             (told.share_thousandths, told.peer_counts) == (fellows.share_thousandths, fellows.peer_counts)
                 && fellows.valid_until < told.valid_until + Duration::from_millis(100)
         };
         if !self.told.as_ref().is_some_and(renewed) {
             self.told = Some(fellows);
-            ties.orders.set_peer_status(fellows);
+            ties.orders.set_membership_summary(fellows);
             ties.nodes.send_if_modified(|nodes| {
                 let changed = *nodes != fellows.node_count();
                 *nodes = fellows.node_count();
