--- a/crates/bench/src/bin/quota.rs
+++ b/crates/bench/src/bin/quota.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use lilacquay_bench::quantiles;
-use lilacquay_quota::{Ask, Bounds, Dimension, Measure, Plan, Quota, Share};
+use lilacquay_quota::{Bounds, Dimension, Measure, Plan, Quota, QuotaRequest, Share};
 
 const ASKS: u64 = 2_000_000;
 
@@ -20,9 +20,9 @@
         let (mut admitted, start) = (0, Instant::now());
         for n in 0..ASKS {
             // A million asks a second of the module's time, by tenants chosen at random, for twice what there is.
-            let ask = Ask { share: 11 + rng.usize(..tenants), lane: 0, worth: 1000, bytes: 200 };
+            let ask = QuotaRequest { share: 11 + rng.usize(..tenants), lane: 0, worth: 1000, bytes: 200 };
             let begun = Instant::now();
-            admitted += u64::from(quota.ask(n, ask).is_ok());
+            admitted += u64::from(quota.try_acquire(n, ask).is_ok());
             times.saturating_record(begun.elapsed().as_nanos() as u64);
         }
         let each = start.elapsed().as_nanos() as u64 / ASKS;
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -9,7 +9,7 @@
 
 use flate2::Compression;
 use flate2::write::GzEncoder;
-use lilacquay_overrides::Kept;
+use lilacquay_overrides::PersistentOrder;
 use serde::{Deserialize, Serialize};
 
 use crate::messages::Verb;
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If the file can't be read. It is left as it is.
-    pub fn orders(&self) -> io::Result<Vec<Kept>> {
+    pub fn orders(&self) -> io::Result<Vec<PersistentOrder>> {
         let path = self.0.join("orders.json");
         let wrong = |error: io::Error| {
             let what = format!("{}: {error}; mend it, or take it away and order anew", path.display());
@@ -102,9 +102,9 @@
         };
         let read: Orders = serde_json::from_slice(&text).map_err(|error| wrong(error.into()))?;
         let now = unix_ms();
-        let kept = |Lasting { server, until_ms, mark }| Kept {
+        let kept = |Lasting { server, until_ms, mark }| PersistentOrder {
             server,
-            left: until_ms.map(|until| until.saturating_sub(now) * 1000),
+            remaining: until_ms.map(|until| until.saturating_sub(now) * 1000),
             mark,
         };
         Ok(read.orders.into_iter().map(kept).collect())
@@ -114,9 +114,9 @@
     ///
     /// # Errors
     /// If they can't be written; those kept before are then still there.
-    pub fn keep(&self, kept: Vec<Kept>) -> io::Result<()> {
+    pub fn keep(&self, kept: Vec<PersistentOrder>) -> io::Result<()> {
         let now = unix_ms();
-        let lasting = |Kept { server, left, mark }| Lasting {
+        let lasting = |PersistentOrder { server, remaining: left, mark }| Lasting {
             server,
             until_ms: left.map(|left| now + left / 1000),
             mark,
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -2,7 +2,7 @@
 
 use lilacquay_core::{ServerNow, State};
 use lilacquay_observe::{Snapshot, Told};
-use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
+use lilacquay_overrides::{ActiveOrder, Micros, Order, OrderEffect, OrderRequest};
 use serde::{Deserialize, Serialize};
 
 /// The version of these words. A node answers questions of this version and of all before it, in words that those know.
@@ -422,10 +422,10 @@
 
 impl Standing {
     /// In words, at a time.
-    pub fn new(server: &str, held: Held, now: Micros) -> Self {
-        let seconds_left = match held.hold {
-            Hold::Drain => None,
-            Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
+    pub fn new(server: &str, held: ActiveOrder, now: Micros) -> Self {
+        let seconds_left = match held.effect {
+            OrderEffect::Drain => None,
+            OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
         Standing { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
     }
@@ -441,7 +441,7 @@
     }
 
     /// The order on a server that it gives, if it is one.
-    pub fn order(&self) -> Option<Ask> {
+    pub fn order(&self) -> Option<OrderRequest> {
         match self.clone() {
             Verb::Orders | Verb::Servers | Verb::Look | Verb::Watch { .. } | Verb::Events { .. } => None,
             Verb::Siblings | Verb::Replica => None,
@@ -449,11 +449,11 @@
                 None
             }
             Verb::Drain { server, seconds, lasting, force, seen, .. } => {
-                let time = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
-                Some(Ask { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
+                let time = |seconds: u64| Order::Exclude(seconds.saturating_mul(1_000_000));
+                Some(OrderRequest { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
             }
             Verb::Undrain { server, seen, .. } => {
-                Some(Ask { server, order: Order::Undrain, lasting: false, force: false, seen })
+                Some(OrderRequest { server, order: Order::Undrain, lasting: false, force: false, seen })
             }
         }
     }
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -11,7 +11,7 @@
 
 use lilacquay_metrics::{Book, End};
 use lilacquay_observe::{CommonNow, Kind};
-use lilacquay_overrides::Kept;
+use lilacquay_overrides::PersistentOrder;
 use lilacquay_quota::Ticket;
 use paddlefold::setup::Setup;
 use paddlefold::{
@@ -150,7 +150,7 @@
     /// The part of all bounds that is this process's.
     pub portion: Portion,
     /// Where operators may order servers away: the orders that lasted over a restart.
-    pub steered: Option<Vec<Kept>>,
+    pub steered: Option<Vec<PersistentOrder>>,
     /// Who is told each list that the node's own source tells.
     pub lists: Option<UnboundedSender<ListTold>>,
 }
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
-use lilacquay_overrides::Hold;
+use lilacquay_overrides::OrderEffect;
 use paddlefold::{Micros, RequestId, ServerId, Waiting};
 use tokio::time::Instant;
 
@@ -110,9 +110,9 @@
             let view = id.and_then(|id| self.balancer.server(id));
             let order = server.held.map(|held| OrderNow {
                 number: held.number,
-                seconds_left: match held.hold {
-                    Hold::Drain => None,
-                    Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
+                seconds_left: match held.effect {
+                    OrderEffect::Drain => None,
+                    OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
                 },
                 lasting: held.lasting,
             });
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lilacquay_observe::{CommonNow, Snapshot};
-use lilacquay_overrides::{Ask, Common, Done, Refusal};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, SharedOrder};
 use paddlefold::{Learned, RequestId};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -26,7 +26,7 @@
     HandOver(oneshot::Sender<Heritage>),
     ListFailed,
     Quotas(Box<Admission>),
-    Steer(Box<Ask>, oneshot::Sender<Result<Done, Refusal>>),
+    Steer(Box<OrderRequest>, oneshot::Sender<Result<AppliedOrder, Refusal>>),
     Holding(oneshot::Sender<Holding>),
     Servers(oneshot::Sender<Vec<ServerNow>>),
     Watch(bool),
@@ -45,7 +45,7 @@
         /// Whether one that is missing was lifted.
         whole: bool,
         /// By server.
-        orders: Vec<Common>,
+        orders: Vec<SharedOrder>,
     },
     /// Servers that other nodes' lists have taken away.
     Hearsay(BTreeSet<String>),
@@ -126,7 +126,7 @@
 
     /// Gives an operator's order on a server; the answer tells whether it is obeyed. A core that was made without
     /// steering, or has ended, answers nothing.
-    pub fn steer(&self, ask: Ask) -> oneshot::Receiver<Result<Done, Refusal>> {
+    pub fn steer(&self, ask: OrderRequest) -> oneshot::Receiver<Result<AppliedOrder, Refusal>> {
         self.ask(|answer| Message::Steer(Box::new(ask), answer))
     }
 
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -2,7 +2,10 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use lilacquay_overrides::{Ask, Change, Common, Done, Held, Kept, Listed, Refusal, Steer};
+use lilacquay_overrides::{
+    ActiveOrder, AppliedOrder, ListedServer, OrderRequest, Overrides, PersistentOrder, Refusal, SharedOrder,
+    StateChange,
+};
 use paddlefold::Micros;
 
 use crate::list::{Entry, List, State};
@@ -11,9 +14,9 @@
 #[derive(Debug, Clone)]
 pub struct Holding {
     /// By server.
-    pub orders: Vec<(String, Held)>,
+    pub orders: Vec<(String, ActiveOrder)>,
     /// Those of them that are to last over a restart.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<PersistentOrder>,
     /// The time, by which they end.
     pub now: Micros,
 }
@@ -36,19 +39,19 @@
     /// Our connections that rest there.
     pub idle: usize,
     /// The order that holds it.
-    pub held: Option<Held>,
+    pub held: Option<ActiveOrder>,
 }
 
 /// The list as its source tells it, and the orders that are laid over it.
 pub(crate) struct Steering {
-    steer: Steer,
+    steer: Overrides,
     entries: HashMap<String, Entry>,
 }
 
 impl Steering {
     /// No list yet, and the orders that lasted over a restart.
-    pub fn new(now: Micros, kept: Vec<Kept>) -> Self {
-        let mut steer = Steer::new();
+    pub fn new(now: Micros, kept: Vec<PersistentOrder>) -> Self {
+        let mut steer = Overrides::new();
         steer.restore(now, kept);
         Steering { steer, entries: HashMap::new() }
     }
@@ -56,7 +59,7 @@
     /// What a list comes to under the orders.
     pub fn list(&mut self, now: Micros, list: List, is_origin: impl Fn(&str) -> bool) -> List {
         let List { full, servers } = list;
-        let listed = |entry: &Entry| Listed {
+        let listed = |entry: &Entry| ListedServer {
             name: entry.id.clone(),
             state: match entry.state {
                 State::Serving => Some(lilacquay_overrides::State::Serving),
@@ -65,7 +68,7 @@
             },
             origin: is_origin(&entry.kind),
         };
-        let changes = self.steer.list(now, full, servers.iter().map(listed).collect());
+        let changes = self.steer.apply_list(now, full, servers.iter().map(listed).collect());
         if full {
             self.entries.clear();
         }
@@ -83,27 +86,27 @@
     }
 
     /// Obeys an order, or says why not; tells what changes.
-    pub fn ask(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, List) {
-        let (done, changes) = self.steer.ask(now, ask);
+    pub fn ask(&mut self, now: Micros, ask: &OrderRequest) -> (Result<AppliedOrder, Refusal>, List) {
+        let (done, changes) = self.steer.apply_order(now, ask);
         (done, List { full: false, servers: self.worded(changes) })
     }
 
     /// Goes by what the nodes hold in common; tells what changes.
-    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<Common>) -> List {
-        let changes = self.steer.common(now, whole, orders);
+    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<SharedOrder>) -> List {
+        let changes = self.steer.apply_shared_orders(now, whole, orders);
         List { full: false, servers: self.worded(changes) }
     }
 
     /// Leaves servers out on the word of other nodes; tells what changes.
     pub fn hearsay(&mut self, now: Micros, servers: BTreeSet<String>) -> List {
-        let changes = self.steer.hearsay(now, servers);
+        let changes = self.steer.set_peer_exclusions(now, servers);
         List { full: false, servers: self.worded(changes) }
     }
 
     /// The orders that hold.
     pub fn holding(&self, now: Micros) -> Holding {
-        let orders = self.steer.orders().map(|(server, held)| (server.to_owned(), held)).collect();
-        Holding { orders, kept: self.steer.kept(), now }
+        let orders = self.steer.active_orders().map(|(server, held)| (server.to_owned(), held)).collect();
+        Holding { orders, kept: self.steer.persistent_orders(), now }
     }
 
     /// Ends orders whose time is over; tells what changes.
@@ -124,7 +127,7 @@
                 state: if serves { State::Serving } else { State::Draining },
                 out,
                 idle,
-                held: self.steer.held(&entry.id),
+                held: self.steer.active_order(&entry.id),
             }
         };
         let mut servers: Vec<ServerNow> = self.entries.values().map(server).collect();
@@ -132,8 +135,8 @@
         servers
     }
 
-    fn worded(&self, changes: Vec<Change>) -> Vec<Entry> {
-        let entry = |change: Change| {
+    fn worded(&self, changes: Vec<StateChange>) -> Vec<Entry> {
+        let entry = |change: StateChange| {
             let state = match change.state {
                 lilacquay_overrides::State::Serving => State::Serving,
                 lilacquay_overrides::State::Draining => State::Draining,
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -9,7 +9,7 @@
     Answer, Call, Connection, Driver, Entry, Handles, IdleState, List, Made, Members, Options, Orders,
     Outcome, Pending, Portion, Reply, Requests, State, Target, Upstream,
 };
-use lilacquay_overrides::{Ask, Done, Kept, Order, Refusal};
+use lilacquay_overrides::{AppliedOrder, Order, OrderRequest, PersistentOrder, Refusal};
 use paddlefold::setup::{Setup, Stated};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
@@ -57,7 +57,7 @@
 
 impl Stage {
     /// A core with two caches, `s1` at port 1 and `s2` at port 2.
-    fn new(steered: Option<Vec<Kept>>) -> Stage {
+    fn new(steered: Option<Vec<PersistentOrder>>) -> Stage {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
@@ -109,8 +109,8 @@
         to
     }
 
-    async fn order(&self, server: &str, order: Order) -> Result<Done, Refusal> {
-        let ask = Ask { server: server.into(), order, lasting: false, force: false, seen: None };
+    async fn order(&self, server: &str, order: Order) -> Result<AppliedOrder, Refusal> {
+        let ask = OrderRequest { server: server.into(), order, lasting: false, force: false, seen: None };
         self.orders.steer(ask).await.expect("a core that is steered")
     }
 }
@@ -144,16 +144,18 @@
 #[tokio::test(start_paused = true)]
 async fn one_that_is_left_out_comes_back_by_itself() {
     let mut stage = Stage::new(Some(Vec::new()));
-    stage.order("s1", Order::LeaveOut(1_000)).await.unwrap();
+    stage.order("s1", Order::Exclude(1_000)).await.unwrap();
     let back = async { while stage.fifty().await[0] == 0 {} };
     timeout(PATIENCE, back).await.expect("back in time");
 }
 
 #[tokio::test(start_paused = true)]
 async fn orders_that_last_hold_from_the_first_list_on_and_without_steering_none_is_obeyed() {
-    let mut stage = Stage::new(Some(vec![Kept { server: "s2".into(), left: None, mark: None }]));
+    let mut stage =
+        Stage::new(Some(vec![PersistentOrder { server: "s2".into(), remaining: None, mark: None }]));
     assert_eq!(stage.fifty().await, [50, 0]);
     let stage = Stage::new(None);
-    let ask = Ask { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
+    let ask =
+        OrderRequest { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
     assert!(stage.orders.steer(ask).await.is_err());
 }
--- a/crates/handover/src/messages.rs
+++ b/crates/handover/src/messages.rs
@@ -22,7 +22,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// From an heir: who it is.
-    Asks {
+    #[serde(rename = "Asks")]
+    TakeoverRequest {
         /// Its process.
         pid: u32,
         /// Its build, for the log.
@@ -32,7 +33,8 @@
     /// To an heir that must wait, and ask again.
     Wait,
     /// To an heir that is taken: who takes it. Parts follow, then grants.
-    Taken {
+    #[serde(rename = "Taken")]
+    Accepted {
         /// Its process.
         pid: u32,
         /// Its build, for the log.
@@ -40,7 +42,8 @@
         build: String,
     },
     /// A part of what is handed over.
-    Part {
+    #[serde(rename = "Part")]
+    StatePart {
         /// Which.
         name: String,
         /// Of which form.
@@ -49,16 +52,17 @@
         body: Value,
     },
     /// No more parts follow.
-    Whole,
+    #[serde(rename = "Whole")]
+    StateComplete,
     /// What the heir may use in all, in thousandths.
     Grant(u32),
 }
 
 /// What has come.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Come {
+pub enum Decoded {
     /// A message.
-    Said(Message),
+    Message(Message),
     /// A whole message that can't be used, and why: it is passed over.
     Declined(&'static str),
 }
@@ -68,7 +72,7 @@
 pub struct Malformed;
 
 /// Appends a message.
-pub fn put(message: &Message, out: &mut BytesMut) {
+pub fn encode(message: &Message, out: &mut BytesMut) {
     let body = serde_json::to_vec(message).unwrap_or_default(); // text and numbers alone
     out.put_slice(MAGIC);
     out.put_u8(FORM);
@@ -82,7 +86,7 @@
 ///
 /// # Errors
 /// If what has come is another protocol's or another form's.
-pub fn next(buffer: &mut BytesMut) -> Result<Option<Come>, Malformed> {
+pub fn decode(buffer: &mut BytesMut) -> Result<Option<Decoded>, Malformed> {
     let known = [MAGIC[0], MAGIC[1], FORM];
     if buffer.iter().zip(known).any(|(&come, known)| come != known) {
         return Err(Malformed);
@@ -98,17 +102,17 @@
     buffer.advance(HEADER);
     let body = buffer.split_to(length);
     if xxh3_64(&body) != sum {
-        return Ok(Some(Come::Declined("its checksum is wrong")));
+        return Ok(Some(Decoded::Declined("its checksum is wrong")));
     }
     if kind != 0 {
-        return Ok(Some(Come::Declined("its kind is not known here")));
+        return Ok(Some(Decoded::Declined("its kind is not known here")));
     }
     let read = serde_json::from_slice(&body);
-    Ok(Some(read.map_or(Come::Declined("its words are not known here"), Come::Said)))
+    Ok(Some(read.map_or(Decoded::Declined("its words are not known here"), Decoded::Message)))
 }
 
 /// A part's body, if it is of a version that is known here.
-pub fn part<T: DeserializeOwned>(version: u32, known: u32, body: Value) -> Result<T, String> {
+pub fn decode_part<T: DeserializeOwned>(version: u32, known: u32, body: Value) -> Result<T, String> {
     if version > known {
         return Err(format!("of version {version}, and this build knows {known}"));
     }
@@ -122,15 +126,15 @@
     fn all() -> Vec<Message> {
         let build = || "0.2.0".to_owned();
         vec![
-            Message::Asks { pid: 7, build: build() },
+            Message::TakeoverRequest { pid: 7, build: build() },
             Message::Wait,
-            Message::Taken { pid: 8, build: build() },
-            Message::Part {
+            Message::Accepted { pid: 8, build: build() },
+            Message::StatePart {
                 name: "list".into(),
                 version: 1,
                 body: serde_json::json!({ "a": [1, 2.5, null] }),
             },
-            Message::Whole,
+            Message::StateComplete,
             Message::Grant(437),
         ]
     }
@@ -138,15 +142,15 @@
     #[test]
     fn what_is_put_reads_as_it_was_meant_in_whatever_pieces() {
         let mut text = BytesMut::new();
-        all().iter().for_each(|message| put(message, &mut text));
+        all().iter().for_each(|message| encode(message, &mut text));
         let (mut buffer, mut read) = (BytesMut::new(), Vec::new());
         for byte in text {
             buffer.put_u8(byte);
-            while let Some(come) = next(&mut buffer).unwrap() {
+            while let Some(come) = decode(&mut buffer).unwrap() {
                 read.push(come);
             }
         }
-        assert_eq!(read, all().into_iter().map(Come::Said).collect::<Vec<_>>());
+        assert_eq!(read, all().into_iter().map(Decoded::Message).collect::<Vec<_>>());
     }
 
     /// A byte that is wrong costs one message at most, or ends all; it is never read as another message.
@@ -155,13 +159,13 @@
         let mut rng = fastrand::Rng::with_seed(1);
         for _ in 0..5_000 {
             let mut text = BytesMut::new();
-            all().iter().for_each(|message| put(message, &mut text));
+            all().iter().for_each(|message| encode(message, &mut text));
             let at = rng.usize(..text.len());
             text[at] ^= 1 << rng.u8(..8);
-            while let Ok(Some(come)) = next(&mut text) {
+            while let Ok(Some(come)) = decode(&mut text) {
                 match come {
-                    Come::Said(message) => assert!(all().contains(&message), "{message:?}"),
-                    Come::Declined(_) => {}
+                    Decoded::Message(message) => assert!(all().contains(&message), "{message:?}"),
+                    Decoded::Declined(_) => {}
                 }
             }
         }
@@ -178,13 +182,13 @@
         };
         frame(br#"{"Sings":{"song":"new"}}"#, &mut text);
         frame(br#"{"Asks":{"pid":3,"mood":"good"}}"#, &mut text);
-        assert!(matches!(next(&mut text), Ok(Some(Come::Declined(_)))));
-        let asks = Message::Asks { pid: 3, build: String::new() };
-        assert_eq!(next(&mut text), Ok(Some(Come::Said(asks))));
-        assert_eq!(next(&mut BytesMut::from(&b"LQ\x02"[..])), Err(Malformed));
-        assert_eq!(next(&mut BytesMut::from(&b"GET /"[..])), Err(Malformed));
-        assert!(part::<Vec<u32>>(2, 1, Value::Null).unwrap_err().contains("version 2"));
-        assert!(part::<Vec<u32>>(1, 1, Value::Null).is_err());
-        assert_eq!(part::<Vec<u32>>(1, 2, serde_json::json!([1])), Ok(vec![1]));
+        assert!(matches!(decode(&mut text), Ok(Some(Decoded::Declined(_)))));
+        let asks = Message::TakeoverRequest { pid: 3, build: String::new() };
+        assert_eq!(decode(&mut text), Ok(Some(Decoded::Message(asks))));
+        assert_eq!(decode(&mut BytesMut::from(&b"LQ\x02"[..])), Err(Malformed));
+        assert_eq!(decode(&mut BytesMut::from(&b"GET /"[..])), Err(Malformed));
+        assert!(decode_part::<Vec<u32>>(2, 1, Value::Null).unwrap_err().contains("version 2"));
+        assert!(decode_part::<Vec<u32>>(1, 1, Value::Null).is_err());
+        assert_eq!(decode_part::<Vec<u32>>(1, 2, serde_json::json!([1])), Ok(vec![1]));
     }
 }
--- a/crates/handover/src/resource_split.rs
+++ b/crates/handover/src/resource_split.rs
@@ -25,34 +25,34 @@
 
 /// How a process stands to the one before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Above {
+pub enum PredecessorState {
     /// Not known yet, or told to wait: it uses nothing.
-    Asking,
+    Unknown,
     /// There may be one that does not answer.
-    Untied,
+    Unresponsive,
     /// It is alive and grants so much.
-    Tied(u32),
+    Granting(u32),
     /// There is none.
-    Nobody,
+    Absent,
 }
 
 /// What happens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
     /// No process was there before, or none is left.
-    Alone,
+    NoPredecessor,
     /// A process is there, and does not answer or can't be understood, or no longer.
-    Unanswered,
+    PredecessorUnresponsive,
     /// The elder has taken this one for its heir.
-    Tied,
+    PredecessorAccepted,
     /// The elder grants so much in all.
     Granted(u32),
     /// An heir asks to be taken.
-    HeirAsks,
+    SuccessorRequests,
     /// The heir is dead.
-    HeirDied,
+    SuccessorDied,
     /// What this process holds at the moment.
-    Holds(u32),
+    InUse(u32),
     /// This process is to stop.
     Stop,
 }
@@ -61,88 +61,97 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Take the heir that asks, and tell it what there is to tell.
-    Take,
+    AcceptSuccessor,
     /// Tell the heir that asks to wait and ask again.
-    Wait,
+    DeferSuccessor,
     /// Tell the heir what it may use in all.
     Grant(u32),
 }
 
 /// A process's part.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Tie {
-    above: Above,
+pub struct ResourceSplit {
+    above: PredecessorState,
     /// What the heir was granted; none without one.
     given: Option<u32>,
     holds: u32,
     stopping: bool,
 }
 
-impl Default for Tie {
+impl Default for ResourceSplit {
     fn default() -> Self {
-        Tie::new()
+        ResourceSplit::new()
     }
 }
 
-impl Tie {
+impl ResourceSplit {
     /// Of a process that has just started.
-    pub fn new() -> Tie {
-        Tie { above: Above::Asking, given: None, holds: 0, stopping: false }
+    pub fn new() -> ResourceSplit {
+        ResourceSplit { above: PredecessorState::Unknown, given: None, holds: 0, stopping: false }
     }
 
     /// How it stands to the one before it.
-    pub fn above(&self) -> Above {
+    pub fn predecessor(&self) -> PredecessorState {
         self.above
     }
 
     /// Whether it has an heir.
-    pub fn has_heir(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.given.is_some()
     }
 
     /// Whether another process of the node is alive and known to this one: each of the two may take who comes.
-    pub fn in_company(&self) -> bool {
-        self.has_heir() || matches!(self.above, Above::Tied(_))
+    pub fn has_live_peer(&self) -> bool {
+        self.has_successor() || matches!(self.above, PredecessorState::Granting(_))
     }
 
     /// What this process may use, in thousandths. It may hold more for a while after its limit has fallen.
     pub fn limit(&self) -> u32 {
         match (self.above, self.given) {
-            (Above::Asking, _) => 0,
-            (Above::Untied, _) => RESERVE,
-            (Above::Tied(granted), _) => granted,
-            (Above::Nobody, None) => DIVIDED,
-            (Above::Nobody, Some(given)) if self.stopping => DIVIDED - given,
-            (Above::Nobody, Some(given)) => (DIVIDED - given).min(HALF),
+            (PredecessorState::Unknown, _) => 0,
+            (PredecessorState::Unresponsive, _) => RESERVE,
+            (PredecessorState::Granting(granted), _) => granted,
+            (PredecessorState::Absent, None) => DIVIDED,
+            (PredecessorState::Absent, Some(given)) if self.stopping => DIVIDED - given,
+            (PredecessorState::Absent, Some(given)) => (DIVIDED - given).min(HALF),
         }
     }
 
     /// Tells what happens; tells what is to be done.
-    pub fn on(&mut self, event: Event) -> Vec<Action> {
+    pub fn on_event(&mut self, event: Event) -> Vec<Action> {
         match event {
-            Event::Alone => self.above = Above::Nobody,
+            Event::NoPredecessor => self.above = PredecessorState::Absent,
             // What was granted stays so, if it is more than what is kept for this.
-            Event::Unanswered if !matches!(self.above, Above::Tied(RESERVE..) | Above::Nobody) => {
-                self.above = Above::Untied;
+            Event::PredecessorUnresponsive
+                if !matches!(
+                    self.above,
+                    PredecessorState::Granting(RESERVE..) | PredecessorState::Absent
+                ) =>
+            {
+                self.above = PredecessorState::Unresponsive;
+            }
+            Event::PredecessorAccepted
+                if matches!(self.above, PredecessorState::Unknown | PredecessorState::Unresponsive) =>
+            {
+                self.above = PredecessorState::Granting(0)
             }
-            Event::Tied if matches!(self.above, Above::Asking | Above::Untied) => self.above = Above::Tied(0),
             // What was granted before a later grant came is part of that.
             Event::Granted(all) => {
-                if let Above::Tied(granted) = &mut self.above {
+                if let PredecessorState::Granting(granted) = &mut self.above {
                     *granted = (*granted).max(all.min(DIVIDED));
                 }
             }
-            Event::HeirAsks => {
-                if self.above != Above::Nobody || self.given.is_some() {
-                    return vec![Action::Wait];
+            Event::SuccessorRequests => {
+                if self.above != PredecessorState::Absent || self.given.is_some() {
+                    return vec![Action::DeferSuccessor];
                 }
                 self.given = Some(0);
-                return std::iter::once(Action::Take).chain(self.grant()).collect();
+                return std::iter::once(Action::AcceptSuccessor).chain(self.grant()).collect();
             }
-            Event::HeirDied => self.given = None,
-            Event::Holds(holds) => self.holds = holds.min(WHOLE),
+            Event::SuccessorDied => self.given = None,
+            Event::InUse(holds) => self.holds = holds.min(WHOLE),
             Event::Stop => self.stopping = true,
-            Event::Unanswered | Event::Tied => {}
+            Event::PredecessorUnresponsive | Event::PredecessorAccepted => {}
         }
         self.grant().into_iter().collect()
     }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,7 +1,9 @@
 //! All orders of starts, words, deaths and stops of three processes, explored by a model checker: the parts never come
 //! to more than the whole, and whoever is left alone comes to have all.
 
-use lilacquay_handover::resource_split::{Above, Action, DIVIDED, Event, HALF, RESERVE, Tie, WHOLE};
+use lilacquay_handover::resource_split::{
+    Action, DIVIDED, Event, HALF, PredecessorState, RESERVE, ResourceSplit, WHOLE,
+};
 use stateright::{Checker, Model, Property};
 
 const MOST: usize = 3;
@@ -11,7 +13,7 @@
     alive: bool,
     /// It neither reads nor writes (SIGSTOP), and holds what it holds.
     hangs: bool,
-    tie: Tie,
+    tie: ResourceSplit,
     holds: u32,
     /// Who is before it, as it believes, and behind it.
     elder: Option<usize>,
@@ -62,7 +64,7 @@
     }
 
     fn tell(&mut self, at: usize, event: Event) {
-        let actions = self.processes[at].tie.on(event);
+        let actions = self.processes[at].tie.on_event(event);
         for action in actions {
             let (to, word) = match (action, self.processes[at].heir) {
                 (Action::Grant(all), Some(heir)) => (heir, Word::Grant(all)),
@@ -76,14 +78,14 @@
         let word = self.processes[at].inbox.remove(0);
         match word {
             Word::Asks(heir) => {
-                let actions = self.processes[at].tie.on(Event::HeirAsks);
+                let actions = self.processes[at].tie.on_event(Event::SuccessorRequests);
                 for action in actions {
                     let word = match action {
-                        Action::Take => {
+                        Action::AcceptSuccessor => {
                             self.processes[at].heir = Some(heir);
                             Word::Taken(at)
                         }
-                        Action::Wait => Word::Wait,
+                        Action::DeferSuccessor => Word::Wait,
                         Action::Grant(all) => Word::Grant(all),
                     };
                     self.processes[heir].inbox.push(word);
@@ -92,7 +94,7 @@
             Word::Wait => {}
             Word::Taken(elder) => {
                 self.processes[at].elder = Some(elder);
-                self.tell(at, Event::Tied);
+                self.tell(at, Event::PredecessorAccepted);
             }
             Word::Grant(all) => self.tell(at, Event::Granted(all)),
         }
@@ -110,7 +112,8 @@
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         // The platform starts another once the one before is in service, and one at a time.
         let ready = world.processes.iter().all(|p| !p.alive || p.tie.limit() > 0);
-        let untied = world.processes.iter().any(|p| p.alive && p.tie.above() == Above::Untied);
+        let untied =
+            world.processes.iter().any(|p| p.alive && p.tie.predecessor() == PredecessorState::Unresponsive);
         if world.processes.len() < MOST && ready && !untied {
             steps.push(Step::Start);
         }
@@ -119,10 +122,12 @@
             if process.hangs {
                 continue;
             }
-            match process.tie.above() {
-                Above::Asking if process.inbox.is_empty() => steps.extend([Step::Ask(n), Step::GiveUp(n)]),
-                Above::Asking | Above::Tied(_) => steps.push(Step::GiveUp(n)), // in the midst of what is told
-                Above::Untied | Above::Nobody => {}
+            match process.tie.predecessor() {
+                PredecessorState::Unknown if process.inbox.is_empty() => {
+                    steps.extend([Step::Ask(n), Step::GiveUp(n)])
+                }
+                PredecessorState::Unknown | PredecessorState::Granting(_) => steps.push(Step::GiveUp(n)), // in the midst of what is told
+                PredecessorState::Unresponsive | PredecessorState::Absent => {}
             }
             if !process.inbox.is_empty() {
                 steps.push(Step::Read(n));
@@ -161,22 +166,22 @@
                 // Nobody listens, which is no proof: the lock that all who live hold is.
                 _ if world.others_live(n) => return None,
                 _ => {
-                    world.tell(n, Event::Alone);
+                    world.tell(n, Event::NoPredecessor);
                     world.listens = Some(n);
                 }
             },
             // Whoever listens says nothing, or to wait, for too long. One at a time: the platform starts no second.
             Step::GiveUp(n) => {
-                let untied = |p: &Process| p.alive && p.tie.above() == Above::Untied;
+                let untied = |p: &Process| p.alive && p.tie.predecessor() == PredecessorState::Unresponsive;
                 if !world.others_live(n) || world.processes.iter().any(untied) {
                     return None;
                 }
-                world.tell(n, Event::Unanswered);
+                world.tell(n, Event::PredecessorUnresponsive);
             }
             Step::Read(n) => world.read(n),
             Step::Hold(n, holds) => {
                 world.processes[n].holds = holds;
-                world.tell(n, Event::Holds(holds));
+                world.tell(n, Event::InUse(holds));
             }
             Step::Stop(n) => {
                 world.processes[n].stopping = true;
@@ -190,12 +195,12 @@
             }
             Step::FindElder(n) => {
                 world.processes[n].elder = None;
-                world.tell(n, Event::Alone);
+                world.tell(n, Event::NoPredecessor);
                 world.listens = Some(n); // the place is of the one that has no elder
             }
             Step::FindHeir(n) => {
                 world.processes[n].heir = None;
-                world.tell(n, Event::HeirDied);
+                world.tell(n, Event::SuccessorDied);
             }
         }
         Some(world)
@@ -210,7 +215,9 @@
             Property::<Self>::always("one that is alone and knows it has all", |_, world| {
                 let mut alive = world.processes.iter().filter(|p| p.alive);
                 match (alive.next(), alive.next()) {
-                    (Some(one), None) if one.tie.above() == Above::Nobody && !one.tie.has_heir() => {
+                    (Some(one), None)
+                        if one.tie.predecessor() == PredecessorState::Absent && !one.tie.has_successor() =>
+                    {
                         one.tie.limit() == DIVIDED
                     }
                     _ => true,
--- a/crates/inherit/src/lib.rs
+++ b/crates/inherit/src/lib.rs
@@ -14,50 +14,50 @@
 
 /// Why a passed descriptor can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PassedError {
+pub enum InheritedSocketError {
     /// The text names no descriptor beyond the standard streams.
-    Number(String),
+    InvalidNumber(String),
     /// No descriptor of this number is open.
-    Closed(RawFd),
+    NotOpen(RawFd),
     /// It is not a TCP socket that listens on IPv4 or IPv6.
     NotListening(RawFd, &'static str),
     /// It listens somewhere else than the node is told to.
-    Elsewhere(SocketAddr, SocketAddr),
+    AddressMismatch(SocketAddr, SocketAddr),
     /// The system refused something else.
-    System(RawFd, String),
+    Os(RawFd, String),
 }
 
-impl fmt::Display for PassedError {
+impl fmt::Display for InheritedSocketError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PassedError::Number(text) => {
+            InheritedSocketError::InvalidNumber(text) => {
                 write!(f, "{text:?} names no descriptor; write its number, 3 or more")
             }
-            PassedError::Closed(fd) => {
+            InheritedSocketError::NotOpen(fd) => {
                 write!(f, "descriptor {fd} is not open; have the platform pass it, or unset the variable")
             }
-            PassedError::NotListening(fd, what) => {
+            InheritedSocketError::NotListening(fd, what) => {
                 write!(f, "descriptor {fd} is {what}; pass a TCP socket that listens")
             }
-            PassedError::Elsewhere(is, told) => {
+            InheritedSocketError::AddressMismatch(is, told) => {
                 write!(f, "the passed socket listens on {is}, the node is told {told}; make the two agree")
             }
-            PassedError::System(fd, what) => {
+            InheritedSocketError::Os(fd, what) => {
                 write!(f, "descriptor {fd} can't be used: {what}; pass a TCP socket that listens")
             }
         }
     }
 }
 
-impl std::error::Error for PassedError {}
+impl std::error::Error for InheritedSocketError {}
 
 /// A descriptor's number in words of a platform.
 ///
 /// # Errors
 /// If it is none, or one of the standard streams.
-pub fn number(text: &str) -> Result<RawFd, PassedError> {
+pub fn parse_descriptor(text: &str) -> Result<RawFd, InheritedSocketError> {
     let fd = text.trim().parse().ok().filter(|&fd: &RawFd| fd > 2);
-    fd.ok_or_else(|| PassedError::Number(text.to_owned()))
+    fd.ok_or_else(|| InheritedSocketError::InvalidNumber(text.to_owned()))
 }
 
 /// The listener behind a passed descriptor: a copy of it, closed when a program is executed, that does not block.
@@ -66,38 +66,38 @@
 /// # Errors
 /// If the descriptor is closed, is not a TCP socket that listens, or listens elsewhere than `told`. A `told` port
 /// of 0, or an unspecified address on either side, agrees with any.
-pub fn listener(fd: RawFd, told: SocketAddr) -> Result<TcpListener, PassedError> {
+pub fn inherited_listener(fd: RawFd, told: SocketAddr) -> Result<TcpListener, InheritedSocketError> {
     let socket = Socket::from(copy(fd)?);
     let system = |error: std::io::Error| match error.raw_os_error() {
-        Some(88) => PassedError::NotListening(fd, "no socket"), // ENOTSOCK
-        _ => PassedError::System(fd, error.to_string()),
+        Some(88) => InheritedSocketError::NotListening(fd, "no socket"), // ENOTSOCK
+        _ => InheritedSocketError::Os(fd, error.to_string()),
     };
     if socket.r#type().map_err(system)? != Type::STREAM {
-        return Err(PassedError::NotListening(fd, "no TCP socket"));
+        return Err(InheritedSocketError::NotListening(fd, "no TCP socket"));
     }
     if !socket.is_listener().map_err(system)? {
-        return Err(PassedError::NotListening(fd, "a socket that does not listen"));
+        return Err(InheritedSocketError::NotListening(fd, "a socket that does not listen"));
     }
     let is = socket.local_addr().map_err(system)?.as_socket();
-    let is = is.ok_or(PassedError::NotListening(fd, "no TCP socket"))?;
+    let is = is.ok_or(InheritedSocketError::NotListening(fd, "no TCP socket"))?;
     let any = is.ip().is_unspecified() || told.ip().is_unspecified();
     if told.port() != 0 && told.port() != is.port() || !any && told.ip() != is.ip() {
-        return Err(PassedError::Elsewhere(is, told));
+        return Err(InheritedSocketError::AddressMismatch(is, told));
     }
     socket.set_nonblocking(true).map_err(system)?;
     Ok(socket.into())
 }
 
 /// A copy of the descriptor, which is ours.
-fn copy(fd: RawFd) -> Result<OwnedFd, PassedError> {
+fn copy(fd: RawFd) -> Result<OwnedFd, InheritedSocketError> {
     if fd < 3 {
-        return Err(PassedError::Number(fd.to_string()));
+        return Err(InheritedSocketError::InvalidNumber(fd.to_string()));
     }
     // SAFETY: the number is used for one call alone, fcntl(F_DUPFD_CLOEXEC), which closes nothing and answers EBADF
     // if no such descriptor is open. Nothing in this process closes the number between, as nothing owns it.
     #[allow(unsafe_code)]
     let passed = unsafe { BorrowedFd::borrow_raw(fd) };
-    rustix::io::fcntl_dupfd_cloexec(passed, 3).map_err(|_| PassedError::Closed(fd))
+    rustix::io::fcntl_dupfd_cloexec(passed, 3).map_err(|_| InheritedSocketError::NotOpen(fd))
 }
 
 #[cfg(test)]
@@ -116,13 +116,16 @@
     fn a_listener_is_copied_and_both_take_from_one_queue() {
         let passed = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = passed.local_addr().unwrap();
-        let copy = listener(passed.as_raw_fd(), at).unwrap();
+        let copy = inherited_listener(passed.as_raw_fd(), at).unwrap();
         assert_eq!(copy.local_addr().unwrap(), at);
         let _client = std::net::TcpStream::connect(at).unwrap();
         assert!(copy.accept().is_ok());
         drop(copy);
         assert_eq!(passed.local_addr().unwrap(), at, "the passed one stays open");
-        assert!(listener(passed.as_raw_fd(), told("127.0.0.1:0")).is_ok(), "a port that is not told");
+        assert!(
+            inherited_listener(passed.as_raw_fd(), told("127.0.0.1:0")).is_ok(),
+            "a port that is not told"
+        );
     }
 
     #[test]
@@ -132,18 +135,27 @@
         let passed = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = passed.local_addr().unwrap();
         let client = std::net::TcpStream::connect(at).unwrap();
-        let why = |fd, at| listener(fd, at).unwrap_err();
-        assert_eq!(why(file.as_raw_fd(), at), PassedError::NotListening(file.as_raw_fd(), "no socket"));
-        assert_eq!(why(udp.as_raw_fd(), at), PassedError::NotListening(udp.as_raw_fd(), "no TCP socket"));
+        let why = |fd, at| inherited_listener(fd, at).unwrap_err();
+        assert_eq!(
+            why(file.as_raw_fd(), at),
+            InheritedSocketError::NotListening(file.as_raw_fd(), "no socket")
+        );
+        assert_eq!(
+            why(udp.as_raw_fd(), at),
+            InheritedSocketError::NotListening(udp.as_raw_fd(), "no TCP socket")
+        );
         let what = "a socket that does not listen";
-        assert_eq!(why(client.as_raw_fd(), at), PassedError::NotListening(client.as_raw_fd(), what));
-        assert_eq!(why(9999, at), PassedError::Closed(9999));
-        assert!(matches!(why(passed.as_raw_fd(), told("127.0.0.2:1")), PassedError::Elsewhere(..)));
+        assert_eq!(why(client.as_raw_fd(), at), InheritedSocketError::NotListening(client.as_raw_fd(), what));
+        assert_eq!(why(9999, at), InheritedSocketError::NotOpen(9999));
+        assert!(matches!(
+            why(passed.as_raw_fd(), told("127.0.0.2:1")),
+            InheritedSocketError::AddressMismatch(..)
+        ));
         for text in ["", "x", "-1", "0", "2", "3.0"] {
-            assert_eq!(number(text), Err(PassedError::Number(text.into())));
+            assert_eq!(parse_descriptor(text), Err(InheritedSocketError::InvalidNumber(text.into())));
         }
-        assert_eq!(number("3"), Ok(3));
-        for error in [why(9999, at), why(udp.as_raw_fd(), at), number("x").unwrap_err()] {
+        assert_eq!(parse_descriptor("3"), Ok(3));
+        for error in [why(9999, at), why(udp.as_raw_fd(), at), parse_descriptor("x").unwrap_err()] {
             let line = error.to_string();
             assert!(line.contains(';') && !line.contains('\n'), "{line}");
         }
--- a/crates/lilacquay/src/quota.rs
+++ b/crates/lilacquay/src/quota.rs
@@ -319,11 +319,11 @@
         (place.max(shares[n].name.place), format!("share[{n}].{name}"))
     };
     match error {
-        PlanError::Ceiling(share, measure) => {
+        PlanError::CeilingBelowGuarantee(share, measure) => {
             let (place, field) = at(share, measure);
             mistakes.at(place, &field, "a ceiling under the guarantee", "raise the one or lower the other");
         }
-        PlanError::Children(share, measure) => {
+        PlanError::ChildGuaranteesExceedParent(share, measure) => {
             let (place, field) = at(share, measure);
             let what = "the guarantees of its children are together over its own";
             mistakes.at(
@@ -333,13 +333,16 @@
                 "lower theirs, or raise its guarantee (of the first share: its ceiling)",
             );
         }
-        PlanError::Deep(share) => {
+        PlanError::TooDeep(share) => {
             let name = &shares[order[share].0].name;
-            let mend = format!("put no more than {} above one another", lilacquay_quota::DEPTH);
+            let mend = format!("put no more than {} above one another", lilacquay_quota::MAX_DEPTH);
             mistakes.at(name.place, &name.field, "too deep a tree", mend);
         }
         // Reading the file makes no such plan, or has told why.
-        PlanError::Root(_) | PlanError::Order(_) | PlanError::Measures(_) | PlanError::Window(_) => {}
+        PlanError::RootPosition(_)
+        | PlanError::ParentOrder(_)
+        | PlanError::BoundsCount(_)
+        | PlanError::WindowTooShort(_) => {}
     }
 }
 
--- a/crates/lilacquay/tests/handover.rs
+++ b/crates/lilacquay/tests/handover.rs
@@ -352,7 +352,7 @@
         let elder = std::thread::spawn(move || {
             let (mut heir, _) = place.accept().unwrap();
             let mut text = bytes::BytesMut::new();
-            messages::put(&messages::Message::Taken { pid: 0, build: "another".into() }, &mut text);
+            messages::encode(&messages::Message::Accepted { pid: 0, build: "another".into() }, &mut text);
             heir.write_all(&[&text[..], rest].concat()).unwrap();
             heir // open, unless there is nothing more to say
         });
--- a/crates/lilacquay/tests/members.rs
+++ b/crates/lilacquay/tests/members.rs
@@ -11,7 +11,7 @@
 use lilacquay_fleet::etcd::{Etcd, EtcdFaults, EtcdPlan};
 use lilacquay_fleet::record::Log;
 use lilacquay_members::etcd::layout;
-use lilacquay_members::etcd::list_cache::Kept;
+use lilacquay_members::etcd::list_cache::CachedList;
 
 struct Site {
     etcd: Etcd,
@@ -90,10 +90,11 @@
     while std::net::TcpStream::connect(site.etcd.endpoints[0]).is_ok() {}
     let (good, text) = site.run(&[]);
     assert!(!good && text.contains("no endpoint can be reached") && text.contains("refused"), "{text}");
-    let entry = layout::entry("box-1", br#"{"addr":"10.0.0.7:6379","state":"draining"}"#).unwrap();
+    let entry = layout::parse_value("box-1", br#"{"addr":"10.0.0.7:6379","state":"draining"}"#).unwrap();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let as_of = now.as_micros() as u64 - 90_000_000;
-    let kept = Kept { prefix: "/m/".into(), cluster: 1, revision: 812, as_of, servers: vec![(entry, 7)] };
+    let kept =
+        CachedList { prefix: "/m/".into(), cluster: 1, revision: 812, as_of, servers: vec![(entry, 7)] };
     kept.write(site.folder.path()).unwrap();
     let (good, text) = site.run(&["list"]);
     assert!(good && text.starts_with("revision 812, 9") && text.contains("this is the kept list"), "{text}");
--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -40,7 +40,7 @@
 /// An answer of discovery.
 #[derive(Deserialize, Default, Debug)]
 #[serde(from = "Whole")]
-pub struct Told {
+pub struct DiscoveryResponse {
     /// A watch goes on from here.
     pub version: u64,
     /// What it tells.
@@ -93,8 +93,8 @@
     Deleted,
 }
 
-impl From<Whole> for Told {
-    fn from(told: Whole) -> Told {
+impl From<Whole> for DiscoveryResponse {
+    fn from(told: Whole) -> DiscoveryResponse {
         let listed = told.servers.len();
         let readable = told.servers.into_iter().filter_map(|one| match one {
             Listed::Server(server) => Some(Entry::from(server)),
@@ -102,7 +102,7 @@
         });
         let servers: Vec<Entry> = readable.collect();
         let skipped = listed - servers.len();
-        Told { version: told.version, list: List { full: told.full, servers }, skipped }
+        DiscoveryResponse { version: told.version, list: List { full: told.full, servers }, skipped }
     }
 }
 
@@ -119,7 +119,7 @@
 }
 
 /// Follows the list.
-pub struct Watch {
+pub struct DiscoveryWatcher {
     to: Members,
     after: u64,
     connection: Option<Client>,
@@ -143,13 +143,13 @@
 
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
-impl Watch {
+impl DiscoveryWatcher {
     /// A watch of one of so many nodes, which may change, that knows a list of this version, if it knows one.
     pub fn new(to: Members, after: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
         let held = to.asked().is_some();
         let whole = after.is_none();
         let (asked, after) = (held, after.unwrap_or(0));
-        Watch { to, after, nodes, asked, connection: None, whole, held, complained: false }
+        DiscoveryWatcher { to, after, nodes, asked, connection: None, whole, held, complained: false }
     }
 
     /// How long it waits for news: so that all nodes together ask no more than one service can answer.
@@ -215,7 +215,7 @@
         }
     }
 
-    async fn fetch(&mut self, at: SocketAddr, path: &str) -> Result<Told, Error> {
+    async fn fetch(&mut self, at: SocketAddr, path: &str) -> Result<DiscoveryResponse, Error> {
         let mut client = match self.connection.take().filter(|client| !client.sender.is_closed()) {
             Some(client) => client,
             None => timeout(ANSWER, connect(at)).await??,
@@ -228,7 +228,7 @@
         if status != StatusCode::OK {
             return Err(format!("answered {status}").into());
         }
-        let told: Told = serde_json::from_slice(&body)?;
+        let told: DiscoveryResponse = serde_json::from_slice(&body)?;
         if told.list.full && told.list.servers.is_empty() && told.skipped > 0 {
             return Err("no entry of the list can be read".into());
         }
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -16,7 +16,7 @@
 use lilacquay_etcd::{Fault, end_of};
 
 use super::layout;
-use super::list_cache::Kept;
+use super::list_cache::CachedList;
 
 /// The number of a call: what comes of an earlier one is late and changes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -271,7 +271,7 @@
 
 impl Follower {
     /// A follower that knows this list from before, if it is of the same keys.
-    pub fn new(options: Options, kept: Option<Kept>) -> Self {
+    pub fn new(options: Options, kept: Option<CachedList>) -> Self {
         let Options { prefix, endpoints, seed, pace, keeps } = options;
         let held = kept.filter(|kept| kept.prefix == prefix).map(Held::from);
         let (endpoints, page) = (endpoints.max(1), pace.page);
@@ -316,10 +316,10 @@
     }
 
     /// The list held, as it is kept.
-    pub fn kept(&self) -> Option<Kept> {
+    pub fn kept(&self) -> Option<CachedList> {
         let held = self.held.as_ref()?;
         let servers = held.items.values().filter_map(|item| Some((item.entry.clone()?, item.revision)));
-        Some(Kept {
+        Some(CachedList {
             prefix: self.prefix.clone(),
             cluster: held.cluster,
             revision: held.revision,
@@ -795,9 +795,9 @@
     }
 }
 
-impl From<Kept> for Held {
-    fn from(kept: Kept) -> Self {
-        let Kept { cluster, revision, as_of, servers, .. } = kept;
+impl From<CachedList> for Held {
+    fn from(kept: CachedList) -> Self {
+        let CachedList { cluster, revision, as_of, servers, .. } = kept;
         let item = |(entry, revision): (Entry, i64)| {
             (entry.id.clone(), Item { revision, entry: Some(entry), malformed: None })
         };
@@ -826,7 +826,7 @@
     out: &mut Vec<Action>,
 ) -> Option<(String, Item)> {
     let id = read_id(prefix, kv, complained, out)?;
-    let read = layout::entry(&id, &kv.value).map_err(|malformed| words(&malformed.0));
+    let read = layout::parse_value(&id, &kv.value).map_err(|malformed| words(&malformed.0));
     let (entry, malformed) = match read {
         Ok(entry) => (Some(entry), None),
         Err(why) => (None, Some(why)),
@@ -836,7 +836,7 @@
 
 fn read_id(prefix: &str, kv: &KeyValue, complained: &mut bool, out: &mut Vec<Action>) -> Option<String> {
     let rest = kv.key.strip_prefix(prefix.as_bytes())?;
-    match layout::id(rest) {
+    match layout::parse_id(rest) {
         Ok(id) => Some(id.to_owned()),
         Err(malformed) => {
             if !std::mem::replace(complained, true) {
--- a/crates/members/src/etcd/follower_tests.rs
+++ b/crates/members/src/etcd/follower_tests.rs
@@ -63,7 +63,7 @@
 }
 
 impl Rig {
-    fn new(endpoints: usize, kept: Option<Kept>) -> Rig {
+    fn new(endpoints: usize, kept: Option<CachedList>) -> Rig {
         let follower = Follower::new(options(endpoints), kept);
         let (lists, notes) = Default::default();
         let call = Call(0);
@@ -377,7 +377,7 @@
 fn a_kept_list_serves_at_once_with_its_age_and_is_caught_up() {
     let kept = Rig::watching().follower.kept().unwrap();
     assert_eq!((kept.revision, kept.servers.len(), kept.as_of), (10, 3, 1000 * S));
-    let older = Kept { as_of: kept.as_of - 60 * S, ..kept.clone() };
+    let older = CachedList { as_of: kept.as_of - 60 * S, ..kept.clone() };
     let mut rig = Rig::new(2, Some(older.clone()));
     assert_eq!(rig.notes[0], Note::Kept(10, 3, 60 * S));
     assert_eq!(rig.told()[0].1.len(), 4);
@@ -398,7 +398,7 @@
         [(30, list(&["box-2 2 Draining", "box-3 3 Deleted"]))],
         "no more than has changed"
     );
-    let of_others = Kept { prefix: "/other/".into(), ..kept };
+    let of_others = CachedList { prefix: "/other/".into(), ..kept };
     assert!(Rig::new(2, Some(of_others)).told().is_empty());
 }
 
--- a/crates/members/src/etcd/layout.rs
+++ b/crates/members/src/etcd/layout.rs
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn id(bytes: &[u8]) -> Result<&str, Malformed> {
+pub fn parse_id(bytes: &[u8]) -> Result<&str, Malformed> {
     let text = std::str::from_utf8(bytes).map_err(|_| Malformed("the id is no UTF-8".into()))?;
     let what = match text {
         "" => "the id is empty",
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 /// What is wrong with it, by field.
-pub fn entry(id: &str, bytes: &[u8]) -> Result<Entry, Malformed> {
+pub fn parse_value(id: &str, bytes: &[u8]) -> Result<Entry, Malformed> {
     if bytes.len() > LONGEST_VALUE {
         return Err(Malformed(format!("the value has {} bytes; {LONGEST_VALUE} are the most", bytes.len())));
     }
@@ -102,7 +102,7 @@
 }
 
 /// Writes a value. A server that is gone has none; it is written as draining.
-pub fn value(entry: &Entry) -> Vec<u8> {
+pub fn encode_value(entry: &Entry) -> Vec<u8> {
     let Entry { addr, cell, weight, started_ms, .. } = *entry;
     let (zone, kind) = (entry.zone.clone(), entry.kind.clone());
     let state = match entry.state {
@@ -121,12 +121,12 @@
 
     #[test]
     fn a_value_read_and_written_is_the_same() {
-        let read = entry("box-1", GOOD.as_bytes()).unwrap();
+        let read = parse_value("box-1", GOOD.as_bytes()).unwrap();
         assert_eq!((read.state, read.weight, read.cell), (State::Draining, Some(2.0), 3));
-        assert_eq!(entry("box-1", &value(&read)).unwrap(), read);
-        let short = entry("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
+        assert_eq!(parse_value("box-1", &encode_value(&read)).unwrap(), read);
+        let short = parse_value("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
         assert_eq!((short.state, short.weight, short.started_ms), (State::Serving, None, 0.0));
-        assert_eq!(entry("b", &value(&short)).unwrap(), short);
+        assert_eq!(parse_value("b", &encode_value(&short)).unwrap(), short);
     }
 
     #[test]
@@ -143,16 +143,16 @@
             (r#"{"addr":"1.1.1.1:1","state":"serving","started_ms":1e300}"#, "started_ms: must be"),
         ];
         for (text, told) in cases {
-            let what = entry("b", text.as_bytes()).unwrap_err().to_string();
+            let what = parse_value("b", text.as_bytes()).unwrap_err().to_string();
             assert!(what.contains(told), "{text}: {what}");
         }
         let long = format!(r#"{{"addr":"1.1.1.1:1","state":"serving","zone":"{}"}}"#, "z".repeat(101));
-        assert!(entry("b", long.as_bytes()).unwrap_err().0.starts_with("zone, kind"));
-        assert!(entry("b", &[b' '; LONGEST_VALUE + 1]).unwrap_err().0.contains("4097 bytes"));
+        assert!(parse_value("b", long.as_bytes()).unwrap_err().0.starts_with("zone, kind"));
+        assert!(parse_value("b", &[b' '; LONGEST_VALUE + 1]).unwrap_err().0.contains("4097 bytes"));
         for bad in [&b""[..], b"a b", b"a/b", b"\xff", b"a\n", &[b'x'; 251]] {
-            assert!(id(bad).is_err(), "{bad:?}");
+            assert!(parse_id(bad).is_err(), "{bad:?}");
         }
-        assert_eq!(id(b"box-1"), Ok("box-1"));
+        assert_eq!(parse_id(b"box-1"), Ok("box-1"));
     }
 
     #[test]
@@ -168,10 +168,10 @@
                     _ => bytes.insert(at, rng.u8(..)),
                 }
             }
-            if let Ok(read) = entry("b", &bytes) {
-                assert_eq!(entry("b", &value(&read)).unwrap(), read);
+            if let Ok(read) = parse_value("b", &bytes) {
+                assert_eq!(parse_value("b", &encode_value(&read)).unwrap(), read);
             }
-            let _ = id(&bytes);
+            let _ = parse_id(&bytes);
         }
     }
 }
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -20,7 +20,7 @@
 
 /// A list as it was followed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kept {
+pub struct CachedList {
     /// The keys' prefix.
     pub prefix: String,
     /// The cluster that told it; its revisions mean nothing elsewhere.
@@ -49,7 +49,7 @@
     value: Box<RawValue>,
 }
 
-impl Kept {
+impl CachedList {
     /// Writes it to a folder in place of what was there. A break at any moment leaves the old one or the new one.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
 
     fn body(&self) -> Vec<u8> {
         let line = |(entry, revision): &(Entry, i64)| {
-            let value = String::from_utf8(layout::value(entry)).expect("JSON is UTF-8");
+            let value = String::from_utf8(layout::encode_value(entry)).expect("JSON is UTF-8");
             let value = RawValue::from_string(value).expect("it is JSON");
             Line { id: entry.id.clone(), revision: *revision, value }
         };
@@ -81,14 +81,14 @@
     ///
     /// # Errors
     /// The system's, or that the file is not whole.
-    pub fn read(folder: &Path) -> io::Result<Option<Kept>> {
+    pub fn read(folder: &Path) -> io::Result<Option<CachedList>> {
         let file = folder.join(NAME);
         let bytes = match fs::read(&file) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             other => other?,
         };
         let wrong = |what| io::Error::new(io::ErrorKind::InvalidData, format!("{}: {what}", file.display()));
-        Kept::parse(&bytes).map(Some).map_err(wrong)
+        CachedList::parse(&bytes).map(Some).map_err(wrong)
     }
 
     /// Reads it for the node that writes it; a file that is not whole is set aside as `members.bad`, so that the
@@ -96,15 +96,15 @@
     ///
     /// # Errors
     /// As [`Kept::read`].
-    pub fn take(folder: &Path) -> io::Result<Option<Kept>> {
-        Kept::read(folder).inspect_err(|error| {
+    pub fn read_or_quarantine(folder: &Path) -> io::Result<Option<CachedList>> {
+        CachedList::read(folder).inspect_err(|error| {
             if error.kind() == io::ErrorKind::InvalidData {
                 let _ = fs::rename(folder.join(NAME), folder.join(format!("{NAME}.bad"))); // left, if it must be
             }
         })
     }
 
-    fn parse(bytes: &[u8]) -> Result<Kept, String> {
+    fn parse(bytes: &[u8]) -> Result<CachedList, String> {
         let end = bytes.iter().position(|b| *b == b'\n').ok_or("no first line")?;
         let (first, body) = (String::from_utf8_lossy(&bytes[..end]), &bytes[end + 1..]);
         let said = first.strip_prefix(WORDS).ok_or("not a list that this program keeps")?;
@@ -113,12 +113,12 @@
         }
         let body: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
         let read = |line: Line| {
-            let entry = layout::entry(&line.id, line.value.get().as_bytes());
+            let entry = layout::parse_value(&line.id, line.value.get().as_bytes());
             entry.map(|entry| (entry, line.revision)).map_err(|error| format!("{}: {error}", line.id))
         };
         let servers = body.servers.into_iter().map(read).collect::<Result<_, String>>()?;
         let Body { prefix, cluster, revision, as_of, .. } = body;
-        Ok(Kept { prefix, cluster, revision, as_of, servers })
+        Ok(CachedList { prefix, cluster, revision, as_of, servers })
     }
 }
 
@@ -126,22 +126,28 @@
 mod tests {
     use super::*;
 
-    fn kept(revision: i64) -> Kept {
+    fn kept(revision: i64) -> CachedList {
         let server = |n: i64| {
             let value = format!(r#"{{"addr":"127.0.0.1:{}","state":"serving"}}"#, n + 1);
-            (layout::entry(&format!("box-{n}"), value.as_bytes()).unwrap(), n)
+            (layout::parse_value(&format!("box-{n}"), value.as_bytes()).unwrap(), n)
         };
         let servers = (0..20).map(server).collect();
-        Kept { prefix: "/m/".into(), cluster: u64::MAX, revision, as_of: 1_700_000_000_000_000, servers }
+        CachedList {
+            prefix: "/m/".into(),
+            cluster: u64::MAX,
+            revision,
+            as_of: 1_700_000_000_000_000,
+            servers,
+        }
     }
 
     #[test]
     fn it_is_read_as_it_was_written_and_the_newest_counts() {
         let folder = tempfile::tempdir().unwrap();
-        assert_eq!(Kept::read(folder.path()).unwrap(), None);
+        assert_eq!(CachedList::read(folder.path()).unwrap(), None);
         for revision in [7, 8] {
             kept(revision).write(folder.path()).unwrap();
-            assert_eq!(Kept::read(folder.path()).unwrap(), Some(kept(revision)));
+            assert_eq!(CachedList::read(folder.path()).unwrap(), Some(kept(revision)));
         }
         assert!(kept(9).write(&folder.path().join("none")).is_err());
     }
@@ -154,7 +160,7 @@
         let whole = fs::read(&file).unwrap();
         for length in (0..whole.len()).step_by(7) {
             fs::write(&file, &whole[..length]).unwrap();
-            assert!(Kept::take(folder.path()).is_err(), "{length} bytes");
+            assert!(CachedList::read_or_quarantine(folder.path()).is_err(), "{length} bytes");
             assert!(!file.exists());
         }
         let mut rng = fastrand::Rng::with_seed(3);
@@ -163,9 +169,9 @@
             let at = rng.usize(..bytes.len());
             bytes[at] ^= 1 << rng.u8(..8);
             fs::write(&file, &bytes).unwrap();
-            assert!(Kept::take(folder.path()).is_err(), "byte {at}");
+            assert!(CachedList::read_or_quarantine(folder.path()).is_err(), "byte {at}");
         }
-        let told = Kept::read(folder.path()).map_err(|error| error.to_string());
+        let told = CachedList::read(folder.path()).map_err(|error| error.to_string());
         assert_eq!(told, Ok(None), "set aside as members.bad");
     }
 
@@ -175,6 +181,6 @@
         kept(7).write(folder.path()).unwrap();
         fs::create_dir(folder.path().join("members.new")).unwrap(); // nothing can be written beside it
         assert!(kept(8).write(folder.path()).is_err());
-        assert_eq!(Kept::read(folder.path()).unwrap(), Some(kept(7)));
+        assert_eq!(CachedList::read(folder.path()).unwrap(), Some(kept(7)));
     }
 }
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -24,13 +24,13 @@
 #[derive(Debug)]
 pub enum RegistryError {
     /// No endpoint could be reached; nothing was sent. Why not, of each.
-    Unreached(Vec<String>),
+    Unreachable(Vec<String>),
     /// A call failed; a write may have been done.
     Call(Error),
     /// No answer came in time; a write may have been done.
-    Late,
+    Timeout,
     /// No such server is listed.
-    Unlisted(String),
+    NotListed(String),
     /// Its value, or an id, can't be read.
     Malformed(String, Malformed),
     /// Others change the server as fast.
@@ -40,12 +40,12 @@
 impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegistryError::Unreached(why) => write!(f, "no endpoint can be reached: {}", why.join("; ")),
+            RegistryError::Unreachable(why) => write!(f, "no endpoint can be reached: {}", why.join("; ")),
             RegistryError::Call(error) => write!(f, "{error}"),
-            RegistryError::Late => {
+            RegistryError::Timeout => {
                 write!(f, "no answer in {} s; look at the list before trying again", CALL.as_secs())
             }
-            RegistryError::Unlisted(id) => write!(f, "no server {id} is listed; `members list` shows all"),
+            RegistryError::NotListed(id) => write!(f, "no server {id} is listed; `members list` shows all"),
             RegistryError::Malformed(id, why) => write!(f, "{id}: {why}; `members put` writes it anew"),
             RegistryError::Contended(id) => write!(f, "{id} changes too fast; try again"),
         }
@@ -62,7 +62,7 @@
 
 /// A server as it is listed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct RegistryEntry {
     /// Its id.
     pub id: String,
     /// What its value says.
@@ -82,7 +82,7 @@
 }
 
 async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, RegistryError> {
-    Ok(timeout(CALL, call).await.map_err(|_| RegistryError::Late)??)
+    Ok(timeout(CALL, call).await.map_err(|_| RegistryError::Timeout)??)
 }
 
 impl Registry {
@@ -101,18 +101,18 @@
                 Err(RegistryError::Call(error)) if error.fault == Fault::Unreached => {
                     why.push(format!("{endpoint}: {error}"));
                 }
-                Err(RegistryError::Late) => why.push(format!("{endpoint}: no answer")),
+                Err(RegistryError::Timeout) => why.push(format!("{endpoint}: no answer")),
                 Err(other) => return Err(other),
             }
         }
-        Err(RegistryError::Unreached(why))
+        Err(RegistryError::Unreachable(why))
     }
 
     /// The whole list with its revision.
     ///
     /// # Errors
     /// As the calls'.
-    pub async fn list(&self) -> Result<(i64, Vec<Listed>), RegistryError> {
+    pub async fn list(&self) -> Result<(i64, Vec<RegistryEntry>), RegistryError> {
         let (mut revision, mut listed) = (0, Vec::new());
         let mut key = self.prefix.clone().into_bytes();
         loop {
@@ -133,16 +133,16 @@
         }
     }
 
-    fn listed(&self, kv: &KeyValue) -> Listed {
+    fn listed(&self, kv: &KeyValue) -> RegistryEntry {
         let rest = kv.key.get(self.prefix.len()..).unwrap_or_default();
-        let id = layout::id(rest).map(str::to_owned);
-        let entry = id.as_ref().map_err(Malformed::clone).and_then(|id| layout::entry(id, &kv.value));
+        let id = layout::parse_id(rest).map(str::to_owned);
+        let entry = id.as_ref().map_err(Malformed::clone).and_then(|id| layout::parse_value(id, &kv.value));
         let id = id.unwrap_or_else(|_| String::from_utf8_lossy(rest).escape_debug().to_string());
-        Listed { id, entry, revision: kv.mod_revision, lease: kv.lease }
+        RegistryEntry { id, entry, revision: kv.mod_revision, lease: kv.lease }
     }
 
     fn key(&self, id: &str) -> Result<Vec<u8>, RegistryError> {
-        layout::id(id.as_bytes()).map_err(|why| RegistryError::Malformed(format!("{id:?}"), why))?;
+        layout::parse_id(id.as_bytes()).map_err(|why| RegistryError::Malformed(format!("{id:?}"), why))?;
         Ok(format!("{}{id}", self.prefix).into_bytes())
     }
 
@@ -151,8 +151,9 @@
     /// # Errors
     /// If the id or the entry is one that nodes would not read, and as the call's.
     pub async fn put(&self, entry: &Entry, lease: i64) -> Result<i64, RegistryError> {
-        let (key, value) = (self.key(&entry.id)?, layout::value(entry));
-        layout::entry(&entry.id, &value).map_err(|why| RegistryError::Malformed(entry.id.clone(), why))?;
+        let (key, value) = (self.key(&entry.id)?, layout::encode_value(entry));
+        layout::parse_value(&entry.id, &value)
+            .map_err(|why| RegistryError::Malformed(entry.id.clone(), why))?;
         let told = in_time(self.client.put(PutRequest { key, value, lease, ignore_lease: false })).await?;
         Ok(told.header.map_or(0, |header| header.revision))
     }
@@ -167,10 +168,10 @@
             let (limit, revision, range_end) = (1, 0, Vec::new());
             let asked = RangeRequest { key: key.clone(), range_end, limit, revision };
             let found = in_time(self.client.range(asked)).await?.kvs.into_iter().next();
-            let kv = found.ok_or_else(|| RegistryError::Unlisted(id.to_owned()))?;
-            let entry = layout::entry(id, &kv.value);
+            let kv = found.ok_or_else(|| RegistryError::NotListed(id.to_owned()))?;
+            let entry = layout::parse_value(id, &kv.value);
             let entry = entry.map_err(|why| RegistryError::Malformed(id.to_owned(), why))?;
-            let value = layout::value(&Entry { state, ..entry });
+            let value = layout::encode_value(&Entry { state, ..entry });
             // Guards against: a change that another made between the reading and the writing.
             let unchanged = Compare {
                 result: CompareResult::Equal.into(),
@@ -197,7 +198,7 @@
         let asked = DeleteRangeRequest { key: self.key(id)?, range_end: Vec::new() };
         let told = in_time(self.client.delete(asked)).await?;
         match told.deleted {
-            0 => Err(RegistryError::Unlisted(id.to_owned())),
+            0 => Err(RegistryError::NotListed(id.to_owned())),
             _ => Ok(told.header.map_or(0, |header| header.revision)),
         }
     }
@@ -206,7 +207,7 @@
     ///
     /// # Errors
     /// As the call's.
-    pub async fn grant(&self, seconds: i64) -> Result<i64, RegistryError> {
+    pub async fn grant_lease(&self, seconds: i64) -> Result<i64, RegistryError> {
         in_time(self.client.grant(seconds)).await
     }
 
@@ -214,7 +215,7 @@
     ///
     /// # Errors
     /// As the call's.
-    pub async fn renew(&self, lease: i64) -> Result<bool, RegistryError> {
+    pub async fn renew_lease(&self, lease: i64) -> Result<bool, RegistryError> {
         Ok(in_time(self.client.renew(lease)).await? > 0)
     }
 
@@ -222,7 +223,7 @@
     ///
     /// # Errors
     /// As the call's.
-    pub async fn revoke(&self, lease: i64) -> Result<(), RegistryError> {
+    pub async fn revoke_lease(&self, lease: i64) -> Result<(), RegistryError> {
         in_time(self.client.revoke(lease)).await
     }
 }
--- a/crates/members/src/etcd/source.rs
+++ b/crates/members/src/etcd/source.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 use super::follower::{Action, Call, Event, Follower, Note, Options};
-use super::list_cache::Kept;
+use super::list_cache::CachedList;
 
 /// Answers that wait to be taken; a stream that tells more waits in turn.
 const QUEUE: usize = 8;
@@ -55,7 +55,7 @@
     ) -> Self {
         let kept = folder.as_ref().and_then(|folder| {
             let _ = std::fs::create_dir_all(folder); // one that can't be had shows when it is written to
-            Kept::take(folder).unwrap_or_else(|error| {
+            CachedList::read_or_quarantine(folder).unwrap_or_else(|error| {
                 warn!(source = "etcd", "the kept list can't be used: {error}");
                 None
             })
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -11,7 +11,7 @@
 use lilacquay_fleet::etcd::Store;
 use lilacquay_fleet::etcd::store::{Change as Write, Refused};
 use lilacquay_members::etcd::follower::{Action, Call, Change, Event, Follower, Options, Pace};
-use lilacquay_members::etcd::list_cache::Kept;
+use lilacquay_members::etcd::list_cache::CachedList;
 
 const PREFIX: &str = "/m/";
 const MS: Micros = 1000;
@@ -52,7 +52,7 @@
     endpoints: Vec<Faults>,
     stream: Option<Stream>,
     follower: Follower,
-    kept: Option<Kept>,
+    kept: Option<CachedList>,
     core: Listed,
     last: Option<(u32, i64)>,
     tells: usize,
@@ -74,7 +74,7 @@
     let all = store.range((b"/m/", b"/m0"), revision, 0).unwrap();
     let read = all.kvs.iter().map(|kv| {
         let id = String::from_utf8(kv.key[PREFIX.len()..].to_vec()).unwrap();
-        let entry = lilacquay_members::etcd::layout::entry(&id, &kv.value).unwrap();
+        let entry = lilacquay_members::etcd::layout::parse_value(&id, &kv.value).unwrap();
         (id, text(&entry))
     });
     read.collect()
--- a/crates/members/tests/registry.rs
+++ b/crates/members/tests/registry.rs
@@ -50,18 +50,18 @@
 async fn what_is_put_is_listed_and_what_is_drained_keeps_all_else() {
     let etcd = start(EtcdPlan::default()).await;
     let registry = registry(&etcd).await;
-    let lease = registry.grant(60).await.unwrap();
+    let lease = registry.grant_lease(60).await.unwrap();
     assert_eq!(registry.put(&entry("box-1"), lease).await.unwrap(), 2);
     assert_eq!(registry.set_state("box-1", State::Draining).await.unwrap(), 3);
     let (revision, listed) = registry.list().await.unwrap();
     assert_eq!((revision, listed.len(), listed[0].revision, listed[0].lease), (3, 1, 3, lease));
     assert_eq!(listed[0].entry, Ok(Entry { state: State::Draining, ..entry("box-1") }));
-    registry.revoke(lease).await.unwrap();
+    registry.revoke_lease(lease).await.unwrap();
     assert_eq!(registry.list().await.unwrap().1, []);
     registry.put(&entry("box-2"), 0).await.unwrap();
     registry.remove("box-2").await.unwrap();
     for error in [registry.remove("box-2").await, registry.set_state("box-2", State::Draining).await] {
-        assert!(matches!(error, Err(RegistryError::Unlisted(id)) if id == "box-2"));
+        assert!(matches!(error, Err(RegistryError::NotListed(id)) if id == "box-2"));
     }
     etcd.put("junk", "{}");
     assert!(matches!(registry.set_state("junk", State::Draining).await, Err(RegistryError::Malformed(..))));
@@ -104,17 +104,17 @@
 async fn a_lease_that_is_not_renewed_takes_its_server_along() {
     let etcd = start(EtcdPlan::default()).await;
     let registry = registry(&etcd).await;
-    let lease = registry.grant(1).await.unwrap();
+    let lease = registry.grant_lease(1).await.unwrap();
     registry.put(&entry("box-1"), lease).await.unwrap();
     let client = Client::connect(&settings(&etcd, "http"), 0).await.unwrap();
     let (key, range_end) = (b"/m/".to_vec(), b"/m0".to_vec());
     let asked = WatchCreateRequest { key, range_end, start_revision: 3, ..Default::default() };
     let mut watch = client.watch(asked).await.unwrap();
     assert!(watch.next().await.unwrap().created);
-    assert!(registry.renew(lease).await.unwrap());
+    assert!(registry.renew_lease(lease).await.unwrap());
     let gone = watch.next().await.unwrap();
     assert_eq!((gone.events.len(), gone.events[0].r#type), (1, 1), "a deletion");
-    assert!(!registry.renew(lease).await.unwrap());
+    assert!(!registry.renew_lease(lease).await.unwrap());
 }
 
 #[tokio::test]
@@ -129,7 +129,7 @@
     assert_eq!(registry.endpoint, settings.endpoints[2]);
     etcd.set_faults(2, refuse);
     while tokio::net::TcpStream::connect(etcd.endpoints[2]).await.is_ok() {}
-    let Err(RegistryError::Unreached(why)) = Registry::connect(&settings, PREFIX).await else { panic!() };
+    let Err(RegistryError::Unreachable(why)) = Registry::connect(&settings, PREFIX).await else { panic!() };
     assert!(why.len() == 3 && why.iter().all(|why| why.contains("refused")), "{why:?}");
 }
 
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -7,8 +7,10 @@
 mod order;
 mod overrides;
 
-pub use order::{Ask, Common, Done, Held, Hold, Kept, Order, Refusal};
-pub use overrides::{Change, Listed, State, Steer};
+pub use order::{
+    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, SharedOrder,
+};
+pub use overrides::{ListedServer, Overrides, State, StateChange};
 
 /// A point in time or a duration, in microseconds. A point that lies before the latest one told counts as that.
 pub type Micros = u64;
--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -10,14 +10,14 @@
     /// It finishes what it has and gets nothing new, until [`Order::Undrain`].
     Drain,
     /// It gets nothing new for so long, in microseconds.
-    LeaveOut(Micros),
+    Exclude(Micros),
     /// What an operator ordered for it ends. What the list says of it stays.
     Undrain,
 }
 
 /// An order, as an operator gives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct OrderRequest {
     /// The server's name in the list.
     pub server: String,
     /// What is to be done.
@@ -33,68 +33,68 @@
 
 /// How an order holds a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hold {
+pub enum OrderEffect {
     /// Until it is lifted.
     Drain,
     /// Until this time.
-    LeftOut(Micros),
+    ExcludedUntil(Micros),
 }
 
 /// An order that holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct ActiveOrder {
     /// How.
-    pub hold: Hold,
+    pub effect: OrderEffect,
     /// Whether it lasts over a restart.
     pub lasting: bool,
     /// Whether it is one that all nodes hold in common, rather than this node's alone.
-    pub common: bool,
+    pub shared: bool,
     /// Its number: later orders have higher ones.
     pub number: u64,
 }
 
 /// An order that all nodes hold in common.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Common {
+pub struct SharedOrder {
     /// The server.
     pub server: String,
     /// How it holds it.
-    pub hold: Hold,
+    pub effect: OrderEffect,
     /// What it is known by among the nodes: kept with an order that lasts, and told again after a restart.
     pub mark: String,
 }
 
 /// An order that lasts, as it is kept over a restart.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Kept {
+pub struct PersistentOrder {
     /// The server.
     pub server: String,
     /// How much longer it is left out; nothing for a drain.
-    pub left: Option<Micros>,
+    pub remaining: Option<Micros>,
     /// What it is known by among the nodes, if they hold it in common.
     pub mark: Option<String>,
 }
 
 /// An order that was obeyed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Done {
+pub struct AppliedOrder {
     /// Its number.
     pub number: u64,
     /// The order that it took the place of.
-    pub replaced: Option<Held>,
+    pub replaced: Option<ActiveOrder>,
 }
 
 /// Why an order was not obeyed. Nothing has changed then.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
     /// The list has no such server.
-    Unknown,
+    UnknownServer,
     /// No cache would serve any more.
     LastServing,
     /// Another order came between, of this number.
-    Changed(u64),
+    Conflict(u64),
     /// No order holds the server: what keeps it from serving, if anything, is the list.
-    NotHeld,
+    NoOrder,
     /// It is the origin, which has no stand-in.
     Origin,
     /// So many orders hold already.
@@ -104,14 +104,14 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Unknown => write!(f, "the list has no server of that name; look at the list"),
+            Refusal::UnknownServer => write!(f, "the list has no server of that name; look at the list"),
             Refusal::LastServing => {
                 write!(f, "no cache would serve any more; bring another in first, or force the order")
             }
-            Refusal::Changed(number) => {
+            Refusal::Conflict(number) => {
                 write!(f, "order {number} for that server came between; look at it and order again")
             }
-            Refusal::NotHeld => {
+            Refusal::NoOrder => {
                 write!(f, "no order holds that server; if it drains, it does so by the list: change it there")
             }
             Refusal::Origin => write!(f, "that is the origin, and nothing could stand in for it"),
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Micros;
-use crate::order::{Ask, Common, Done, Held, Hold, Kept, Order, Refusal};
+use crate::order::{
+    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, SharedOrder,
+};
 
 /// Orders that may hold at once.
 const MOST: usize = 1024;
@@ -19,7 +21,7 @@
 
 /// A server, as the list has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedServer {
     /// Its name.
     pub name: String,
     /// Its state; nothing if it is gone.
@@ -30,7 +32,7 @@
 
 /// A server whose state is another than was told before.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct StateChange {
     /// Its name.
     pub server: String,
     /// Its state from now on.
@@ -55,9 +57,9 @@
 /// - Orders that the nodes hold in common come and go together, as those nodes have agreed; a node's own stay beside them.
 /// - What others say of a server leaves it out for as long as they say so, unless no cache would serve any more.
 #[derive(Default)]
-pub struct Steer {
+pub struct Overrides {
     servers: BTreeMap<String, Server>,
-    orders: BTreeMap<String, Held>,
+    orders: BTreeMap<String, ActiveOrder>,
     /// By server, what an order in common is known by.
     marks: BTreeMap<String, String>,
     /// Left out on the word of others.
@@ -66,73 +68,82 @@
     now: Micros,
 }
 
-impl Steer {
+impl Overrides {
     /// No servers, and no orders.
     pub fn new() -> Self {
-        Steer::default()
+        Overrides::default()
     }
 
     /// The orders that lasted over a restart hold again; what is over meanwhile does not.
-    pub fn restore(&mut self, now: Micros, kept: Vec<Kept>) {
+    pub fn restore(&mut self, now: Micros, kept: Vec<PersistentOrder>) {
         self.now = self.now.max(now);
-        for Kept { server, left, mark } in kept.into_iter().take(MOST) {
-            let hold = left.map_or(Hold::Drain, |left| Hold::LeftOut(self.now.saturating_add(left)));
+        for PersistentOrder { server, remaining: left, mark } in kept.into_iter().take(MOST) {
+            let hold = left
+                .map_or(OrderEffect::Drain, |left| OrderEffect::ExcludedUntil(self.now.saturating_add(left)));
             self.numbers += 1;
             let common = mark.is_some();
             self.marks.extend(mark.map(|mark| (server.clone(), mark)));
-            self.orders.insert(server, Held { hold, lasting: true, common, number: self.numbers });
+            self.orders.insert(
+                server,
+                ActiveOrder { effect: hold, lasting: true, shared: common, number: self.numbers },
+            );
         }
         self.expire();
     }
 
     /// Goes by the orders that the nodes hold in common now, in place of those before; `whole`: these are all, so that one
     /// that is missing was lifted. Tells which servers' states change.
-    pub fn common(&mut self, now: Micros, whole: bool, orders: Vec<Common>) -> Vec<Change> {
+    pub fn apply_shared_orders(
+        &mut self,
+        now: Micros,
+        whole: bool,
+        orders: Vec<SharedOrder>,
+    ) -> Vec<StateChange> {
         self.now = self.now.max(now);
         if whole {
             let named: BTreeSet<&str> = orders.iter().map(|order| order.server.as_str()).collect();
-            self.orders.retain(|server, held| !held.common || named.contains(server.as_str()));
+            self.orders.retain(|server, held| !held.shared || named.contains(server.as_str()));
             self.marks.clear();
         }
-        for Common { server, hold, mark } in orders {
+        for SharedOrder { server, effect: hold, mark } in orders {
             let before = self.orders.get(&server).copied();
             if before.is_none() && self.orders.len() >= MOST {
                 continue;
             }
-            let same = before.filter(|before| before.common && before.hold == hold);
+            let same = before.filter(|before| before.shared && before.effect == hold);
             self.numbers += u64::from(same.is_none());
             let number = same.map_or(self.numbers, |same| same.number);
             let lasting = before.is_some_and(|before| before.lasting);
             self.marks.insert(server.clone(), mark);
-            self.orders.insert(server, Held { hold, lasting, common: true, number });
+            self.orders.insert(server, ActiveOrder { effect: hold, lasting, shared: true, number });
         }
         self.expire();
         self.settle()
     }
 
     /// Leaves these out, and none that were left out on hearsay before. Tells which servers' states change.
-    pub fn hearsay(&mut self, now: Micros, servers: BTreeSet<String>) -> Vec<Change> {
+    pub fn set_peer_exclusions(&mut self, now: Micros, servers: BTreeSet<String>) -> Vec<StateChange> {
         self.now = self.now.max(now);
         self.hearsay = servers;
         self.settle()
     }
 
     /// The orders that are to last over a restart.
-    pub fn kept(&self) -> Vec<Kept> {
+    pub fn persistent_orders(&self) -> Vec<PersistentOrder> {
         let lasting = self.orders.iter().filter(|(_, held)| held.lasting);
-        let kept = |(server, held): (&String, &Held)| {
-            let left = match held.hold {
-                Hold::Drain => None,
-                Hold::LeftOut(until) => Some(until.saturating_sub(self.now)),
+        let kept = |(server, held): (&String, &ActiveOrder)| {
+            let left = match held.effect {
+                OrderEffect::Drain => None,
+                OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(self.now)),
             };
-            Kept { server: server.clone(), left, mark: self.marks.get(server).cloned() }
+            PersistentOrder { server: server.clone(), remaining: left, mark: self.marks.get(server).cloned() }
         };
         lasting.map(kept).collect()
     }
 
     /// Takes over what a source of members tells: the whole list, or what has changed in it. Tells the states of
     /// the servers that it names, and of others whose state changes by it.
-    pub fn list(&mut self, now: Micros, full: bool, servers: Vec<Listed>) -> Vec<Change> {
+    pub fn apply_list(&mut self, now: Micros, full: bool, servers: Vec<ListedServer>) -> Vec<StateChange> {
         self.now = self.now.max(now);
         let named: Vec<String> = servers.iter().map(|listed| listed.name.clone()).collect();
         if full {
@@ -147,13 +158,17 @@
         let mut changes = self.settle();
         // Those that are named are told whether they have changed or not: the core was not told them before.
         let untold = |name: &&String| changes.iter().all(|change| change.server != **name);
-        let more: Vec<Change> = named.iter().filter(untold).filter_map(|name| self.told(name)).collect();
+        let more: Vec<StateChange> = named.iter().filter(untold).filter_map(|name| self.told(name)).collect();
         changes.extend(more);
         changes
     }
 
     /// Obeys an order, or says why not. Tells which servers' states change, by it or since time has passed.
-    pub fn ask(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, Vec<Change>) {
+    pub fn apply_order(
+        &mut self,
+        now: Micros,
+        ask: &OrderRequest,
+    ) -> (Result<AppliedOrder, Refusal>, Vec<StateChange>) {
         self.now = self.now.max(now);
         self.expire();
         let done = self.obey(ask);
@@ -161,18 +176,18 @@
         (done, self.settle())
     }
 
-    fn obey(&mut self, ask: &Ask) -> Result<Done, Refusal> {
+    fn obey(&mut self, ask: &OrderRequest) -> Result<AppliedOrder, Refusal> {
         let held = self.orders.get(&ask.server).copied();
         let latest = held.map_or(0, |held| held.number);
         if ask.seen.is_some_and(|seen| seen != latest) {
-            return Err(Refusal::Changed(latest));
+            return Err(Refusal::Conflict(latest));
         }
         let hold = match ask.order {
             Order::Undrain => return self.lift(&ask.server),
-            Order::Drain => Hold::Drain,
-            Order::LeaveOut(time) => Hold::LeftOut(self.now.saturating_add(time)),
+            Order::Drain => OrderEffect::Drain,
+            Order::Exclude(time) => OrderEffect::ExcludedUntil(self.now.saturating_add(time)),
         };
-        let server = self.servers.get(&ask.server).ok_or(Refusal::Unknown)?;
+        let server = self.servers.get(&ask.server).ok_or(Refusal::UnknownServer)?;
         if server.origin {
             return Err(Refusal::Origin);
         }
@@ -186,45 +201,45 @@
             return Err(Refusal::LastServing);
         }
         self.numbers += 1;
-        let new = Held { hold, lasting: ask.lasting, common: false, number: self.numbers };
+        let new = ActiveOrder { effect: hold, lasting: ask.lasting, shared: false, number: self.numbers };
         let replaced = self.orders.insert(ask.server.clone(), new);
-        Ok(Done { number: self.numbers, replaced })
+        Ok(AppliedOrder { number: self.numbers, replaced })
     }
 
-    fn lift(&mut self, server: &str) -> Result<Done, Refusal> {
+    fn lift(&mut self, server: &str) -> Result<AppliedOrder, Refusal> {
         match self.orders.remove(server) {
             Some(held) => {
                 self.numbers += 1;
-                Ok(Done { number: self.numbers, replaced: Some(held) })
+                Ok(AppliedOrder { number: self.numbers, replaced: Some(held) })
             }
-            None if self.servers.contains_key(server) => Err(Refusal::NotHeld),
-            None => Err(Refusal::Unknown),
+            None if self.servers.contains_key(server) => Err(Refusal::NoOrder),
+            None => Err(Refusal::UnknownServer),
         }
     }
 
     /// Ends what is over. Tells which servers' states change by it.
-    pub fn tick(&mut self, now: Micros) -> Vec<Change> {
+    pub fn tick(&mut self, now: Micros) -> Vec<StateChange> {
         self.now = self.now.max(now);
         self.expire();
         self.settle()
     }
 
     /// When the next order ends by itself.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         self.orders.values().filter_map(until).min()
     }
 
     /// The order that holds a server.
-    pub fn held(&self, server: &str) -> Option<Held> {
+    pub fn active_order(&self, server: &str) -> Option<ActiveOrder> {
         self.orders.get(server).copied()
     }
 
     /// All orders that hold, by server.
-    pub fn orders(&self) -> impl Iterator<Item = (&str, Held)> {
+    pub fn active_orders(&self) -> impl Iterator<Item = (&str, ActiveOrder)> {
         self.orders.iter().map(|(server, held)| (server.as_str(), *held))
     }
 
-    fn enter(&mut self, Listed { name, state, origin }: Listed) {
+    fn enter(&mut self, ListedServer { name, state, origin }: ListedServer) {
         let Some(listed) = state else {
             self.servers.remove(&name);
             return;
@@ -235,7 +250,7 @@
 
     /// A name that comes back may be another machine's.
     fn forget_unlisted(&mut self, name: &str) {
-        let ends = |held: &Held| !held.lasting && !held.common;
+        let ends = |held: &ActiveOrder| !held.lasting && !held.shared;
         if !self.servers.contains_key(name) && self.orders.get(name).is_some_and(ends) {
             self.orders.remove(name);
         }
@@ -254,32 +269,32 @@
     }
 
     /// Sets all states by list and orders; tells which have changed.
-    fn settle(&mut self) -> Vec<Change> {
+    fn settle(&mut self) -> Vec<StateChange> {
         let starved = !self.servers.iter().any(|(name, server)| self.serves(name, server));
         let mut changes = Vec::new();
         for (name, server) in &mut self.servers {
             let held = self.orders.get(name).filter(|_| !server.origin);
-            let state = match held.map(|held| held.hold) {
-                Some(Hold::Drain) => State::Draining,
-                Some(Hold::LeftOut(_)) if !starved => State::Draining,
+            let state = match held.map(|held| held.effect) {
+                Some(OrderEffect::Drain) => State::Draining,
+                Some(OrderEffect::ExcludedUntil(_)) if !starved => State::Draining,
                 _ if !starved && !server.origin && self.hearsay.contains(name) => State::Draining,
                 _ => server.listed,
             };
             if std::mem::replace(&mut server.told, state) != state {
-                changes.push(Change { server: name.clone(), state });
+                changes.push(StateChange { server: name.clone(), state });
             }
         }
         changes
     }
 
-    fn told(&self, name: &str) -> Option<Change> {
-        self.servers.get(name).map(|server| Change { server: name.to_owned(), state: server.told })
+    fn told(&self, name: &str) -> Option<StateChange> {
+        self.servers.get(name).map(|server| StateChange { server: name.to_owned(), state: server.told })
     }
 }
 
-fn until(held: &Held) -> Option<Micros> {
-    match held.hold {
-        Hold::Drain => None,
-        Hold::LeftOut(until) => Some(until),
+fn until(held: &ActiveOrder) -> Option<Micros> {
+    match held.effect {
+        OrderEffect::Drain => None,
+        OrderEffect::ExcludedUntil(until) => Some(until),
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,8 +7,8 @@
 mod plan;
 mod quota;
 
-pub use plan::{Bounds, DEPTH, Dimension, Measure, Plan, PlanError, Share};
-pub use quota::{Ask, Done, Over, Quota, Ticket, Why};
+pub use plan::{Bounds, Dimension, MAX_DEPTH, Measure, Plan, PlanError, Share};
+pub use quota::{Completion, Over, Quota, QuotaRequest, Ticket, Why};
 
 /// A point in time or a duration, in microseconds. A point that lies before the latest one told counts as that.
 pub type Micros = u64;
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 
 /// The deepest tree, in shares from the root to a leaf.
-pub const DEPTH: usize = 8;
+pub const MAX_DEPTH: usize = 8;
 
 /// What is measured of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -71,33 +71,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlanError {
     /// No root in the first place, or another share without a parent.
-    Root(usize),
+    RootPosition(usize),
     /// A share does not stand behind its parent: a cycle, or a parent that is not there.
-    Order(usize),
-    /// A share is deeper than [`DEPTH`].
-    Deep(usize),
+    ParentOrder(usize),
+    /// A share is deeper than [`MAX_DEPTH`].
+    TooDeep(usize),
     /// A share has not one bound for each measure.
-    Measures(usize),
+    BoundsCount(usize),
     /// A measure's window is too short to be divided, or a half-life is zero.
-    Window(usize),
+    WindowTooShort(usize),
     /// A share's ceiling in a measure is under its guarantee.
-    Ceiling(usize, usize),
+    CeilingBelowGuarantee(usize, usize),
     /// The guarantees of a share's children in a measure are together over its own, which is the root's ceiling.
-    Children(usize, usize),
+    ChildGuaranteesExceedParent(usize, usize),
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlanError::Root(share) => write!(f, "share {share}: the first share alone is the root"),
-            PlanError::Order(share) => write!(f, "share {share}: does not stand behind its parent"),
-            PlanError::Deep(share) => write!(f, "share {share}: deeper than {DEPTH}"),
-            PlanError::Measures(share) => write!(f, "share {share}: not one bound for each measure"),
-            PlanError::Window(measure) => write!(f, "measure {measure}: too short a window"),
-            PlanError::Ceiling(share, measure) => {
+            PlanError::RootPosition(share) => write!(f, "share {share}: the first share alone is the root"),
+            PlanError::ParentOrder(share) => write!(f, "share {share}: does not stand behind its parent"),
+            PlanError::TooDeep(share) => write!(f, "share {share}: deeper than {MAX_DEPTH}"),
+            PlanError::BoundsCount(share) => write!(f, "share {share}: not one bound for each measure"),
+            PlanError::WindowTooShort(measure) => write!(f, "measure {measure}: too short a window"),
+            PlanError::CeilingBelowGuarantee(share, measure) => {
                 write!(f, "share {share}, measure {measure}: ceiling under guarantee")
             }
-            PlanError::Children(share, measure) => {
+            PlanError::ChildGuaranteesExceedParent(share, measure) => {
                 write!(f, "share {share}, measure {measure}: the guarantees of its children exceed its own")
             }
         }
@@ -122,7 +122,9 @@
         let short = |measure: &Measure| {
             measure.dimension != Dimension::InFlight && measure.window < crate::gauge::SLOTS as Micros
         };
-        found.extend((0..self.measures.len()).filter(|&m| short(&self.measures[m])).map(PlanError::Window));
+        found.extend(
+            (0..self.measures.len()).filter(|&m| short(&self.measures[m])).map(PlanError::WindowTooShort),
+        );
         let mut depths: Vec<usize> = Vec::new();
         for (n, share) in self.shares.iter().enumerate() {
             match share.parent {
@@ -130,18 +132,18 @@
                 Some(parent) if n > 0 && parent < n => depths.push(depths[parent] + 1),
                 parent => {
                     found.push(if n == 0 || parent.is_none() {
-                        PlanError::Root(n)
+                        PlanError::RootPosition(n)
                     } else {
-                        PlanError::Order(n)
+                        PlanError::ParentOrder(n)
                     });
                     depths.push(1);
                 }
             }
-            found.extend((depths[n] > DEPTH).then_some(PlanError::Deep(n)));
-            found.extend((share.bounds.len() != self.measures.len()).then_some(PlanError::Measures(n)));
+            found.extend((depths[n] > MAX_DEPTH).then_some(PlanError::TooDeep(n)));
+            found.extend((share.bounds.len() != self.measures.len()).then_some(PlanError::BoundsCount(n)));
         }
         if self.shares.is_empty() {
-            found.push(PlanError::Root(0));
+            found.push(PlanError::RootPosition(0));
         }
         if found.is_empty() {
             self.check_bounds(&mut found);
@@ -155,14 +157,14 @@
             for (n, share) in self.shares.iter().enumerate() {
                 let bounds = self.bounds(n, measure);
                 if bounds.ceiling < bounds.guarantee {
-                    found.push(PlanError::Ceiling(n, measure));
+                    found.push(PlanError::CeilingBelowGuarantee(n, measure));
                 }
                 if let Some(parent) = share.parent {
                     promised[parent] = promised[parent].saturating_add(bounds.guarantee);
                 }
             }
             let over = (0..self.shares.len()).filter(|&n| promised[n] > self.bounds(n, measure).guarantee);
-            found.extend(over.map(|n| PlanError::Children(n, measure)));
+            found.extend(over.map(|n| PlanError::ChildGuaranteesExceedParent(n, measure)));
         }
     }
 }
@@ -187,22 +189,28 @@
             plan(vec![root(), share(Some(0), 60, 100), share(Some(1), 60, 60), share(Some(0), 40, 100)]);
         assert_eq!(good.check(), []);
         let cases = [
-            (vec![], PlanError::Root(0)),
-            (vec![root(), share(None, 0, 1)], PlanError::Root(1)),
-            (vec![root(), share(Some(2), 0, 1), share(Some(1), 0, 1)], PlanError::Order(1)),
-            (vec![root(), share(Some(1), 0, 1)], PlanError::Order(1)),
-            (vec![root(), share(Some(0), 2, 1)], PlanError::Ceiling(1, 0)),
-            (vec![root(), share(Some(0), 60, 60), share(Some(0), 41, 41)], PlanError::Children(0, 0)),
-            (vec![root(), share(Some(0), 60, 60), share(Some(1), 61, 61)], PlanError::Children(1, 0)),
-            ((0..9).map(|n: usize| share(n.checked_sub(1), 0, 1)).collect(), PlanError::Deep(8)),
+            (vec![], PlanError::RootPosition(0)),
+            (vec![root(), share(None, 0, 1)], PlanError::RootPosition(1)),
+            (vec![root(), share(Some(2), 0, 1), share(Some(1), 0, 1)], PlanError::ParentOrder(1)),
+            (vec![root(), share(Some(1), 0, 1)], PlanError::ParentOrder(1)),
+            (vec![root(), share(Some(0), 2, 1)], PlanError::CeilingBelowGuarantee(1, 0)),
+            (
+                vec![root(), share(Some(0), 60, 60), share(Some(0), 41, 41)],
+                PlanError::ChildGuaranteesExceedParent(0, 0),
+            ),
+            (
+                vec![root(), share(Some(0), 60, 60), share(Some(1), 61, 61)],
+                PlanError::ChildGuaranteesExceedParent(1, 0),
+            ),
+            ((0..9).map(|n: usize| share(n.checked_sub(1), 0, 1)).collect(), PlanError::TooDeep(8)),
         ];
         for (shares, wrong) in cases {
             assert!(plan(shares).check().contains(&wrong), "{wrong}");
         }
         let mut short = good.clone();
         short.measures[0].window = 0;
-        assert_eq!(short.check(), [PlanError::Window(0)]);
+        assert_eq!(short.check(), [PlanError::WindowTooShort(0)]);
         short.measures.clear();
-        assert_eq!(short.check()[0], PlanError::Measures(0));
+        assert_eq!(short.check()[0], PlanError::BoundsCount(0));
     }
 }
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -24,7 +24,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// Whose share, an index into [`Plan::shares`]. Any share may ask; those of leaves do.
     pub share: usize,
     /// Its lane.
@@ -38,7 +38,7 @@
 /// An admitted request, to be told how it ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket {
-    ask: Ask,
+    ask: QuotaRequest,
     at: Micros,
     /// Of which tree of shares.
     tree: u64,
@@ -46,11 +46,11 @@
 
 /// How an admitted request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Done {
+pub enum Completion {
     /// Something was done for it: it is paid.
-    Paid,
+    Charged,
     /// It was refused untried: what it used is given back.
-    Unpaid,
+    Refunded,
 }
 
 /// Why a request is over its share.
@@ -166,7 +166,7 @@
     ///
     /// # Errors
     /// If it is over its share.
-    pub fn ask(&mut self, now: Micros, ask: Ask) -> Result<Ticket, Over> {
+    pub fn try_acquire(&mut self, now: Micros, ask: QuotaRequest) -> Result<Ticket, Over> {
         self.now = self.now.max(now);
         let over = self.measures(ask.lane).find_map(|m| {
             self.reckon(m);
@@ -191,7 +191,7 @@
     }
 
     /// An admitted request has ended.
-    pub fn done(&mut self, now: Micros, ticket: Ticket, done: Done) {
+    pub fn release(&mut self, now: Micros, ticket: Ticket, done: Completion) {
         self.now = self.now.max(now);
         let Ticket { ask, at, tree } = ticket;
         // Guards against: another share's work let go, whose place is now this one's.
@@ -207,8 +207,8 @@
                 let place = self.place(v, m);
                 match (measure.dimension, done) {
                     (Dimension::InFlight, _) => self.gauges[place].let_go(cost),
-                    (_, Done::Unpaid) => self.gauges[place].take_back(slot, cost),
-                    (_, Done::Paid) => {}
+                    (_, Completion::Refunded) => self.gauges[place].take_back(slot, cost),
+                    (_, Completion::Charged) => {}
                 }
                 self.settle(v, m);
                 share = self.plan.shares[v].parent;
@@ -264,7 +264,7 @@
     }
 
     /// Whether there is room for a request on the whole way to the root.
-    fn room(&self, m: usize, ask: Ask) -> Result<(), Over> {
+    fn room(&self, m: usize, ask: QuotaRequest) -> Result<(), Over> {
         let measure = self.plan.measures[m];
         let cost = cost(measure, ask) as f64;
         // What is kept for others on the way, and whether a share on it has a guarantee that covers this.
@@ -296,7 +296,7 @@
     }
 
     /// Notes an ask on the whole way to the root, met or not.
-    fn count(&mut self, m: usize, ask: Ask, met: bool) {
+    fn count(&mut self, m: usize, ask: QuotaRequest, met: bool) {
         let measure = self.plan.measures[m];
         let (cost, slot) = (cost(measure, ask), self.slots[m]);
         let mut share = Some(ask.share);
@@ -460,7 +460,7 @@
 }
 
 /// What a request costs in a measure.
-fn cost(measure: Measure, ask: Ask) -> u64 {
+fn cost(measure: Measure, ask: QuotaRequest) -> u64 {
     match measure.dimension {
         Dimension::Requests | Dimension::InFlight => 1,
         Dimension::Worth => ask.worth,
--- a/crates/quota/tests/property.rs
+++ b/crates/quota/tests/property.rs
@@ -1,6 +1,8 @@
 //! Quotas under random plans and loads, and the hard cases one by one. Time is the test's.
 
-use lilacquay_quota::{Ask, Bounds, Dimension, Done, Measure, Micros, Over, Plan, Quota, Share, Ticket, Why};
+use lilacquay_quota::{
+    Bounds, Completion, Dimension, Measure, Micros, Over, Plan, Quota, QuotaRequest, Share, Ticket, Why,
+};
 
 const SECOND: Micros = 1_000_000;
 
@@ -26,8 +28,8 @@
     )
 }
 
-fn ask(share: usize) -> Ask {
-    Ask { share, lane: 0, worth: 1000, bytes: 100 }
+fn ask(share: usize) -> QuotaRequest {
+    QuotaRequest { share, lane: 0, worth: 1000, bytes: 100 }
 }
 
 /// Asks at even times for each share so often a second, from one time to another; tells how many each got, by
@@ -41,7 +43,7 @@
         .collect();
     asks.sort();
     for (at, share) in asks {
-        if quota.ask(at, ask(share)).is_ok() {
+        if quota.try_acquire(at, ask(share)).is_ok() {
             got[share][((at - from) / SECOND) as usize] += 1;
         }
     }
@@ -82,7 +84,7 @@
         asks.sort();
         let (mut asked, mut got) = ([0; 4], [0; 4]);
         for (at, share) in asks {
-            let admitted = quota.ask(at, ask(share)).is_ok();
+            let admitted = quota.try_acquire(at, ask(share)).is_ok();
             // Judged from a window and a sixteenth after the last has woken.
             if at > 11 * SECOND + SECOND / 16 {
                 asked[share] += 1;
@@ -133,7 +135,7 @@
     let mut quota = Quota::new(three(), 0).unwrap();
     let mut times = Vec::new();
     for at in [SECOND - 1, SECOND + 1, 2 * SECOND - 1, 2 * SECOND + 1] {
-        times.extend((0..200).filter(|_| quota.ask(at, ask(1)).is_ok()).map(|_| at));
+        times.extend((0..200).filter(|_| quota.try_acquire(at, ask(1)).is_ok()).map(|_| at));
     }
     for (n, &first) in times.iter().enumerate() {
         let within = times[n..].iter().take_while(|&&at| at < first + SECOND).count();
@@ -157,13 +159,13 @@
 fn in_flight_room_that_was_lent_comes_back_as_it_is_let_go() {
     let shares = vec![share("all", None, 0, 10), share("a", Some(0), 5, 10), share("b", Some(0), 5, 10)];
     let mut quota = Quota::new(plan(Dimension::InFlight, 0, shares), 0).unwrap();
-    let mut slow: Vec<Ticket> = (0..10).map(|_| quota.ask(1, ask(1)).unwrap()).collect();
-    assert_eq!(quota.ask(2, ask(1)).unwrap_err().why, Why::Ceiling);
+    let mut slow: Vec<Ticket> = (0..10).map(|_| quota.try_acquire(1, ask(1)).unwrap()).collect();
+    assert_eq!(quota.try_acquire(2, ask(1)).unwrap_err().why, Why::Ceiling);
     for n in 0..5 {
-        assert!(quota.ask(10 + n, ask(2)).is_err(), "all is out");
-        quota.done(10 + n, slow.pop().unwrap(), Done::Paid);
-        assert_eq!(quota.ask(10 + n, ask(1)).unwrap_err().why, Why::Kept, "not for the borrower");
-        quota.ask(10 + n, ask(2)).unwrap();
+        assert!(quota.try_acquire(10 + n, ask(2)).is_err(), "all is out");
+        quota.release(10 + n, slow.pop().unwrap(), Completion::Charged);
+        assert_eq!(quota.try_acquire(10 + n, ask(1)).unwrap_err().why, Why::Kept, "not for the borrower");
+        quota.try_acquire(10 + n, ask(2)).unwrap();
     }
     assert_eq!((quota.used(20, 1, 0), quota.used(20, 2, 0)), (5, 5));
 }
@@ -174,32 +176,32 @@
     plan.measures.push(Measure { lane: 1, ..plan.measures[0] });
     plan.shares.iter_mut().for_each(|share| share.bounds.push(share.bounds[0]));
     let mut quota = Quota::new(plan, 0).unwrap();
-    while quota.ask(0, ask(1)).is_ok() {}
-    let signup = Ask { lane: 1, ..ask(1) };
-    assert!(quota.ask(0, signup).is_ok() && quota.ask(0, ask(2)).is_err());
+    while quota.try_acquire(0, ask(1)).is_ok() {}
+    let signup = QuotaRequest { lane: 1, ..ask(1) };
+    assert!(quota.try_acquire(0, signup).is_ok() && quota.try_acquire(0, ask(2)).is_err());
 }
 
 #[test]
 fn what_was_refused_untried_is_given_back_and_what_was_tried_is_not() {
     let mut quota = Quota::new(three(), 0).unwrap();
-    let tickets: Vec<Ticket> = (0..100).map(|_| quota.ask(0, ask(1)).unwrap()).collect();
-    quota.done(1, tickets[0], Done::Paid);
-    assert!(quota.ask(1, ask(1)).is_err());
-    quota.done(1, tickets[1], Done::Unpaid);
-    assert!(quota.ask(1, ask(1)).is_ok() && quota.ask(1, ask(1)).is_err());
+    let tickets: Vec<Ticket> = (0..100).map(|_| quota.try_acquire(0, ask(1)).unwrap()).collect();
+    quota.release(1, tickets[0], Completion::Charged);
+    assert!(quota.try_acquire(1, ask(1)).is_err());
+    quota.release(1, tickets[1], Completion::Refunded);
+    assert!(quota.try_acquire(1, ask(1)).is_ok() && quota.try_acquire(1, ask(1)).is_err());
 }
 
 #[test]
 fn a_refusal_says_when_there_would_be_room_and_there_is() {
     let mut quota = Quota::new(three(), 0).unwrap();
     let mut at = 0;
-    while quota.ask(at, ask(1)).is_ok() {
+    while quota.try_acquire(at, ask(1)).is_ok() {
         at += 3_000;
     }
-    let Over { retry_after, why, at: place, .. } = quota.ask(at, ask(1)).unwrap_err();
+    let Over { retry_after, why, at: place, .. } = quota.try_acquire(at, ask(1)).unwrap_err();
     assert!(why == Why::Ceiling && place == 1 && retry_after > 0 && retry_after <= SECOND * 17 / 16);
-    assert!(quota.ask(at + retry_after - SECOND / 16, ask(1)).is_err(), "no sooner");
-    assert!(quota.ask(at + retry_after, ask(1)).is_ok());
+    assert!(quota.try_acquire(at + retry_after - SECOND / 16, ask(1)).is_err(), "no sooner");
+    assert!(quota.try_acquire(at + retry_after, ask(1)).is_ok());
     assert_eq!(quota.last_refusals(1).count(), 3);
     assert_eq!(quota.refused(1), 3);
 }
@@ -235,27 +237,27 @@
         plan(Dimension::InFlight, 0, shares)
     };
     let mut quota = Quota::new(tree(&["a", "b"]), 0).unwrap();
-    let old: Vec<Ticket> = (0..3).map(|_| quota.ask(0, ask(1)).unwrap()).collect();
+    let old: Vec<Ticket> = (0..3).map(|_| quota.try_acquire(0, ask(1)).unwrap()).collect();
     // Other bounds alone: all stays.
     let mut other = tree(&["a", "b"]);
     other.shares[1].bounds[0].ceiling = 5;
     quota.reload(other, 1).unwrap();
     assert_eq!(quota.used(1, 1, 0), 3);
-    quota.done(2, old[0], Done::Paid);
+    quota.release(2, old[0], Completion::Charged);
     assert_eq!(quota.used(2, 1, 0), 2);
     // Another tree, in which b stands where a stood.
     quota.reload(tree(&["b", "a"]), 3).unwrap();
-    let held: Vec<Ticket> = (0..3).map(|_| quota.ask(4, ask(1)).unwrap()).collect();
-    old[1..].iter().for_each(|&ticket| quota.done(5, ticket, Done::Paid));
+    let held: Vec<Ticket> = (0..3).map(|_| quota.try_acquire(4, ask(1)).unwrap()).collect();
+    old[1..].iter().for_each(|&ticket| quota.release(5, ticket, Completion::Charged));
     assert_eq!([0, 1, 2].map(|share| quota.used(5, share, 0)), [3, 3, 0]);
-    held.into_iter().for_each(|ticket| quota.done(6, ticket, Done::Paid));
+    held.into_iter().for_each(|ticket| quota.release(6, ticket, Completion::Charged));
     assert_eq!([0, 1, 2].map(|share| quota.used(6, share, 0)), [0; 3], "nothing is left behind");
 }
 
 #[test]
 fn debts_are_paid_down_by_their_half_life() {
     let mut quota = Quota::new(three(), 0).unwrap();
-    while quota.ask(0, ask(1)).is_ok() {}
+    while quota.try_acquire(0, ask(1)).is_ok() {}
     let debt = quota.debt(0, 1, 0);
     assert_eq!(debt, 50.0);
     // It is forgiven by whole slots, while the share is still among those that have used something.
@@ -303,15 +305,15 @@
             let told = if rng.u8(..20) == 0 { now / 2 } else { now };
             latest = told.max(latest);
             let share = rng.usize(1..plan.shares.len());
-            let ask = Ask { share, lane: 0, worth: rng.u64(1..3000), bytes: 1 };
-            if let Ok(ticket) = quota.ask(told, ask) {
+            let ask = QuotaRequest { share, lane: 0, worth: rng.u64(1..3000), bytes: 1 };
+            if let Ok(ticket) = quota.try_acquire(told, ask) {
                 let cost = if plan.measures[0].dimension == Dimension::Worth { ask.worth } else { 1 };
                 admitted.push((latest, share, cost));
                 open.push((ticket, share));
             }
             if held && !open.is_empty() && rng.bool() {
                 let (ticket, _) = open.swap_remove(rng.usize(..open.len()));
-                quota.done(now, ticket, Done::Paid);
+                quota.release(now, ticket, Completion::Charged);
             }
             for (v, bounds) in plan.shares.iter().enumerate() {
                 let under = |mut share: usize| loop {
@@ -342,7 +344,7 @@
         let mut quota = Quota::new(plan.clone(), 0).unwrap();
         let share = rng.usize(1..plan.shares.len());
         for n in 0..2000 {
-            if let Err(over) = quota.ask(n * 1000, ask(share)) {
+            if let Err(over) = quota.try_acquire(n * 1000, ask(share)) {
                 assert_eq!(over.why, Why::Ceiling, "seed {seed}");
             }
         }
