--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,10 @@
-//! What passes between a running process, the *elder*, and the one that is started beside it to replace it, its
-//! *heir*. No I/O, clock or thread.
+//! Hot restart: the protocol between a running process, the *predecessor*, and the process started beside it to
+//! replace it, the *successor*. No I/O, clock or threads.
 //!
-//! - [`messages`]: the messages, each with a version and a checksum of its own, so that one that can't be used is
-//!   declined alone.
-//! - [`resource_split`]: who of the two may use which part of what they share, whoever of them stops, hangs or dies.
+//! - [`messages`]: encoding and decoding of messages. Each carries a version and a checksum, so that one unusable
+//!   message is declined without losing the others.
+//! - [`resource_split`]: how much of the node's shared resources each process may use, whichever of them stops, hangs
+//!   or dies.
 
 pub mod messages;
 pub mod resource_split;
--- a/crates/handover/src/messages.rs
+++ b/crates/handover/src/messages.rs
@@ -1,9 +1,9 @@
-//! The messages between a process and its heir.
+//! Messages between a process and its successor.
 //!
-//! A frame is `LQ`, the form's number, the kind, the body's length (u32), a checksum of the body (XXH3, u64), all
-//! big-endian, and the body, JSON. Kinds and keys that a build doesn't know it passes over, so that an older and a
-//! newer one understand each other as far as they share words. A part whose checksum is wrong, whose version is
-//! newer, or which can't be read is declined alone.
+//! A frame is the magic `LQ`, the format version (u8), the body kind (u8), the body length in bytes (u32), an XXH3
+//! checksum of the body (u64) and the body as JSON; integers are big-endian. Unknown body kinds and JSON keys are
+//! skipped, so that older and newer builds interoperate on the messages both know. A part with a wrong checksum or a
+//! newer version, or one that can't be parsed, is declined without affecting the others.
 
 use bytes::{Buf, BufMut, BytesMut};
 use serde::de::DeserializeOwned;
@@ -11,110 +11,114 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The form's number. Another one is another protocol.
-const FORM: u8 = 1;
+/// Version of the frame format. Frames of another version are rejected as another protocol.
+const FORMAT_VERSION: u8 = 1;
 const MAGIC: &[u8] = b"LQ";
-const HEADER: usize = 16;
-/// A longer body is not believed, in bytes.
-pub const LONGEST: usize = 8 << 20;
+/// Length of the frame header in bytes.
+const HEADER_BYTES: usize = 16;
+/// Maximum length of a body in bytes; a longer one is rejected as malformed.
+pub const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// What is said.
+/// A message, serialized under its older wire name where that differs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// From an heir: who it is.
+    /// From a successor: asks to take over.
     #[serde(rename = "Asks")]
     TakeoverRequest {
-        /// Its process.
+        /// Process id of the sender.
         pid: u32,
-        /// Its build, for the log.
+        /// Build of the sender, for the log.
         #[serde(default)]
         build: String,
     },
-    /// To an heir that must wait, and ask again.
+    /// To a successor that can't be accepted yet and must ask again later.
     Wait,
-    /// To an heir that is taken: who takes it. Parts follow, then grants.
+    /// To a successor that is accepted. State parts follow, then grants.
     #[serde(rename = "Taken")]
     Accepted {
-        /// Its process.
+        /// Process id of the sender.
         pid: u32,
-        /// Its build, for the log.
+        /// Build of the sender, for the log.
         #[serde(default)]
         build: String,
     },
-    /// A part of what is handed over.
+    /// One part of the state handed over.
     #[serde(rename = "Part")]
     StatePart {
-        /// Which.
+        /// Name of the part.
         name: String,
-        /// Of which form.
+        /// Version of the part's format.
         version: u32,
-        /// What.
+        /// The part's content.
         body: Value,
     },
-    /// No more parts follow.
+    /// No more state parts follow.
     #[serde(rename = "Whole")]
     StateComplete,
-    /// What the heir may use in all, in thousandths.
+    /// Total share of the resources that the successor may use, in thousandths.
     Grant(u32),
 }
 
-/// What has come.
+/// Result of decoding a complete frame.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decoded {
-    /// A message.
+    /// A message that this build understands.
     Message(Message),
-    /// A whole message that can't be used, and why: it is passed over.
+    /// A complete frame that can't be used, with the reason; it is skipped.
     Declined(&'static str),
 }
 
-/// Not this form: nothing more can be read.
+/// The bytes are not of this protocol or format version; nothing more can be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Appends a message.
+/// Appends the frame of a message to `out`.
 pub fn encode(message: &Message, out: &mut BytesMut) {
-    let body = serde_json::to_vec(message).unwrap_or_default(); // text and numbers alone
+    let body = serde_json::to_vec(message).unwrap_or_default(); // strings and numbers always serialize
     out.put_slice(MAGIC);
-    out.put_u8(FORM);
-    out.put_u8(0); // one kind of body so far
+    out.put_u8(FORMAT_VERSION);
+    out.put_u8(0); // the only body kind so far
     out.put_u32(body.len() as u32);
     out.put_u64(xxh3_64(&body));
     out.put_slice(&body);
 }
 
-/// Takes the first message out of the buffer, once it is whole.
+/// Removes the first frame from the buffer and decodes it; `None` until the frame is complete.
 ///
 /// # Errors
-/// If what has come is another protocol's or another form's.
+/// If the bytes are of another protocol or format version, or the body is longer than [`MAX_BODY_BYTES`].
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<Decoded>, Malformed> {
-    let known = [MAGIC[0], MAGIC[1], FORM];
-    if buffer.iter().zip(known).any(|(&come, known)| come != known) {
+    let known = [MAGIC[0], MAGIC[1], FORMAT_VERSION];
+    if buffer.iter().zip(known).any(|(&byte, known)| byte != known) {
         return Err(Malformed);
     }
-    let Some(mut header) = buffer.get(known.len()..HEADER) else { return Ok(None) };
-    let (kind, length, sum) = (header.get_u8(), header.get_u32() as usize, header.get_u64());
-    if length > LONGEST {
+    let Some(mut header) = buffer.get(known.len()..HEADER_BYTES) else { return Ok(None) };
+    let (kind, length, checksum) = (header.get_u8(), header.get_u32() as usize, header.get_u64());
+    if length > MAX_BODY_BYTES {
         return Err(Malformed);
     }
-    if buffer.len() < HEADER + length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(HEADER);
+    buffer.advance(HEADER_BYTES);
     let body = buffer.split_to(length);
-    if xxh3_64(&body) != sum {
-        return Ok(Some(Decoded::Declined("its checksum is wrong")));
+    if xxh3_64(&body) != checksum {
+        return Ok(Some(Decoded::Declined("wrong checksum")));
     }
     if kind != 0 {
-        return Ok(Some(Decoded::Declined("its kind is not known here")));
+        return Ok(Some(Decoded::Declined("unknown body kind")));
     }
-    let read = serde_json::from_slice(&body);
-    Ok(Some(read.map_or(Decoded::Declined("its words are not known here"), Decoded::Message)))
+    let parsed = serde_json::from_slice(&body);
+    Ok(Some(parsed.map_or(Decoded::Declined("unknown message"), Decoded::Message)))
 }
 
-/// A part's body, if it is of a version that is known here.
+/// Parses the body of a state part.
+///
+/// # Errors
+/// If its version is newer than `known`, or it can't be parsed.
 pub fn decode_part<T: DeserializeOwned>(version: u32, known: u32, body: Value) -> Result<T, String> {
     if version > known {
-        return Err(format!("of version {version}, and this build knows {known}"));
+        return Err(format!("version {version} is newer than the supported version {known}"));
     }
     serde_json::from_value(body).map_err(|error| error.to_string())
 }
@@ -123,7 +127,7 @@
 mod tests {
     use super::*;
 
-    fn all() -> Vec<Message> {
+    fn all_messages() -> Vec<Message> {
         let build = || "0.2.0".to_owned();
         vec![
             Message::TakeoverRequest { pid: 7, build: build() },
@@ -140,31 +144,31 @@
     }
 
     #[test]
-    fn what_is_put_reads_as_it_was_meant_in_whatever_pieces() {
-        let mut text = BytesMut::new();
-        all().iter().for_each(|message| encode(message, &mut text));
-        let (mut buffer, mut read) = (BytesMut::new(), Vec::new());
-        for byte in text {
+    fn messages_decode_as_encoded_when_received_byte_by_byte() {
+        let mut bytes = BytesMut::new();
+        all_messages().iter().for_each(|message| encode(message, &mut bytes));
+        let (mut buffer, mut decoded_messages) = (BytesMut::new(), Vec::new());
+        for byte in bytes {
             buffer.put_u8(byte);
-            while let Some(come) = decode(&mut buffer).unwrap() {
-                read.push(come);
+            while let Some(decoded) = decode(&mut buffer).unwrap() {
+                decoded_messages.push(decoded);
             }
         }
-        assert_eq!(read, all().into_iter().map(Decoded::Message).collect::<Vec<_>>());
+        assert_eq!(decoded_messages, all_messages().into_iter().map(Decoded::Message).collect::<Vec<_>>());
     }
 
-    /// A byte that is wrong costs one message at most, or ends all; it is never read as another message.
+    /// A flipped bit loses one message or ends the stream; it is never decoded as another message.
     #[test]
-    fn a_wrong_byte_never_reads_as_another_message() {
+    fn a_flipped_bit_is_never_decoded_as_another_message() {
         let mut rng = fastrand::Rng::with_seed(1);
         for _ in 0..5_000 {
-            let mut text = BytesMut::new();
-            all().iter().for_each(|message| encode(message, &mut text));
-            let at = rng.usize(..text.len());
-            text[at] ^= 1 << rng.u8(..8);
-            while let Ok(Some(come)) = decode(&mut text) {
-                match come {
-                    Decoded::Message(message) => assert!(all().contains(&message), "{message:?}"),
+            let mut bytes = BytesMut::new();
+            all_messages().iter().for_each(|message| encode(message, &mut bytes));
+            let at = rng.usize(..bytes.len());
+            bytes[at] ^= 1 << rng.u8(..8);
+            while let Ok(Some(decoded)) = decode(&mut bytes) {
+                match decoded {
+                    Decoded::Message(message) => assert!(all_messages().contains(&message), "{message:?}"),
                     Decoded::Declined(_) => {}
                 }
             }
@@ -172,19 +176,19 @@
     }
 
     #[test]
-    fn words_of_a_newer_build_are_passed_over_and_older_ones_read() {
-        let mut text = BytesMut::new();
+    fn messages_of_a_newer_build_are_skipped_and_older_ones_decoded() {
+        let mut bytes = BytesMut::new();
         let frame = |body: &[u8], out: &mut BytesMut| {
             out.put_slice(b"LQ\x01\x00");
             out.put_u32(body.len() as u32);
             out.put_u64(xxh3_64(body));
             out.put_slice(body);
         };
-        frame(br#"{"Sings":{"song":"new"}}"#, &mut text);
-        frame(br#"{"Asks":{"pid":3,"mood":"good"}}"#, &mut text);
-        assert!(matches!(decode(&mut text), Ok(Some(Decoded::Declined(_)))));
-        let asks = Message::TakeoverRequest { pid: 3, build: String::new() };
-        assert_eq!(decode(&mut text), Ok(Some(Decoded::Message(asks))));
+        frame(br#"{"Sings":{"song":"new"}}"#, &mut bytes);
+        frame(br#"{"Asks":{"pid":3,"mood":"good"}}"#, &mut bytes);
+        assert!(matches!(decode(&mut bytes), Ok(Some(Decoded::Declined(_)))));
+        let request = Message::TakeoverRequest { pid: 3, build: String::new() };
+        assert_eq!(decode(&mut bytes), Ok(Some(Decoded::Message(request))));
         assert_eq!(decode(&mut BytesMut::from(&b"LQ\x02"[..])), Err(Malformed));
         assert_eq!(decode(&mut BytesMut::from(&b"GET /"[..])), Err(Malformed));
         assert!(decode_part::<Vec<u32>>(2, 1, Value::Null).unwrap_err().contains("version 2"));
--- a/crates/handover/src/resource_split.rs
+++ b/crates/handover/src/resource_split.rs
@@ -1,80 +1,81 @@
-//! Who may use which part of what the processes of one node share: descriptors and memory, in thousandths.
+//! Splits the resources shared by the processes of one node (descriptors and memory) among them, in thousandths.
 //!
-//! Each process holds a [`Tie`] and is told what happens: it comes up, its elder answers, grants or dies, an heir
-//! comes or dies, it is to stop. It tells what it may use ([`Tie::limit`]) and what it grants its heir
-//! ([`Action::Grant`]). That the parts never come to more than the whole rests on three rules:
+//! Each process holds a [`ResourceSplit`] and feeds it events: its start, the predecessor's answers, grants and death,
+//! the successor's request and death, and its own stop. The split yields the process's own limit
+//! ([`ResourceSplit::limit`]) and the grants for its successor ([`Action::Grant`]). Three rules keep the shares from
+//! exceeding the total:
 //!
-//! 1. A part is granted only once it is let go: the elder lowers its own limit first, and grants what it neither may
-//!    use any more nor still holds.
-//! 2. A part comes back only from the dead. The end of a connection is no proof; whoever does the I/O looks at the
-//!    process.
-//! 3. [`RESERVE`] is never granted. It is for one process whose elder does not answer and may be alive.
+//! 1. A share is granted only after it has been released: the predecessor lowers its own limit first, and grants only
+//!    what it is no longer allowed to use and no longer has in use.
+//! 2. A share returns only when its holder has died. A closed connection does not prove that; the I/O layer checks the
+//!    process itself.
+//! 3. [`RESERVE`] is never granted. It serves one process whose predecessor does not answer but may be alive.
 //!
-//! A process that is tied to a living elder takes no heir: a third one waits, with nothing.
+//! A process with a living predecessor accepts no successor: a third process waits with a limit of 0.
 
-/// All there is.
-pub const WHOLE: u32 = 1000;
-/// Kept for one whose elder does not answer.
+/// All shared resources.
+pub const TOTAL: u32 = 1000;
+/// Reserved for a process whose predecessor does not answer.
 pub const RESERVE: u32 = 125;
-/// What is divided.
-pub const DIVIDED: u32 = WHOLE - RESERVE;
-/// What each of two has while both serve.
-pub const HALF: u32 = DIVIDED / 2;
-/// Who stops keeps this room above what it holds, for what it has taken and not yet answered.
-const HEADROOM: u32 = 60;
+/// What may be divided between two processes.
+pub const DIVISIBLE: u32 = TOTAL - RESERVE;
+/// Share of each process while two are serving.
+pub const HALF_SHARE: u32 = DIVISIBLE / 2;
+/// Headroom that a stopping process keeps above its current use, for requests accepted and not yet answered.
+const STOPPING_HEADROOM: u32 = 60;
 
-/// How a process stands to the one before it.
+/// What a process knows of its predecessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PredecessorState {
-    /// Not known yet, or told to wait: it uses nothing.
+    /// Not known yet, or it told this process to wait: the limit is 0.
     Unknown,
-    /// There may be one that does not answer.
+    /// There may be a predecessor, but it does not answer.
     Unresponsive,
-    /// It is alive and grants so much.
+    /// It is alive and has granted this share.
     Granting(u32),
-    /// There is none.
+    /// There is no predecessor.
     Absent,
 }
 
-/// What happens.
+/// An input of [`ResourceSplit::on_event`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// No process was there before, or none is left.
+    /// There was no predecessor, or it has died.
     NoPredecessor,
-    /// A process is there, and does not answer or can't be understood, or no longer.
+    /// A predecessor exists but does not answer, no longer answers, or sends what can't be decoded.
     PredecessorUnresponsive,
-    /// The elder has taken this one for its heir.
+    /// The predecessor has accepted this process as its successor.
     PredecessorAccepted,
-    /// The elder grants so much in all.
+    /// The predecessor grants this total share.
     Granted(u32),
-    /// An heir asks to be taken.
+    /// A process asks to be accepted as the successor.
     SuccessorRequests,
-    /// The heir is dead.
+    /// The successor has died.
     SuccessorDied,
-    /// What this process holds at the moment.
+    /// The share that this process has in use now.
     InUse(u32),
-    /// This process is to stop.
+    /// This process has been told to stop.
     Stop,
 }
 
-/// What is to be done.
+/// An output of [`ResourceSplit::on_event`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Take the heir that asks, and tell it what there is to tell.
+    /// Accept the requesting successor and send it the state.
     AcceptSuccessor,
-    /// Tell the heir that asks to wait and ask again.
+    /// Tell the requesting successor to wait and ask again.
     DeferSuccessor,
-    /// Tell the heir what it may use in all.
+    /// Send the successor its total share.
     Grant(u32),
 }
 
-/// A process's part.
+/// The resource split as one process sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ResourceSplit {
-    above: PredecessorState,
-    /// What the heir was granted; none without one.
-    given: Option<u32>,
-    holds: u32,
+    predecessor: PredecessorState,
+    /// Share granted to the successor; `None` without a successor.
+    granted_to_successor: Option<u32>,
+    in_use: u32,
     stopping: bool,
 }
 
@@ -85,86 +86,91 @@
 }
 
 impl ResourceSplit {
-    /// Of a process that has just started.
+    /// The state of a process that has just started.
     pub fn new() -> ResourceSplit {
-        ResourceSplit { above: PredecessorState::Unknown, given: None, holds: 0, stopping: false }
+        ResourceSplit {
+            predecessor: PredecessorState::Unknown,
+            granted_to_successor: None,
+            in_use: 0,
+            stopping: false,
+        }
     }
 
-    /// How it stands to the one before it.
+    /// What is known of the predecessor.
     pub fn predecessor(&self) -> PredecessorState {
-        self.above
+        self.predecessor
     }
 
-    /// Whether it has an heir.
+    /// Whether a successor has been accepted and is not known to be dead.
     pub fn has_successor(&self) -> bool {
-        self.given.is_some()
+        self.granted_to_successor.is_some()
     }
 
-    /// Whether another process of the node is alive and known to this one: each of the two may take who comes.
+    /// Whether another process of the node is known to be alive, so that either of the two may accept a new client.
     pub fn has_live_peer(&self) -> bool {
-        self.has_successor() || matches!(self.above, PredecessorState::Granting(_))
+        self.has_successor() || matches!(self.predecessor, PredecessorState::Granting(_))
     }
 
-    /// What this process may use, in thousandths. It may hold more for a while after its limit has fallen.
+    /// What this process may use, in thousandths. Its use may stay above the limit for a while after the limit drops.
     pub fn limit(&self) -> u32 {
-        match (self.above, self.given) {
+        match (self.predecessor, self.granted_to_successor) {
             (PredecessorState::Unknown, _) => 0,
             (PredecessorState::Unresponsive, _) => RESERVE,
             (PredecessorState::Granting(granted), _) => granted,
-            (PredecessorState::Absent, None) => DIVIDED,
-            (PredecessorState::Absent, Some(given)) if self.stopping => DIVIDED - given,
-            (PredecessorState::Absent, Some(given)) => (DIVIDED - given).min(HALF),
+            (PredecessorState::Absent, None) => DIVISIBLE,
+            (PredecessorState::Absent, Some(granted)) if self.stopping => DIVISIBLE - granted,
+            (PredecessorState::Absent, Some(granted)) => (DIVISIBLE - granted).min(HALF_SHARE),
         }
     }
 
-    /// Tells what happens; tells what is to be done.
+    /// Processes an event and returns the actions to carry out.
     pub fn on_event(&mut self, event: Event) -> Vec<Action> {
         match event {
-            Event::NoPredecessor => self.above = PredecessorState::Absent,
-            // What was granted stays so, if it is more than what is kept for this.
+            Event::NoPredecessor => self.predecessor = PredecessorState::Absent,
+            // A grant of at least the reserve stays in force.
             Event::PredecessorUnresponsive
                 if !matches!(
-                    self.above,
+                    self.predecessor,
                     PredecessorState::Granting(RESERVE..) | PredecessorState::Absent
                 ) =>
             {
-                self.above = PredecessorState::Unresponsive;
+                self.predecessor = PredecessorState::Unresponsive;
             }
             Event::PredecessorAccepted
-                if matches!(self.above, PredecessorState::Unknown | PredecessorState::Unresponsive) =>
+                if matches!(self.predecessor, PredecessorState::Unknown | PredecessorState::Unresponsive) =>
             {
-                self.above = PredecessorState::Granting(0)
+                self.predecessor = PredecessorState::Granting(0)
             }
-            // What was granted before a later grant came is part of that.
-            Event::Granted(all) => {
-                if let PredecessorState::Granting(granted) = &mut self.above {
-                    *granted = (*granted).max(all.min(DIVIDED));
+            // Each grant is a total that includes the earlier ones.
+            Event::Granted(total) => {
+                if let PredecessorState::Granting(granted) = &mut self.predecessor {
+                    *granted = (*granted).max(total.min(DIVISIBLE));
                 }
             }
             Event::SuccessorRequests => {
-                if self.above != PredecessorState::Absent || self.given.is_some() {
+                if self.predecessor != PredecessorState::Absent || self.granted_to_successor.is_some() {
                     return vec![Action::DeferSuccessor];
                 }
-                self.given = Some(0);
-                return std::iter::once(Action::AcceptSuccessor).chain(self.grant()).collect();
+                self.granted_to_successor = Some(0);
+                return std::iter::once(Action::AcceptSuccessor).chain(self.grant_released()).collect();
             }
-            Event::SuccessorDied => self.given = None,
-            Event::InUse(holds) => self.holds = holds.min(WHOLE),
+            Event::SuccessorDied => self.granted_to_successor = None,
+            Event::InUse(in_use) => self.in_use = in_use.min(TOTAL),
             Event::Stop => self.stopping = true,
             Event::PredecessorUnresponsive | Event::PredecessorAccepted => {}
         }
-        self.grant().into_iter().collect()
+        self.grant_released().into_iter().collect()
     }
 
-    /// Grants what has been let go.
-    fn grant(&mut self) -> Option<Action> {
-        let given = self.given?;
-        let kept = match self.stopping {
-            true => self.holds + HEADROOM,
-            false => self.holds.max(HALF),
+    /// Grants the successor what this process has released.
+    fn grant_released(&mut self) -> Option<Action> {
+        let granted = self.granted_to_successor?;
+        let retained = match self.stopping {
+            true => self.in_use + STOPPING_HEADROOM,
+            false => self.in_use.max(HALF_SHARE),
         };
-        let free = DIVIDED.saturating_sub(kept).max(given);
-        self.given = Some(free);
-        (free > given).then_some(Action::Grant(free))
+        let total = DIVISIBLE.saturating_sub(retained).max(granted);
+        self.granted_to_successor = Some(total);
+        (total > granted).then_some(Action::Grant(total))
     }
 }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,107 +1,107 @@
-//! All orders of starts, words, deaths and stops of three processes, explored by a model checker: the parts never come
-//! to more than the whole, and whoever is left alone comes to have all.
+//! A model checker explores all interleavings of starts, messages, deaths and stops of three processes. The shares in
+//! use never exceed the total, and a process that is left alone gets everything that can be divided.
 
 use lilacquay_handover::resource_split::{
-    Action, DIVIDED, Event, HALF, PredecessorState, RESERVE, ResourceSplit, WHOLE,
+    Action, DIVISIBLE, Event, HALF_SHARE, PredecessorState, RESERVE, ResourceSplit, TOTAL,
 };
 use stateright::{Checker, Model, Property};
 
-const MOST: usize = 3;
+const MAX_PROCESSES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     alive: bool,
-    /// It neither reads nor writes (SIGSTOP), and holds what it holds.
-    hangs: bool,
-    tie: ResourceSplit,
-    holds: u32,
-    /// Who is before it, as it believes, and behind it.
-    elder: Option<usize>,
-    heir: Option<usize>,
-    /// Words on their way to it, in order.
-    inbox: Vec<Word>,
+    /// Stopped by SIGSTOP: it neither reads nor writes, and keeps what it has in use.
+    hung: bool,
+    split: ResourceSplit,
+    in_use: u32,
+    /// Its predecessor and successor, as far as it knows.
+    predecessor: Option<usize>,
+    successor: Option<usize>,
+    /// Messages in flight to it, in order.
+    inbox: Vec<Message>,
     stopping: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Word {
-    Asks(usize),
+enum Message {
+    TakeoverRequest(usize),
     Wait,
-    Taken(usize),
+    Accepted(usize),
     Grant(u32),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct World {
     processes: Vec<Process>,
-    /// Who listens at the place where heirs ask.
-    listens: Option<usize>,
+    /// The process that listens on the socket for successors.
+    listener: Option<usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Start,
-    /// A process asks whoever listens.
-    Ask(usize),
-    /// It waits no longer for an answer.
+    /// A process sends a request to the listener.
+    Request(usize),
+    /// It stops waiting for an answer.
     GiveUp(usize),
-    Read(usize),
-    /// It takes or lets go so much that it holds this.
-    Hold(usize, u32),
+    Deliver(usize),
+    /// Its use changes to this share.
+    SetInUse(usize, u32),
     Stop(usize),
     Die(usize),
     Hang(usize),
-    /// It finds that its elder or its heir is dead.
-    FindElder(usize),
-    FindHeir(usize),
+    /// It detects that its predecessor or its successor has died.
+    DetectPredecessorDeath(usize),
+    DetectSuccessorDeath(usize),
 }
 
-struct Fleet;
+struct RestartModel;
 
 impl World {
     fn others_live(&self, n: usize) -> bool {
         self.processes.iter().enumerate().any(|(other, process)| other != n && process.alive)
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
-        let actions = self.processes[at].tie.on_event(event);
+    fn notify(&mut self, at: usize, event: Event) {
+        let actions = self.processes[at].split.on_event(event);
         for action in actions {
-            let (to, word) = match (action, self.processes[at].heir) {
-                (Action::Grant(all), Some(heir)) => (heir, Word::Grant(all)),
-                _ => continue, // to take or to wait is answered where it is asked
+            let (to, message) = match (action, self.processes[at].successor) {
+                (Action::Grant(total), Some(successor)) => (successor, Message::Grant(total)),
+                _ => continue, // accepting and deferring are answered in `deliver`
             };
-            self.processes[to].inbox.push(word);
+            self.processes[to].inbox.push(message);
         }
     }
 
-    fn read(&mut self, at: usize) {
-        let word = self.processes[at].inbox.remove(0);
-        match word {
-            Word::Asks(heir) => {
-                let actions = self.processes[at].tie.on_event(Event::SuccessorRequests);
+    fn deliver(&mut self, at: usize) {
+        let message = self.processes[at].inbox.remove(0);
+        match message {
+            Message::TakeoverRequest(successor) => {
+                let actions = self.processes[at].split.on_event(Event::SuccessorRequests);
                 for action in actions {
-                    let word = match action {
+                    let message = match action {
                         Action::AcceptSuccessor => {
-                            self.processes[at].heir = Some(heir);
-                            Word::Taken(at)
+                            self.processes[at].successor = Some(successor);
+                            Message::Accepted(at)
                         }
-                        Action::DeferSuccessor => Word::Wait,
-                        Action::Grant(all) => Word::Grant(all),
+                        Action::DeferSuccessor => Message::Wait,
+                        Action::Grant(total) => Message::Grant(total),
                     };
-                    self.processes[heir].inbox.push(word);
+                    self.processes[successor].inbox.push(message);
                 }
             }
-            Word::Wait => {}
-            Word::Taken(elder) => {
-                self.processes[at].elder = Some(elder);
-                self.tell(at, Event::PredecessorAccepted);
+            Message::Wait => {}
+            Message::Accepted(predecessor) => {
+                self.processes[at].predecessor = Some(predecessor);
+                self.notify(at, Event::PredecessorAccepted);
             }
-            Word::Grant(all) => self.tell(at, Event::Granted(all)),
+            Message::Grant(total) => self.notify(at, Event::Granted(total)),
         }
     }
 }
 
-impl Model for Fleet {
+impl Model for RestartModel {
     type State = World;
     type Action = Step;
 
@@ -110,43 +110,45 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        // The platform starts another once the one before is in service, and one at a time.
-        let ready = world.processes.iter().all(|p| !p.alive || p.tie.limit() > 0);
-        let untied =
-            world.processes.iter().any(|p| p.alive && p.tie.predecessor() == PredecessorState::Unresponsive);
-        if world.processes.len() < MOST && ready && !untied {
+        // The platform starts one process at a time, once the one before it is in service.
+        let ready = world.processes.iter().all(|p| !p.alive || p.split.limit() > 0);
+        let unresponsive = world
+            .processes
+            .iter()
+            .any(|p| p.alive && p.split.predecessor() == PredecessorState::Unresponsive);
+        if world.processes.len() < MAX_PROCESSES && ready && !unresponsive {
             steps.push(Step::Start);
         }
         for (n, process) in world.processes.iter().enumerate().filter(|(_, p)| p.alive) {
             steps.push(Step::Die(n));
-            if process.hangs {
+            if process.hung {
                 continue;
             }
-            match process.tie.predecessor() {
+            match process.split.predecessor() {
                 PredecessorState::Unknown if process.inbox.is_empty() => {
-                    steps.extend([Step::Ask(n), Step::GiveUp(n)])
+                    steps.extend([Step::Request(n), Step::GiveUp(n)])
                 }
-                PredecessorState::Unknown | PredecessorState::Granting(_) => steps.push(Step::GiveUp(n)), // in the midst of what is told
+                PredecessorState::Unknown | PredecessorState::Granting(_) => steps.push(Step::GiveUp(n)), // the state may still be arriving
                 PredecessorState::Unresponsive | PredecessorState::Absent => {}
             }
             if !process.inbox.is_empty() {
-                steps.push(Step::Read(n));
+                steps.push(Step::Deliver(n));
             }
-            let limit = process.tie.limit();
-            for holds in [0, limit / 2, limit] {
-                if holds != process.holds && (holds <= limit) {
-                    steps.push(Step::Hold(n, holds));
+            let limit = process.split.limit();
+            for in_use in [0, limit / 2, limit] {
+                if in_use != process.in_use && (in_use <= limit) {
+                    steps.push(Step::SetInUse(n, in_use));
                 }
             }
             if !process.stopping {
                 steps.extend([Step::Stop(n), Step::Hang(n)]);
             }
             let dead = |other: Option<usize>| other.is_some_and(|other| !world.processes[other].alive);
-            if dead(process.elder) {
-                steps.push(Step::FindElder(n));
+            if dead(process.predecessor) {
+                steps.push(Step::DetectPredecessorDeath(n));
             }
-            if dead(process.heir) {
-                steps.push(Step::FindHeir(n));
+            if dead(process.successor) {
+                steps.push(Step::DetectSuccessorDeath(n));
             }
         }
     }
@@ -155,52 +157,62 @@
         let mut world = world.clone();
         match step {
             Step::Start => {
-                let (tie, inbox) = Default::default();
-                let (elder, heir) = (None, None);
-                let process =
-                    Process { alive: true, hangs: false, tie, holds: 0, elder, heir, inbox, stopping: false };
+                let (split, inbox) = Default::default();
+                let (predecessor, successor) = (None, None);
+                let process = Process {
+                    alive: true,
+                    hung: false,
+                    split,
+                    in_use: 0,
+                    predecessor,
+                    successor,
+                    inbox,
+                    stopping: false,
+                };
                 world.processes.push(process);
             }
-            Step::Ask(n) => match world.listens.filter(|&at| world.processes[at].alive) {
-                Some(at) if at != n => world.processes[at].inbox.push(Word::Asks(n)),
-                // Nobody listens, which is no proof: the lock that all who live hold is.
+            Step::Request(n) => match world.listener.filter(|&at| world.processes[at].alive) {
+                Some(at) if at != n => world.processes[at].inbox.push(Message::TakeoverRequest(n)),
+                // A missing listener does not prove that no other process lives; the lock held by every live process does.
                 _ if world.others_live(n) => return None,
                 _ => {
-                    world.tell(n, Event::NoPredecessor);
-                    world.listens = Some(n);
+                    world.notify(n, Event::NoPredecessor);
+                    world.listener = Some(n);
                 }
             },
-            // Whoever listens says nothing, or to wait, for too long. One at a time: the platform starts no second.
+            // The listener has not answered, or has answered with a wait, for too long. Only one process can be in this
+            // state, since the platform starts no second one.
             Step::GiveUp(n) => {
-                let untied = |p: &Process| p.alive && p.tie.predecessor() == PredecessorState::Unresponsive;
-                if !world.others_live(n) || world.processes.iter().any(untied) {
+                let unresponsive =
+                    |p: &Process| p.alive && p.split.predecessor() == PredecessorState::Unresponsive;
+                if !world.others_live(n) || world.processes.iter().any(unresponsive) {
                     return None;
                 }
-                world.tell(n, Event::PredecessorUnresponsive);
+                world.notify(n, Event::PredecessorUnresponsive);
             }
-            Step::Read(n) => world.read(n),
-            Step::Hold(n, holds) => {
-                world.processes[n].holds = holds;
-                world.tell(n, Event::InUse(holds));
+            Step::Deliver(n) => world.deliver(n),
+            Step::SetInUse(n, in_use) => {
+                world.processes[n].in_use = in_use;
+                world.notify(n, Event::InUse(in_use));
             }
             Step::Stop(n) => {
                 world.processes[n].stopping = true;
-                world.tell(n, Event::Stop);
+                world.notify(n, Event::Stop);
             }
-            Step::Hang(n) => world.processes[n].hangs = true,
+            Step::Hang(n) => world.processes[n].hung = true,
             Step::Die(n) => {
                 let process = &mut world.processes[n];
-                (process.alive, process.holds) = (false, 0);
+                (process.alive, process.in_use) = (false, 0);
                 process.inbox.clear();
             }
-            Step::FindElder(n) => {
-                world.processes[n].elder = None;
-                world.tell(n, Event::NoPredecessor);
-                world.listens = Some(n); // the place is of the one that has no elder
+            Step::DetectPredecessorDeath(n) => {
+                world.processes[n].predecessor = None;
+                world.notify(n, Event::NoPredecessor);
+                world.listener = Some(n); // the socket belongs to the process without a predecessor
             }
-            Step::FindHeir(n) => {
-                world.processes[n].heir = None;
-                world.tell(n, Event::SuccessorDied);
+            Step::DetectSuccessorDeath(n) => {
+                world.processes[n].successor = None;
+                world.notify(n, Event::SuccessorDied);
             }
         }
         Some(world)
@@ -208,34 +220,41 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("the parts never come to more than the whole", |_, world| {
-                let parts = world.processes.iter().filter(|p| p.alive);
-                parts.map(|p| p.tie.limit().max(p.holds)).sum::<u32>() <= WHOLE
+            Property::<Self>::always("the shares never exceed the total", |_, world| {
+                let alive = world.processes.iter().filter(|p| p.alive);
+                alive.map(|p| p.split.limit().max(p.in_use)).sum::<u32>() <= TOTAL
             }),
-            Property::<Self>::always("one that is alone and knows it has all", |_, world| {
-                let mut alive = world.processes.iter().filter(|p| p.alive);
-                match (alive.next(), alive.next()) {
-                    (Some(one), None)
-                        if one.tie.predecessor() == PredecessorState::Absent && !one.tie.has_successor() =>
-                    {
-                        one.tie.limit() == DIVIDED
+            Property::<Self>::always(
+                "a process that knows it is alone has everything divisible",
+                |_, world| {
+                    let mut alive = world.processes.iter().filter(|p| p.alive);
+                    match (alive.next(), alive.next()) {
+                        (Some(one), None)
+                            if one.split.predecessor() == PredecessorState::Absent
+                                && !one.split.has_successor() =>
+                        {
+                            one.split.limit() == DIVISIBLE
+                        }
+                        _ => true,
                     }
-                    _ => true,
-                }
-            }),
-            Property::<Self>::sometimes("two share evenly", |_, world| {
+                },
+            ),
+            Property::<Self>::sometimes("two processes share evenly", |_, world| {
                 let limits: Vec<u32> =
-                    world.processes.iter().filter(|p| p.alive).map(|p| p.tie.limit()).collect();
-                limits == [HALF, DIVIDED - HALF]
-            }),
-            Property::<Self>::sometimes("an heir of one that hangs has the reserve", |_, world| {
-                world.processes.iter().any(|p| p.alive && p.tie.limit() == RESERVE)
+                    world.processes.iter().filter(|p| p.alive).map(|p| p.split.limit()).collect();
+                limits == [HALF_SHARE, DIVISIBLE - HALF_SHARE]
             }),
-            Property::<Self>::sometimes("an heir of an heir has all", |_, world| {
-                world.processes.len() == MOST
-                    && world.processes[MOST - 1].alive
-                    && world.processes[MOST - 1].tie.limit() == DIVIDED
+            Property::<Self>::sometimes("the successor of a hung process has the reserve", |_, world| {
+                world.processes.iter().any(|p| p.alive && p.split.limit() == RESERVE)
             }),
+            Property::<Self>::sometimes(
+                "the successor of a successor has everything divisible",
+                |_, world| {
+                    world.processes.len() == MAX_PROCESSES
+                        && world.processes[MAX_PROCESSES - 1].alive
+                        && world.processes[MAX_PROCESSES - 1].split.limit() == DIVISIBLE
+                },
+            ),
         ]
     }
 
@@ -245,8 +264,8 @@
 }
 
 #[test]
-fn no_order_of_starts_words_deaths_and_stops_uses_more_than_there_is() {
-    let checker = Fleet.checker().threads(2).target_max_depth(14).spawn_bfs().join();
+fn no_interleaving_of_starts_messages_deaths_and_stops_exceeds_the_total() {
+    let checker = RestartModel.checker().threads(2).target_max_depth(14).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 50_000, "{}", checker.unique_state_count());
 }
--- a/crates/inherit/src/lib.rs
+++ b/crates/inherit/src/lib.rs
@@ -1,10 +1,10 @@
-//! The listening socket that a platform passes to a process by the number of a descriptor.
+//! Takes over the listening socket that the platform passes to a process as a file descriptor number.
 //!
-//! A number names whatever this process has there; only the platform's word says that it is a socket. Rust's
-//! standard library takes such a number only with `unsafe`, since code that closes a number which another part
-//! owns breaks that part. Here it is borrowed for one system call that copies it: the copy is owned, the number
-//! itself stays open and is nobody's in this process. No well-kept crate was found that takes a number by another
-//! way than systemd's variables, which this platform doesn't set.
+//! A number refers to whatever this process has open under it; only the platform vouches that it is a socket. Rust's
+//! standard library accepts such a number only with `unsafe`, since code that closes a descriptor owned by another
+//! part of the program breaks that part. Here the number is borrowed for one system call that duplicates it: the
+//! duplicate is owned, and the original stays open with no owner in this process. No well-maintained crate was found
+//! that takes a descriptor in another way than through systemd's variables, which this platform does not set.
 
 use std::fmt;
 use std::net::{SocketAddr, TcpListener};
@@ -12,18 +12,18 @@
 
 use socket2::{Socket, Type};
 
-/// Why a passed descriptor can't be used.
+/// Why an inherited descriptor can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InheritedSocketError {
-    /// The text names no descriptor beyond the standard streams.
+    /// The text is not a descriptor number above the standard streams.
     InvalidNumber(String),
-    /// No descriptor of this number is open.
+    /// No descriptor with this number is open.
     NotOpen(RawFd),
-    /// It is not a TCP socket that listens on IPv4 or IPv6.
+    /// It is not a TCP socket listening on IPv4 or IPv6.
     NotListening(RawFd, &'static str),
-    /// It listens somewhere else than the node is told to.
+    /// It listens on another address (first) than the configured one (second).
     AddressMismatch(SocketAddr, SocketAddr),
-    /// The system refused something else.
+    /// Another error of the operating system.
     Os(RawFd, String),
 }
 
@@ -37,13 +37,16 @@
                 write!(f, "descriptor {fd} is not open; have the platform pass it, or unset the variable")
             }
             InheritedSocketError::NotListening(fd, what) => {
-                write!(f, "descriptor {fd} is {what}; pass a TCP socket that listens")
+                write!(f, "descriptor {fd} is {what}; pass a listening TCP socket")
             }
-            InheritedSocketError::AddressMismatch(is, told) => {
-                write!(f, "the passed socket listens on {is}, the node is told {told}; make the two agree")
+            InheritedSocketError::AddressMismatch(actual, configured) => {
+                write!(
+                    f,
+                    "the passed socket listens on {actual}, but the node is configured for {configured}; make the two agree"
+                )
             }
             InheritedSocketError::Os(fd, what) => {
-                write!(f, "descriptor {fd} can't be used: {what}; pass a TCP socket that listens")
+                write!(f, "descriptor {fd} can't be used: {what}; pass a listening TCP socket")
             }
         }
     }
@@ -51,53 +54,55 @@
 
 impl std::error::Error for InheritedSocketError {}
 
-/// A descriptor's number in words of a platform.
+/// Parses a descriptor number given by the platform.
 ///
 /// # Errors
-/// If it is none, or one of the standard streams.
+/// If the text is not a number, or names one of the standard streams.
 pub fn parse_descriptor(text: &str) -> Result<RawFd, InheritedSocketError> {
     let fd = text.trim().parse().ok().filter(|&fd: &RawFd| fd > 2);
     fd.ok_or_else(|| InheritedSocketError::InvalidNumber(text.to_owned()))
 }
 
-/// The listener behind a passed descriptor: a copy of it, closed when a program is executed, that does not block.
-/// Several processes may accept from it; which of them gets a connection is the kernel's choice.
+/// Duplicates an inherited descriptor and returns it as a non-blocking listener, with close-on-exec set. Several
+/// processes may accept from it; the kernel chooses which of them gets a connection.
 ///
 /// # Errors
-/// If the descriptor is closed, is not a TCP socket that listens, or listens elsewhere than `told`. A `told` port
-/// of 0, or an unspecified address on either side, agrees with any.
-pub fn inherited_listener(fd: RawFd, told: SocketAddr) -> Result<TcpListener, InheritedSocketError> {
-    let socket = Socket::from(copy(fd)?);
-    let system = |error: std::io::Error| match error.raw_os_error() {
-        Some(88) => InheritedSocketError::NotListening(fd, "no socket"), // ENOTSOCK
+/// If the descriptor is closed, is not a listening TCP socket, or listens elsewhere than `configured`. A `configured`
+/// port of 0, or an unspecified address on either side, matches any.
+pub fn inherited_listener(fd: RawFd, configured: SocketAddr) -> Result<TcpListener, InheritedSocketError> {
+    let socket = Socket::from(duplicate(fd)?);
+    let os_error = |error: std::io::Error| match error.raw_os_error() {
+        Some(88) => InheritedSocketError::NotListening(fd, "not a socket"), // ENOTSOCK
         _ => InheritedSocketError::Os(fd, error.to_string()),
     };
-    if socket.r#type().map_err(system)? != Type::STREAM {
-        return Err(InheritedSocketError::NotListening(fd, "no TCP socket"));
+    if socket.r#type().map_err(os_error)? != Type::STREAM {
+        return Err(InheritedSocketError::NotListening(fd, "not a TCP socket"));
     }
-    if !socket.is_listener().map_err(system)? {
+    if !socket.is_listener().map_err(os_error)? {
         return Err(InheritedSocketError::NotListening(fd, "a socket that does not listen"));
     }
-    let is = socket.local_addr().map_err(system)?.as_socket();
-    let is = is.ok_or(InheritedSocketError::NotListening(fd, "no TCP socket"))?;
-    let any = is.ip().is_unspecified() || told.ip().is_unspecified();
-    if told.port() != 0 && told.port() != is.port() || !any && told.ip() != is.ip() {
-        return Err(InheritedSocketError::AddressMismatch(is, told));
+    let actual = socket.local_addr().map_err(os_error)?.as_socket();
+    let actual = actual.ok_or(InheritedSocketError::NotListening(fd, "not a TCP socket"))?;
+    let is_any_address = actual.ip().is_unspecified() || configured.ip().is_unspecified();
+    if configured.port() != 0 && configured.port() != actual.port()
+        || !is_any_address && configured.ip() != actual.ip()
+    {
+        return Err(InheritedSocketError::AddressMismatch(actual, configured));
     }
-    socket.set_nonblocking(true).map_err(system)?;
+    socket.set_nonblocking(true).map_err(os_error)?;
     Ok(socket.into())
 }
 
-/// A copy of the descriptor, which is ours.
-fn copy(fd: RawFd) -> Result<OwnedFd, InheritedSocketError> {
+/// Duplicates a descriptor; the caller owns the duplicate.
+fn duplicate(fd: RawFd) -> Result<OwnedFd, InheritedSocketError> {
     if fd < 3 {
         return Err(InheritedSocketError::InvalidNumber(fd.to_string()));
     }
-    // SAFETY: the number is used for one call alone, fcntl(F_DUPFD_CLOEXEC), which closes nothing and answers EBADF
-    // if no such descriptor is open. Nothing in this process closes the number between, as nothing owns it.
+    // SAFETY: the borrowed descriptor is used only for fcntl(F_DUPFD_CLOEXEC), which closes nothing and fails with EBADF
+    // if no such descriptor is open. Nothing in this process can close it meanwhile, since nothing owns it.
     #[allow(unsafe_code)]
-    let passed = unsafe { BorrowedFd::borrow_raw(fd) };
-    rustix::io::fcntl_dupfd_cloexec(passed, 3).map_err(|_| InheritedSocketError::NotOpen(fd))
+    let borrowed = unsafe { BorrowedFd::borrow_raw(fd) };
+    rustix::io::fcntl_dupfd_cloexec(borrowed, 3).map_err(|_| InheritedSocketError::NotOpen(fd))
 }
 
 #[cfg(test)]
@@ -108,55 +113,58 @@
 
     use super::*;
 
-    fn told(text: &str) -> SocketAddr {
+    fn address(text: &str) -> SocketAddr {
         text.parse().unwrap()
     }
 
     #[test]
-    fn a_listener_is_copied_and_both_take_from_one_queue() {
+    fn a_duplicated_listener_shares_the_accept_queue() {
         let passed = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = passed.local_addr().unwrap();
-        let copy = inherited_listener(passed.as_raw_fd(), at).unwrap();
-        assert_eq!(copy.local_addr().unwrap(), at);
+        let duplicate = inherited_listener(passed.as_raw_fd(), at).unwrap();
+        assert_eq!(duplicate.local_addr().unwrap(), at);
         let _client = std::net::TcpStream::connect(at).unwrap();
-        assert!(copy.accept().is_ok());
-        drop(copy);
-        assert_eq!(passed.local_addr().unwrap(), at, "the passed one stays open");
+        assert!(duplicate.accept().is_ok());
+        drop(duplicate);
+        assert_eq!(passed.local_addr().unwrap(), at, "the original stays open");
         assert!(
-            inherited_listener(passed.as_raw_fd(), told("127.0.0.1:0")).is_ok(),
-            "a port that is not told"
+            inherited_listener(passed.as_raw_fd(), address("127.0.0.1:0")).is_ok(),
+            "a configured port of 0 matches any"
         );
     }
 
     #[test]
-    fn what_is_no_listener_is_told_with_the_mend() {
+    fn an_unusable_descriptor_is_reported_with_a_remedy() {
         let file = File::open("/proc/self/stat").unwrap();
         let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
         let passed = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = passed.local_addr().unwrap();
         let client = std::net::TcpStream::connect(at).unwrap();
-        let why = |fd, at| inherited_listener(fd, at).unwrap_err();
+        let error = |fd, at| inherited_listener(fd, at).unwrap_err();
         assert_eq!(
-            why(file.as_raw_fd(), at),
-            InheritedSocketError::NotListening(file.as_raw_fd(), "no socket")
+            error(file.as_raw_fd(), at),
+            InheritedSocketError::NotListening(file.as_raw_fd(), "not a socket")
         );
         assert_eq!(
-            why(udp.as_raw_fd(), at),
-            InheritedSocketError::NotListening(udp.as_raw_fd(), "no TCP socket")
+            error(udp.as_raw_fd(), at),
+            InheritedSocketError::NotListening(udp.as_raw_fd(), "not a TCP socket")
         );
         let what = "a socket that does not listen";
-        assert_eq!(why(client.as_raw_fd(), at), InheritedSocketError::NotListening(client.as_raw_fd(), what));
-        assert_eq!(why(9999, at), InheritedSocketError::NotOpen(9999));
+        assert_eq!(
+            error(client.as_raw_fd(), at),
+            InheritedSocketError::NotListening(client.as_raw_fd(), what)
+        );
+        assert_eq!(error(9999, at), InheritedSocketError::NotOpen(9999));
         assert!(matches!(
-            why(passed.as_raw_fd(), told("127.0.0.2:1")),
+            error(passed.as_raw_fd(), address("127.0.0.2:1")),
             InheritedSocketError::AddressMismatch(..)
         ));
         for text in ["", "x", "-1", "0", "2", "3.0"] {
             assert_eq!(parse_descriptor(text), Err(InheritedSocketError::InvalidNumber(text.into())));
         }
         assert_eq!(parse_descriptor("3"), Ok(3));
-        for error in [why(9999, at), why(udp.as_raw_fd(), at), parse_descriptor("x").unwrap_err()] {
-            let line = error.to_string();
+        for failure in [error(9999, at), error(udp.as_raw_fd(), at), parse_descriptor("x").unwrap_err()] {
+            let line = failure.to_string();
             assert!(line.contains(';') && !line.contains('\n'), "{line}");
         }
     }
