--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -1,8 +1,8 @@
-//! An operator's orders on servers, laid over the list that a source of members tells.
+//! Operator orders on servers, applied over the server list that a membership source provides.
 //!
-//! No I/O, no clock, no thread: [`Steer::list`] is told the list, [`Steer::ask`] an order, [`Steer::tick`] the time;
-//! each tells which servers' states change by it, and those go to the decision module as any change of the list
-//! does. `docs/design/appliance.md` has the reasons.
+//! No I/O, clock or threads. [`Overrides::apply_list`] takes the list, [`Overrides::apply_order`] an order and
+//! [`Overrides::tick`] the time. Each returns the servers whose state changes, which are passed on to the decision
+//! module like any other change of the list. `docs/design/appliance.md` gives the reasons.
 
 mod order;
 mod overrides;
@@ -12,5 +12,5 @@
 };
 pub use overrides::{ListedServer, Overrides, State, StateChange};
 
-/// A point in time or a duration, in microseconds. A point that lies before the latest one told counts as that.
+/// A point in time or a duration, in microseconds. A point before the latest one seen counts as the latest.
 pub type Micros = u64;
--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -1,103 +1,104 @@
-//! What operators ask for, and what they are answered.
+//! Orders that operators give, the orders in force, and the reasons for which an order is refused.
 
 use std::fmt;
 
 use crate::Micros;
 
-/// What is to be done with a server.
+/// An operator's order for a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Order {
-    /// It finishes what it has and gets nothing new, until [`Order::Undrain`].
+    /// Drain it: it finishes the requests it has and gets no new ones, until [`Order::Undrain`].
     Drain,
-    /// It gets nothing new for so long, in microseconds.
+    /// Send it no new requests for this duration, in microseconds.
     Exclude(Micros),
-    /// What an operator ordered for it ends. What the list says of it stays.
+    /// Remove the order in force for it. Its state in the list is unaffected.
     Undrain,
 }
 
-/// An order, as an operator gives it.
+/// An operator's order with its options.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderRequest {
-    /// The server's name in the list.
+    /// Name of the server in the list.
     pub server: String,
-    /// What is to be done.
+    /// What to do with the server.
     pub order: Order,
-    /// Whether it holds over a restart, and while the list lacks the server.
+    /// Whether the order survives a restart, and the server's absence from the list.
     pub lasting: bool,
-    /// Whether a drain is meant even if no cache serves after it.
+    /// Whether to drain even if no cache is left in service.
     pub force: bool,
-    /// The number of the server's latest order that the operator has seen, 0 for none; nothing to order whatever
-    /// others have ordered.
+    /// Number of the server's latest order that the operator has seen, 0 for none. The order is refused if
+    /// the latest order is another one. `None` skips this check.
     pub seen: Option<u64>,
 }
 
-/// How an order holds a server.
+/// Effect of an order in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderEffect {
-    /// Until it is lifted.
+    /// Drained until the order is removed.
     Drain,
-    /// Until this time.
+    /// Excluded from new requests until this time.
     ExcludedUntil(Micros),
 }
 
-/// An order that holds.
+/// An order in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ActiveOrder {
-    /// How.
+    /// Its effect on the server.
     pub effect: OrderEffect,
-    /// Whether it lasts over a restart.
+    /// Whether it survives a restart.
     pub lasting: bool,
-    /// Whether it is one that all nodes hold in common, rather than this node's alone.
+    /// Whether it is replicated to all nodes rather than local to this one.
     pub shared: bool,
-    /// Its number: later orders have higher ones.
+    /// Its number; later orders have higher numbers.
     pub number: u64,
 }
 
-/// An order that all nodes hold in common.
+/// An order that is replicated to all nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SharedOrder {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// How it holds it.
+    /// Its effect on the server.
     pub effect: OrderEffect,
-    /// What it is known by among the nodes: kept with an order that lasts, and told again after a restart.
+    /// Identifies the order among the nodes. It is stored with an order that survives restarts, and sent again after
+    /// a restart.
     pub mark: String,
 }
 
-/// An order that lasts, as it is kept over a restart.
+/// An order as it is stored across a restart.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PersistentOrder {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// How much longer it is left out; nothing for a drain.
+    /// Remaining exclusion time; `None` for a drain.
     pub remaining: Option<Micros>,
-    /// What it is known by among the nodes, if they hold it in common.
+    /// Identifies the order among the nodes, if it is replicated.
     pub mark: Option<String>,
 }
 
-/// An order that was obeyed.
+/// Result of an accepted order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedOrder {
-    /// Its number.
+    /// Number of the order.
     pub number: u64,
-    /// The order that it took the place of.
+    /// The order that it replaced.
     pub replaced: Option<ActiveOrder>,
 }
 
-/// Why an order was not obeyed. Nothing has changed then.
+/// Why an order was refused. A refused order changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Refusal {
-    /// The list has no such server.
+    /// The server is not in the list.
     UnknownServer,
-    /// No cache would serve any more.
+    /// No cache would be left in service.
     LastServing,
-    /// Another order came between, of this number.
+    /// Another order, with this number, was given since the one that the operator has seen.
     Conflict(u64),
-    /// No order holds the server: what keeps it from serving, if anything, is the list.
+    /// No order is in force for the server. If it is out of service, that is due to the list.
     NoOrder,
-    /// It is the origin, which has no stand-in.
+    /// The server is the origin, which nothing can replace.
     Origin,
-    /// So many orders hold already.
+    /// The maximum number of orders, given here, is in force already.
     TooMany(usize),
 }
 
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -1,4 +1,4 @@
-//! Who wins: the list or an order, one order or another.
+//! Combines the server list with the orders in force, and resolves conflicts between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,293 +7,307 @@
     ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, SharedOrder,
 };
 
-/// Orders that may hold at once.
-const MOST: usize = 1024;
+/// Maximum number of orders in force at once.
+const MAX_ORDERS: usize = 1024;
 
-/// Whether a server that is listed takes requests.
+/// Whether a listed server takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// In service.
     Serving,
-    /// Finishing what it has; gets nothing new.
+    /// Finishing the requests it has; gets no new ones.
     Draining,
 }
 
-/// A server, as the list has it.
+/// A server as given by the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedServer {
     /// Its name.
     pub name: String,
-    /// Its state; nothing if it is gone.
+    /// Its state; `None` if it has been removed from the list.
     pub state: Option<State>,
     /// Whether it is the origin.
     pub origin: bool,
 }
 
-/// A server whose state is another than was told before.
+/// A server whose effective state differs from the one reported before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StateChange {
     /// Its name.
     pub server: String,
-    /// Its state from now on.
+    /// Its new effective state.
     pub state: State,
 }
 
 struct Server {
+    /// State according to the list.
     listed: State,
     origin: bool,
-    told: State,
+    /// Effective state as last reported to the caller.
+    reported: State,
 }
 
-/// The list with the orders on it.
+/// The server list with the operator's orders applied.
 ///
-/// - What is gone from the list is gone, whatever was ordered.
-/// - A server serves only if both list and operator let it: neither overrides the other's drain.
-/// - Of two orders for one server the later holds, unless it says which it was given in sight of, and was not.
-/// - An order that would leave no cache in service is refused unless it is forced. Where the list brings that about
-///   later, those that were left out for a time are let in, as long as it is so; a drain holds, for whoever ordered
-///   it may be at the machine.
-/// - An order ends with its server's place in the list, unless it lasts or is held in common.
-/// - Orders that the nodes hold in common come and go together, as those nodes have agreed; a node's own stay beside them.
-/// - What others say of a server leaves it out for as long as they say so, unless no cache would serve any more.
+/// - A server that is removed from the list is gone, whatever was ordered.
+/// - A server serves only if both the list and the operator allow it: neither overrides the other's drain.
+/// - Of two orders for one server the later one is in force. An order that names the latest order seen by its operator
+///   is refused if that is not the latest any more.
+/// - An order that would leave no cache in service is refused unless it is forced. If a later change of the list has
+///   that effect, temporarily excluded servers are used again until another cache serves; drained ones are not, since
+///   the operator may be working on the machine.
+/// - An order ends when its server leaves the list, unless it survives restarts or is replicated.
+/// - Replicated orders are replaced as a set, as the nodes have agreed on them; a node's local orders stay beside them.
+/// - A server that other nodes report as faulty is excluded for as long as they do, unless no cache would be left in
+///   service.
 #[derive(Default)]
 pub struct Overrides {
     servers: BTreeMap<String, Server>,
     orders: BTreeMap<String, ActiveOrder>,
-    /// By server, what an order in common is known by.
+    /// Identifier of the replicated order, by server.
     marks: BTreeMap<String, String>,
-    /// Left out on the word of others.
-    hearsay: BTreeSet<String>,
-    numbers: u64,
+    /// Servers excluded because other nodes report them as faulty.
+    peer_exclusions: BTreeSet<String>,
+    /// Number of the latest order.
+    last_number: u64,
     now: Micros,
 }
 
 impl Overrides {
-    /// No servers, and no orders.
+    /// Starts with no servers and no orders.
     pub fn new() -> Self {
         Overrides::default()
     }
 
-    /// The orders that lasted over a restart hold again; what is over meanwhile does not.
-    pub fn restore(&mut self, now: Micros, kept: Vec<PersistentOrder>) {
+    /// Restores the orders that were stored before a restart, except for those that have expired since.
+    pub fn restore(&mut self, now: Micros, stored: Vec<PersistentOrder>) {
         self.now = self.now.max(now);
-        for PersistentOrder { server, remaining: left, mark } in kept.into_iter().take(MOST) {
-            let hold = left
-                .map_or(OrderEffect::Drain, |left| OrderEffect::ExcludedUntil(self.now.saturating_add(left)));
-            self.numbers += 1;
-            let common = mark.is_some();
+        for PersistentOrder { server, remaining, mark } in stored.into_iter().take(MAX_ORDERS) {
+            let effect = remaining.map_or(OrderEffect::Drain, |remaining| {
+                OrderEffect::ExcludedUntil(self.now.saturating_add(remaining))
+            });
+            self.last_number += 1;
+            let shared = mark.is_some();
             self.marks.extend(mark.map(|mark| (server.clone(), mark)));
-            self.orders.insert(
-                server,
-                ActiveOrder { effect: hold, lasting: true, shared: common, number: self.numbers },
-            );
+            self.orders
+                .insert(server, ActiveOrder { effect, lasting: true, shared, number: self.last_number });
         }
         self.expire();
     }
 
-    /// Goes by the orders that the nodes hold in common now, in place of those before; `whole`: these are all, so that one
-    /// that is missing was lifted. Tells which servers' states change.
+    /// Applies the replicated orders. With `complete`, they are the complete set, and orders missing from it are removed.
+    /// Returns the servers whose state changes.
     pub fn apply_shared_orders(
         &mut self,
         now: Micros,
-        whole: bool,
+        complete: bool,
         orders: Vec<SharedOrder>,
     ) -> Vec<StateChange> {
         self.now = self.now.max(now);
-        if whole {
+        if complete {
             let named: BTreeSet<&str> = orders.iter().map(|order| order.server.as_str()).collect();
-            self.orders.retain(|server, held| !held.shared || named.contains(server.as_str()));
+            self.orders.retain(|server, order| !order.shared || named.contains(server.as_str()));
             self.marks.clear();
         }
-        for SharedOrder { server, effect: hold, mark } in orders {
+        for SharedOrder { server, effect, mark } in orders {
             let before = self.orders.get(&server).copied();
-            if before.is_none() && self.orders.len() >= MOST {
+            if before.is_none() && self.orders.len() >= MAX_ORDERS {
                 continue;
             }
-            let same = before.filter(|before| before.shared && before.effect == hold);
-            self.numbers += u64::from(same.is_none());
-            let number = same.map_or(self.numbers, |same| same.number);
+            let unchanged = before.filter(|before| before.shared && before.effect == effect);
+            self.last_number += u64::from(unchanged.is_none());
+            let number = unchanged.map_or(self.last_number, |unchanged| unchanged.number);
             let lasting = before.is_some_and(|before| before.lasting);
             self.marks.insert(server.clone(), mark);
-            self.orders.insert(server, ActiveOrder { effect: hold, lasting, shared: true, number });
+            self.orders.insert(server, ActiveOrder { effect, lasting, shared: true, number });
         }
         self.expire();
-        self.settle()
+        self.update_states()
     }
 
-    /// Leaves these out, and none that were left out on hearsay before. Tells which servers' states change.
+    /// Replaces the set of servers excluded because other nodes report them as faulty. Returns the servers whose state
+    /// changes.
     pub fn set_peer_exclusions(&mut self, now: Micros, servers: BTreeSet<String>) -> Vec<StateChange> {
         self.now = self.now.max(now);
-        self.hearsay = servers;
-        self.settle()
+        self.peer_exclusions = servers;
+        self.update_states()
     }
 
-    /// The orders that are to last over a restart.
+    /// The orders to store across a restart.
     pub fn persistent_orders(&self) -> Vec<PersistentOrder> {
-        let lasting = self.orders.iter().filter(|(_, held)| held.lasting);
-        let kept = |(server, held): (&String, &ActiveOrder)| {
-            let left = match held.effect {
+        let persistent_orders = self.orders.iter().filter(|(_, order)| order.lasting);
+        let to_persistent = |(server, order): (&String, &ActiveOrder)| {
+            let remaining = match order.effect {
                 OrderEffect::Drain => None,
                 OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(self.now)),
             };
-            PersistentOrder { server: server.clone(), remaining: left, mark: self.marks.get(server).cloned() }
+            PersistentOrder { server: server.clone(), remaining, mark: self.marks.get(server).cloned() }
         };
-        lasting.map(kept).collect()
+        persistent_orders.map(to_persistent).collect()
     }
 
-    /// Takes over what a source of members tells: the whole list, or what has changed in it. Tells the states of
-    /// the servers that it names, and of others whose state changes by it.
+    /// Applies the full list, or the changes to it. Returns the state of each server it names, and of others whose state
+    /// changes.
     pub fn apply_list(&mut self, now: Micros, full: bool, servers: Vec<ListedServer>) -> Vec<StateChange> {
         self.now = self.now.max(now);
         let named: Vec<String> = servers.iter().map(|listed| listed.name.clone()).collect();
         if full {
             let old = std::mem::take(&mut self.servers);
-            servers.into_iter().for_each(|listed| self.enter(listed));
-            old.into_keys().for_each(|name| self.forget_unlisted(&name));
+            servers.into_iter().for_each(|listed| self.set_listed(listed));
+            old.into_keys().for_each(|name| self.drop_order_if_unlisted(&name));
         } else {
-            servers.into_iter().for_each(|listed| self.enter(listed));
-            named.iter().for_each(|name| self.forget_unlisted(name));
+            servers.into_iter().for_each(|listed| self.set_listed(listed));
+            named.iter().for_each(|name| self.drop_order_if_unlisted(name));
         }
         self.expire();
-        let mut changes = self.settle();
-        // Those that are named are told whether they have changed or not: the core was not told them before.
-        let untold = |name: &&String| changes.iter().all(|change| change.server != **name);
-        let more: Vec<StateChange> = named.iter().filter(untold).filter_map(|name| self.told(name)).collect();
-        changes.extend(more);
+        let mut changes = self.update_states();
+        // Every named server is reported, changed or not: the core has not seen its entry before.
+        let is_unreported = |name: &&String| changes.iter().all(|change| change.server != **name);
+        let unchanged: Vec<StateChange> =
+            named.iter().filter(is_unreported).filter_map(|name| self.reported_state(name)).collect();
+        changes.extend(unchanged);
         changes
     }
 
-    /// Obeys an order, or says why not. Tells which servers' states change, by it or since time has passed.
+    /// Applies an order or returns why it is refused, with the servers whose state changes, also because orders have
+    /// expired.
     pub fn apply_order(
         &mut self,
         now: Micros,
-        ask: &OrderRequest,
+        request: &OrderRequest,
     ) -> (Result<AppliedOrder, Refusal>, Vec<StateChange>) {
         self.now = self.now.max(now);
         self.expire();
-        let done = self.obey(ask);
-        self.expire(); // no time is over at once
-        (done, self.settle())
+        let result = self.accept_order(request);
+        self.expire(); // an exclusion of zero length expires at once
+        (result, self.update_states())
     }
 
-    fn obey(&mut self, ask: &OrderRequest) -> Result<AppliedOrder, Refusal> {
-        let held = self.orders.get(&ask.server).copied();
-        let latest = held.map_or(0, |held| held.number);
-        if ask.seen.is_some_and(|seen| seen != latest) {
+    fn accept_order(&mut self, request: &OrderRequest) -> Result<AppliedOrder, Refusal> {
+        let current = self.orders.get(&request.server).copied();
+        let latest = current.map_or(0, |order| order.number);
+        if request.seen.is_some_and(|seen| seen != latest) {
             return Err(Refusal::Conflict(latest));
         }
-        let hold = match ask.order {
-            Order::Undrain => return self.lift(&ask.server),
+        let effect = match request.order {
+            Order::Undrain => return self.remove_order(&request.server),
             Order::Drain => OrderEffect::Drain,
             Order::Exclude(time) => OrderEffect::ExcludedUntil(self.now.saturating_add(time)),
         };
-        let server = self.servers.get(&ask.server).ok_or(Refusal::UnknownServer)?;
+        let server = self.servers.get(&request.server).ok_or(Refusal::UnknownServer)?;
         if server.origin {
             return Err(Refusal::Origin);
         }
-        if held.is_none() && self.orders.len() >= MOST {
-            return Err(Refusal::TooMany(MOST));
+        if current.is_none() && self.orders.len() >= MAX_ORDERS {
+            return Err(Refusal::TooMany(MAX_ORDERS));
         }
-        // One that serves no more by the list takes nothing away.
-        let others = self.servers.iter().any(|(name, other)| *name != ask.server && self.serves(name, other));
-        let forced = ask.force && ask.order == Order::Drain; // left out for a time, it would be let in at once
-        if server.listed == State::Serving && !others && !forced {
+        // Draining a server that the list has out of service already takes no capacity away.
+        let others_serve = self
+            .servers
+            .iter()
+            .any(|(name, other)| *name != request.server && self.is_available(name, other));
+        // Force does not apply to a temporary exclusion: the excluded server would be used again at once.
+        let forced = request.force && request.order == Order::Drain;
+        if server.listed == State::Serving && !others_serve && !forced {
             return Err(Refusal::LastServing);
         }
-        self.numbers += 1;
-        let new = ActiveOrder { effect: hold, lasting: ask.lasting, shared: false, number: self.numbers };
-        let replaced = self.orders.insert(ask.server.clone(), new);
-        Ok(AppliedOrder { number: self.numbers, replaced })
+        self.last_number += 1;
+        let order = ActiveOrder { effect, lasting: request.lasting, shared: false, number: self.last_number };
+        let replaced = self.orders.insert(request.server.clone(), order);
+        Ok(AppliedOrder { number: self.last_number, replaced })
     }
 
-    fn lift(&mut self, server: &str) -> Result<AppliedOrder, Refusal> {
+    fn remove_order(&mut self, server: &str) -> Result<AppliedOrder, Refusal> {
         match self.orders.remove(server) {
-            Some(held) => {
-                self.numbers += 1;
-                Ok(AppliedOrder { number: self.numbers, replaced: Some(held) })
+            Some(order) => {
+                self.last_number += 1;
+                Ok(AppliedOrder { number: self.last_number, replaced: Some(order) })
             }
             None if self.servers.contains_key(server) => Err(Refusal::NoOrder),
             None => Err(Refusal::UnknownServer),
         }
     }
 
-    /// Ends what is over. Tells which servers' states change by it.
+    /// Removes expired orders. Returns the servers whose state changes.
     pub fn tick(&mut self, now: Micros) -> Vec<StateChange> {
         self.now = self.now.max(now);
         self.expire();
-        self.settle()
+        self.update_states()
     }
 
-    /// When the next order ends by itself.
+    /// When the next order expires.
     pub fn next_expiry(&self) -> Option<Micros> {
-        self.orders.values().filter_map(until).min()
+        self.orders.values().filter_map(expiry).min()
     }
 
-    /// The order that holds a server.
+    /// The order in force for a server.
     pub fn active_order(&self, server: &str) -> Option<ActiveOrder> {
         self.orders.get(server).copied()
     }
 
-    /// All orders that hold, by server.
+    /// All orders in force, by server.
     pub fn active_orders(&self) -> impl Iterator<Item = (&str, ActiveOrder)> {
-        self.orders.iter().map(|(server, held)| (server.as_str(), *held))
+        self.orders.iter().map(|(server, order)| (server.as_str(), *order))
     }
 
-    fn enter(&mut self, ListedServer { name, state, origin }: ListedServer) {
+    fn set_listed(&mut self, ListedServer { name, state, origin }: ListedServer) {
         let Some(listed) = state else {
             self.servers.remove(&name);
             return;
         };
-        let told = self.servers.get(&name).map_or(listed, |server| server.told);
-        self.servers.insert(name, Server { listed, origin, told });
+        let reported = self.servers.get(&name).map_or(listed, |server| server.reported);
+        self.servers.insert(name, Server { listed, origin, reported });
     }
 
-    /// A name that comes back may be another machine's.
-    fn forget_unlisted(&mut self, name: &str) {
-        let ends = |held: &ActiveOrder| !held.lasting && !held.shared;
-        if !self.servers.contains_key(name) && self.orders.get(name).is_some_and(ends) {
+    /// Removes the order for a server that has left the list: the name may come back as another machine.
+    fn drop_order_if_unlisted(&mut self, name: &str) {
+        let ends_with_listing = |order: &ActiveOrder| !order.lasting && !order.shared;
+        if !self.servers.contains_key(name) && self.orders.get(name).is_some_and(ends_with_listing) {
             self.orders.remove(name);
         }
     }
 
     fn expire(&mut self) {
         let now = self.now;
-        self.orders.retain(|_, held| until(held).is_none_or(|until| until > now));
+        self.orders.retain(|_, order| expiry(order).is_none_or(|expiry| expiry > now));
     }
 
-    fn serves(&self, name: &str, server: &Server) -> bool {
+    fn is_available(&self, name: &str, server: &Server) -> bool {
         !server.origin
             && server.listed == State::Serving
             && !self.orders.contains_key(name)
-            && !self.hearsay.contains(name)
+            && !self.peer_exclusions.contains(name)
     }
 
-    /// Sets all states by list and orders; tells which have changed.
-    fn settle(&mut self) -> Vec<StateChange> {
-        let starved = !self.servers.iter().any(|(name, server)| self.serves(name, server));
+    /// Recomputes all effective states and returns those that have changed.
+    fn update_states(&mut self) -> Vec<StateChange> {
+        let none_serving = !self.servers.iter().any(|(name, server)| self.is_available(name, server));
         let mut changes = Vec::new();
         for (name, server) in &mut self.servers {
-            let held = self.orders.get(name).filter(|_| !server.origin);
-            let state = match held.map(|held| held.effect) {
+            let order = self.orders.get(name).filter(|_| !server.origin);
+            let state = match order.map(|order| order.effect) {
                 Some(OrderEffect::Drain) => State::Draining,
-                Some(OrderEffect::ExcludedUntil(_)) if !starved => State::Draining,
-                _ if !starved && !server.origin && self.hearsay.contains(name) => State::Draining,
+                Some(OrderEffect::ExcludedUntil(_)) if !none_serving => State::Draining,
+                _ if !none_serving && !server.origin && self.peer_exclusions.contains(name) => {
+                    State::Draining
+                }
                 _ => server.listed,
             };
-            if std::mem::replace(&mut server.told, state) != state {
+            if std::mem::replace(&mut server.reported, state) != state {
                 changes.push(StateChange { server: name.clone(), state });
             }
         }
         changes
     }
 
-    fn told(&self, name: &str) -> Option<StateChange> {
-        self.servers.get(name).map(|server| StateChange { server: name.to_owned(), state: server.told })
+    fn reported_state(&self, name: &str) -> Option<StateChange> {
+        self.servers.get(name).map(|server| StateChange { server: name.to_owned(), state: server.reported })
     }
 }
 
-fn until(held: &ActiveOrder) -> Option<Micros> {
-    match held.effect {
+/// When an order expires; `None` for a drain.
+fn expiry(order: &ActiveOrder) -> Option<Micros> {
+    match order.effect {
         OrderEffect::Drain => None,
         OrderEffect::ExcludedUntil(until) => Some(until),
     }
