--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -1,101 +1,106 @@
-//! What shares there are, and what is wrong with them.
+//! The quota plan: its measures, the tree of shares and their bounds, and the validation of all three.
 
 use std::fmt;
 
 use crate::Micros;
 
-/// The deepest tree, in shares from the root to a leaf.
+/// Maximum depth of the tree, in shares from the root to a leaf.
 pub const MAX_DEPTH: usize = 8;
 
-/// What is measured of a request.
+/// The property of a request that a measure counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dimension {
-    /// That there is one.
+    /// The number of requests.
     Requests,
-    /// Its worth, in thousandths.
+    /// The worth of a request, in thousandths.
     Worth,
-    /// Its bytes.
+    /// The size of a request in bytes.
     Bytes,
-    /// That it is in flight. There is no window to it.
+    /// The number of requests in flight. It has no window.
     InFlight,
 }
 
-/// One thing that shares are shares of. A request counts in those of its lane alone.
+/// A quantity that is divided into shares. A request counts only in the measures of its lane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Measure {
-    /// Which requests count.
+    /// The group of requests that count: those with this lane number.
     pub lane: usize,
-    /// What counts of them.
+    /// The property that is counted.
     pub dimension: Dimension,
-    /// Over which time.
+    /// Length of the sliding window.
     pub window: Micros,
 }
 
-/// What a share has of a measure.
+/// Bounds of a share in one measure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// What it gets whenever it asks.
+    /// Amount that is available to the share whenever it asks.
     pub guarantee: u64,
-    /// What it never gets more than.
+    /// Amount that the share never exceeds.
     pub ceiling: u64,
 }
 
 impl Bounds {
-    /// No guarantee and no ceiling: what a share has of a measure that its plan does not name.
+    /// No guarantee and no ceiling: the bounds in a measure for which the plan gives none.
     pub const NONE: Bounds = Bounds { guarantee: 0, ceiling: u64::MAX };
 }
 
-/// A node of the tree.
+/// A node of the tree of shares.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
-    /// Its name.
+    /// Name of the share.
     pub name: String,
-    /// Its place among its parent's: an index into [`Plan::shares`]. The root alone has none.
+    /// Index of its parent in [`Plan::shares`]; `None` for the root only.
     pub parent: Option<usize>,
-    /// By measure, in the order of the plan's.
+    /// Bounds by measure, in the order of [`Plan::measures`].
     pub bounds: Vec<Bounds>,
 }
 
-/// A tree of shares.
+/// A tree of shares and the quantities it divides.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Plan {
-    /// What is measured.
+    /// The measures.
     pub measures: Vec<Measure>,
-    /// The shares, the root first and each behind its parent. The root's ceilings are what there is.
+    /// The shares, with the root first and each share after its parent. The root's ceilings are the total capacity.
     pub shares: Vec<Share>,
-    /// The time in which half of a debt is forgotten.
+    /// Half-life of a debt.
     pub half_life: Micros,
 }
 
-/// What is wrong with a plan.
+/// An error in a plan, with the index of the share or measure, or of both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlanError {
-    /// No root in the first place, or another share without a parent.
+    /// The first share is not a root, or another share has no parent.
     RootPosition(usize),
-    /// A share does not stand behind its parent: a cycle, or a parent that is not there.
+    /// A share does not come after its parent: a cycle, or a parent that does not exist.
     ParentOrder(usize),
     /// A share is deeper than [`MAX_DEPTH`].
     TooDeep(usize),
-    /// A share has not one bound for each measure.
+    /// A share does not have exactly one entry of bounds for each measure.
     BoundsCount(usize),
-    /// A measure's window is too short to be divided, or a half-life is zero.
+    /// A measure's window is too short to be divided into slots.
     WindowTooShort(usize),
-    /// A share's ceiling in a measure is under its guarantee.
+    /// A share's ceiling in a measure is below its guarantee.
     CeilingBelowGuarantee(usize, usize),
-    /// The guarantees of a share's children in a measure are together over its own, which is the root's ceiling.
+    /// The guarantees of a share's children in a measure add up to more than its own. The root's guarantee is its
+    /// ceiling.
     ChildGuaranteesExceedParent(usize, usize),
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlanError::RootPosition(share) => write!(f, "share {share}: the first share alone is the root"),
-            PlanError::ParentOrder(share) => write!(f, "share {share}: does not stand behind its parent"),
-            PlanError::TooDeep(share) => write!(f, "share {share}: deeper than {MAX_DEPTH}"),
-            PlanError::BoundsCount(share) => write!(f, "share {share}: not one bound for each measure"),
-            PlanError::WindowTooShort(measure) => write!(f, "measure {measure}: too short a window"),
+            PlanError::RootPosition(share) => {
+                write!(f, "share {share}: only the first share may be the root")
+            }
+            PlanError::ParentOrder(share) => write!(f, "share {share}: does not come after its parent"),
+            PlanError::TooDeep(share) => write!(f, "share {share}: deeper than {MAX_DEPTH} levels"),
+            PlanError::BoundsCount(share) => {
+                write!(f, "share {share}: needs exactly one entry of bounds for each measure")
+            }
+            PlanError::WindowTooShort(measure) => write!(f, "measure {measure}: window too short"),
             PlanError::CeilingBelowGuarantee(share, measure) => {
-                write!(f, "share {share}, measure {measure}: ceiling under guarantee")
+                write!(f, "share {share}, measure {measure}: ceiling below guarantee")
             }
             PlanError::ChildGuaranteesExceedParent(share, measure) => {
                 write!(f, "share {share}, measure {measure}: the guarantees of its children exceed its own")
@@ -107,7 +112,7 @@
 impl std::error::Error for PlanError {}
 
 impl Plan {
-    /// What a share has of a measure; the root's guarantee is its ceiling.
+    /// Bounds of a share in a measure. The root's guarantee is its ceiling.
     pub fn bounds(&self, share: usize, measure: usize) -> Bounds {
         let bounds = self.shares[share].bounds[measure];
         match share {
@@ -116,14 +121,16 @@
         }
     }
 
-    /// All that is wrong with it.
+    /// Validates the plan and returns all errors errors.
     pub fn check(&self) -> Vec<PlanError> {
-        let mut found = Vec::new();
-        let short = |measure: &Measure| {
+        let mut errors = Vec::new();
+        let is_too_short = |measure: &Measure| {
             measure.dimension != Dimension::InFlight && measure.window < crate::gauge::SLOTS as Micros
         };
-        found.extend(
-            (0..self.measures.len()).filter(|&m| short(&self.measures[m])).map(PlanError::WindowTooShort),
+        errors.extend(
+            (0..self.measures.len())
+                .filter(|&m| is_too_short(&self.measures[m]))
+                .map(PlanError::WindowTooShort),
         );
         let mut depths: Vec<usize> = Vec::new();
         for (n, share) in self.shares.iter().enumerate() {
@@ -131,7 +138,7 @@
                 None if n == 0 => depths.push(1),
                 Some(parent) if n > 0 && parent < n => depths.push(depths[parent] + 1),
                 parent => {
-                    found.push(if n == 0 || parent.is_none() {
+                    errors.push(if n == 0 || parent.is_none() {
                         PlanError::RootPosition(n)
                     } else {
                         PlanError::ParentOrder(n)
@@ -139,32 +146,34 @@
                     depths.push(1);
                 }
             }
-            found.extend((depths[n] > MAX_DEPTH).then_some(PlanError::TooDeep(n)));
-            found.extend((share.bounds.len() != self.measures.len()).then_some(PlanError::BoundsCount(n)));
+            errors.extend((depths[n] > MAX_DEPTH).then_some(PlanError::TooDeep(n)));
+            errors.extend((share.bounds.len() != self.measures.len()).then_some(PlanError::BoundsCount(n)));
         }
         if self.shares.is_empty() {
-            found.push(PlanError::RootPosition(0));
+            errors.push(PlanError::RootPosition(0));
         }
-        if found.is_empty() {
-            self.check_bounds(&mut found);
+        if errors.is_empty() {
+            self.check_bounds(&mut errors);
         }
-        found
+        errors
     }
 
-    fn check_bounds(&self, found: &mut Vec<PlanError>) {
+    fn check_bounds(&self, errors: &mut Vec<PlanError>) {
         for measure in 0..self.measures.len() {
-            let mut promised = vec![0_u64; self.shares.len()];
+            let mut guaranteed_to_children = vec![0_u64; self.shares.len()];
             for (n, share) in self.shares.iter().enumerate() {
                 let bounds = self.bounds(n, measure);
                 if bounds.ceiling < bounds.guarantee {
-                    found.push(PlanError::CeilingBelowGuarantee(n, measure));
+                    errors.push(PlanError::CeilingBelowGuarantee(n, measure));
                 }
                 if let Some(parent) = share.parent {
-                    promised[parent] = promised[parent].saturating_add(bounds.guarantee);
+                    guaranteed_to_children[parent] =
+                        guaranteed_to_children[parent].saturating_add(bounds.guarantee);
                 }
             }
-            let over = (0..self.shares.len()).filter(|&n| promised[n] > self.bounds(n, measure).guarantee);
-            found.extend(over.map(|n| PlanError::ChildGuaranteesExceedParent(n, measure)));
+            let over = (0..self.shares.len())
+                .filter(|&n| guaranteed_to_children[n] > self.bounds(n, measure).guarantee);
+            errors.extend(over.map(|n| PlanError::ChildGuaranteesExceedParent(n, measure)));
         }
     }
 }
@@ -183,11 +192,11 @@
     }
 
     #[test]
-    fn each_mistake_is_told_with_its_share() {
+    fn each_error_is_reported_with_its_share() {
         let root = || share(None, 0, 100);
-        let good =
+        let valid =
             plan(vec![root(), share(Some(0), 60, 100), share(Some(1), 60, 60), share(Some(0), 40, 100)]);
-        assert_eq!(good.check(), []);
+        assert_eq!(valid.check(), []);
         let cases = [
             (vec![], PlanError::RootPosition(0)),
             (vec![root(), share(None, 0, 1)], PlanError::RootPosition(1)),
@@ -204,10 +213,10 @@
             ),
             ((0..9).map(|n: usize| share(n.checked_sub(1), 0, 1)).collect(), PlanError::TooDeep(8)),
         ];
-        for (shares, wrong) in cases {
-            assert!(plan(shares).check().contains(&wrong), "{wrong}");
+        for (shares, expected) in cases {
+            assert!(plan(shares).check().contains(&expected), "{expected}");
         }
-        let mut short = good.clone();
+        let mut short = valid.clone();
         short.measures[0].window = 0;
         assert_eq!(short.check(), [PlanError::WindowTooShort(0)]);
         short.measures.clear();
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -1,5 +1,5 @@
-//! The decisions. An ask walks from its leaf to the root once; what the walk needs of others is kept up to date by
-//! asks, and reckoned anew once in each slot of a measure.
+//! Admission decisions. A request walks once from its leaf share to the root. The sums that the walk needs about other
+//! shares are updated by each request, and recomputed once per slot of a measure.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,233 +7,237 @@
 use crate::gauge::{Gauge, SLOTS, slot_length};
 use crate::plan::{Dimension, Measure, Plan, PlanError};
 
-/// After so many slots a third of what was asked is still remembered. The longer, the steadier the reckoning of who asks
-/// for how much; the shorter, the sooner room is lent again that nobody asks for any more.
-const MEMORY: f64 = SLOTS as f64 / 2.0;
-/// For so many slots after a refusal of what it is guaranteed, all of a guarantee is kept.
-const PRESSED: u64 = SLOTS as u64 / 2;
-/// Within its guarantee, so many standard deviations more are kept for one than it asks for: those who ask at random
-/// ask for more in one window than in another, by about the root of their number.
-const AHEAD: f64 = 6.0;
-/// How often shares in flight are reckoned anew, where their measure names no window.
-const PERIOD: Micros = 1_000_000;
-/// Refusals that are remembered to be explained.
-const EXPLAINED: usize = 256;
-/// A demand under this is none.
-const NOTHING: f64 = 1e-3;
-
-/// What a request asks for.
+/// Time constant of the demand estimate, in slots: after this many, about a third of a demand still counts. A longer one
+/// makes the estimate steadier; a shorter one lends capacity sooner that nobody asks for any more.
+const DEMAND_DECAY_SLOTS: f64 = SLOTS as f64 / 2.0;
+/// Number of slots for which a share's full guarantee is reserved after a request within it was refused.
+const RESERVATION_SLOTS: u64 = SLOTS as u64 / 2;
+/// Standard deviations of demand reserved for a share above its estimated demand, within its guarantee. The demand of
+/// clients that ask at random differs between windows by about the square root of their number.
+const RESERVED_STANDARD_DEVIATIONS: f64 = 6.0;
+/// Period over which an in-flight measure without a window is divided into slots for recomputation, in microseconds.
+const IN_FLIGHT_PERIOD_US: Micros = 1_000_000;
+/// Number of latest refusals kept for diagnosis.
+const MAX_RECENT_REFUSALS: usize = 256;
+/// Demand below this value counts as none.
+const MIN_DEMAND: f64 = 1e-3;
+
+/// A request to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaRequest {
-    /// Whose share, an index into [`Plan::shares`]. Any share may ask; those of leaves do.
+    /// Index into [`Plan::shares`] of the share that is charged. Any share may be used; in practice it is a leaf.
     pub share: usize,
-    /// Its lane.
+    /// Lane of the request, which selects the measures in which it counts.
     pub lane: usize,
-    /// Its worth, in thousandths.
+    /// Worth of the request, in thousandths.
     pub worth: u64,
-    /// Its bytes.
+    /// Size of the request in bytes.
     pub bytes: u64,
 }
 
-/// An admitted request, to be told how it ended.
+/// Proof of admission, to be passed to [`Quota::release`] when the request has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket {
-    ask: QuotaRequest,
-    at: Micros,
-    /// Of which tree of shares.
-    tree: u64,
+    request: QuotaRequest,
+    admitted_at: Micros,
+    /// Generation of the tree in which it was admitted.
+    tree_generation: u64,
 }
 
 /// How an admitted request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// Something was done for it: it is paid.
+    /// Work was done for it: its cost stays charged.
     Charged,
-    /// It was refused untried: what it used is given back.
+    /// It was refused without an attempt: its cost is refunded.
     Refunded,
 }
 
-/// Why a request is over its share.
+/// Why a request exceeds the quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
-    /// A share on its way to the root is at its ceiling; at the root all is used.
+pub enum ExceededReason {
+    /// A share on the path to the root is at its ceiling; at the root, all capacity is in use.
     Ceiling,
-    /// What is free is kept for those who ask for their guarantee, or for their part of what may be borrowed.
-    Kept,
+    /// The free capacity is reserved for shares that ask for their guarantee, or for their part of the lendable
+    /// capacity.
+    Reserved,
 }
 
-/// A refusal.
+/// A refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Over {
-    /// Whose.
+pub struct QuotaExceeded {
+    /// Share of the request.
     pub share: usize,
-    /// The share at which there was no room.
-    pub at: usize,
-    /// In which measure.
+    /// Share on the path to the root that had no capacity left.
+    pub limiting_share: usize,
+    /// Measure in which there was no capacity left.
     pub measure: usize,
-    /// Why.
-    pub why: Why,
-    /// When it would be admitted if nobody else asked, from now.
+    /// Why there was no capacity left.
+    pub reason: ExceededReason,
+    /// Time from now after which the request would be admitted if no others came.
     pub retry_after: Micros,
 }
 
-/// The books of one node.
+/// Quota state of one node.
 pub struct Quota {
     plan: Plan,
     now: Micros,
-    /// How many trees of other shares, or of other measures, there were before.
-    tree: u64,
-    /// By share, and in it by measure.
+    /// Incremented whenever a reload changes the shares or the measures.
+    tree_generation: u64,
+    /// By share, then by measure; see [`Quota::gauge_index`].
     gauges: Vec<Gauge>,
-    /// The children of each that ask, by the same index.
-    active: Vec<Vec<usize>>,
-    /// The slot for which each measure was reckoned.
-    slots: Vec<u64>,
+    /// Active children of each share, by the same index.
+    active_children: Vec<Vec<usize>>,
+    /// Slot for which each measure was last computed.
+    computed_slots: Vec<u64>,
+    /// Number of refused requests by share.
     refused: Vec<u64>,
-    last: VecDeque<(Micros, Over)>,
+    /// Latest refusals, newest first.
+    recent_refusals: VecDeque<(Micros, QuotaExceeded)>,
 }
 
 impl Quota {
-    /// Books in which nothing is used.
+    /// Creates a quota with nothing in use.
     ///
     /// # Errors
-    /// All that is wrong with the plan.
+    /// All errors in the plan.
     pub fn new(plan: Plan, now: Micros) -> Result<Quota, Vec<PlanError>> {
-        let wrong = plan.check();
-        if !wrong.is_empty() {
-            return Err(wrong);
+        let errors = plan.check();
+        if !errors.is_empty() {
+            return Err(errors);
         }
         let (shares, measures) = (plan.shares.len(), plan.measures.len());
         Ok(Quota {
             now,
-            tree: 0,
+            tree_generation: 0,
             gauges: vec![Gauge::default(); shares * measures],
-            active: vec![Vec::new(); shares * measures],
-            slots: vec![0; measures],
+            active_children: vec![Vec::new(); shares * measures],
+            computed_slots: vec![0; measures],
             refused: vec![0; shares],
-            last: VecDeque::new(),
+            recent_refusals: VecDeque::new(),
             plan,
         })
     }
 
-    /// What it goes by.
+    /// The plan in force.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Goes by another plan from now on. What shares of the same name below the same parents have used of the same
-    /// measures stays, but for what is over a new ceiling. Where the tree is another, not only its bounds, work in flight
-    /// is counted from nothing: what was admitted before may have been by shares that are gone.
+    /// Replaces the plan. Usage is kept for shares with the same path of names and for the same measures, up to the new
+    /// ceiling. If the tree itself changes and not only its bounds, requests in flight are counted from zero, since those
+    /// admitted before may belong to shares that no longer exist.
     ///
     /// # Errors
-    /// All that is wrong with the plan; the old one stays.
+    /// All errors in the plan; the old one stays in force.
     pub fn reload(&mut self, plan: Plan, now: Micros) -> Result<(), Vec<PlanError>> {
         let mut new = Quota::new(plan, self.now.max(now))?;
-        let same = same_tree(&new.plan, &self.plan);
-        new.tree = self.tree + u64::from(!same);
+        let is_same_tree = is_same_tree(&new.plan, &self.plan);
+        new.tree_generation = self.tree_generation + u64::from(!is_same_tree);
         let old: HashMap<Vec<&str>, usize> =
             (0..self.plan.shares.len()).map(|n| (path(&self.plan, n), n)).collect();
         for share in 0..new.plan.shares.len() {
-            let Some(&was) = old.get(&path(&new.plan, share)) else { continue };
+            let Some(&old_share) = old.get(&path(&new.plan, share)) else { continue };
             for (m, measure) in new.plan.measures.iter().enumerate() {
                 let Some(before) = self.plan.measures.iter().position(|old| old == measure) else { continue };
                 let gauge = &mut new.gauges[share * new.plan.measures.len() + m];
-                if measure.dimension == Dimension::InFlight && !same {
+                if measure.dimension == Dimension::InFlight && !is_same_tree {
                     continue;
                 }
-                *gauge = self.gauges[was * self.plan.measures.len() + before].clone();
+                *gauge = self.gauges[old_share * self.plan.measures.len() + before].clone();
                 gauge.active = false;
-                gauge.fit(new.plan.bounds(share, m).ceiling);
+                gauge.clamp_to(new.plan.bounds(share, m).ceiling);
             }
-            new.refused[share] = self.refused[was];
+            new.refused[share] = self.refused[old_share];
         }
         for (m, measure) in new.plan.measures.clone().into_iter().enumerate() {
             let before = self.plan.measures.iter().position(|old| *old == measure);
-            new.slots[m] = before.map_or(0, |before| self.slots[before]);
+            new.computed_slots[m] = before.map_or(0, |before| self.computed_slots[before]);
             for share in 1..new.plan.shares.len() {
-                let gauge = &new.gauges[new.place(share, m)];
-                if gauge.used > 0 || gauge.asked > 0.0 {
+                let gauge = &new.gauges[new.gauge_index(share, m)];
+                if gauge.used > 0 || gauge.demand > 0.0 {
                     new.activate(share, m);
                 }
             }
-            new.balance(m, 1.0, 1.0);
+            new.rebalance(m, 1.0, 1.0);
         }
         *self = new;
         Ok(())
     }
 
-    /// Whether a request is admitted. An admitted one counts from now on.
+    /// Admits a request, which counts from now on.
     ///
     /// # Errors
-    /// If it is over its share.
-    pub fn try_acquire(&mut self, now: Micros, ask: QuotaRequest) -> Result<Ticket, Over> {
+    /// If there is no capacity for it.
+    pub fn try_acquire(&mut self, now: Micros, request: QuotaRequest) -> Result<Ticket, QuotaExceeded> {
         self.now = self.now.max(now);
-        let over = self.measures(ask.lane).find_map(|m| {
-            self.reckon(m);
-            self.room(m, ask).err()
+        let exceeded = self.measures(request.lane).find_map(|m| {
+            self.recompute(m);
+            self.check_capacity(m, request).err()
         });
-        let count = |quota: &mut Quota, met: bool| {
-            quota.measures(ask.lane).for_each(|m| quota.count(m, ask, met));
+        let record = |quota: &mut Quota, admitted: bool| {
+            quota.measures(request.lane).for_each(|m| quota.record_request(m, request, admitted));
         };
-        match over {
+        match exceeded {
             None => {
-                count(self, true);
-                Ok(Ticket { ask, at: self.now, tree: self.tree })
+                record(self, true);
+                Ok(Ticket { request, admitted_at: self.now, tree_generation: self.tree_generation })
             }
-            Some(over) => {
-                count(self, false);
-                self.refused[ask.share] += 1;
-                self.last.truncate(EXPLAINED - 1);
-                self.last.push_front((self.now, over));
-                Err(over)
+            Some(exceeded) => {
+                record(self, false);
+                self.refused[request.share] += 1;
+                self.recent_refusals.truncate(MAX_RECENT_REFUSALS - 1);
+                self.recent_refusals.push_front((self.now, exceeded));
+                Err(exceeded)
             }
         }
     }
 
-    /// An admitted request has ended.
-    pub fn release(&mut self, now: Micros, ticket: Ticket, done: Completion) {
+    /// Records the end of an admitted request.
+    pub fn release(&mut self, now: Micros, ticket: Ticket, completion: Completion) {
         self.now = self.now.max(now);
-        let Ticket { ask, at, tree } = ticket;
-        // Guards against: another share's work let go, whose place is now this one's.
-        if tree != self.tree {
+        let Ticket { request, admitted_at, tree_generation } = ticket;
+        // After a change of the tree the same index may belong to another share, whose usage must not be released.
+        if tree_generation != self.tree_generation {
             return;
         }
-        for m in self.measures(ask.lane) {
-            self.reckon(m);
+        for m in self.measures(request.lane) {
+            self.recompute(m);
             let measure = self.plan.measures[m];
-            let (cost, slot) = (cost(measure, ask), at / slot_length(period(measure)));
-            let mut share = Some(ask.share);
+            let (cost, slot) = (cost(measure, request), admitted_at / slot_length(period(measure)));
+            let mut share = Some(request.share);
             while let Some(v) = share {
-                let place = self.place(v, m);
-                match (measure.dimension, done) {
-                    (Dimension::InFlight, _) => self.gauges[place].let_go(cost),
-                    (_, Completion::Refunded) => self.gauges[place].take_back(slot, cost),
+                let index = self.gauge_index(v, m);
+                match (measure.dimension, completion) {
+                    (Dimension::InFlight, _) => self.gauges[index].release(cost),
+                    (_, Completion::Refunded) => self.gauges[index].refund(slot, cost),
                     (_, Completion::Charged) => {}
                 }
-                self.settle(v, m);
+                self.update_claim(v, m);
                 share = self.plan.shares[v].parent;
             }
         }
     }
 
-    /// What a share has used of a measure, over the window that ends now.
+    /// Usage of a share in a measure, over the window that ends now.
     pub fn used(&mut self, now: Micros, share: usize, measure: usize) -> u64 {
         self.now = self.now.max(now);
-        self.reckon(measure);
-        let (slot, place) = (self.slots[measure], self.place(share, measure));
+        self.recompute(measure);
+        let (slot, index) = (self.computed_slots[measure], self.gauge_index(share, measure));
         if self.plan.measures[measure].dimension != Dimension::InFlight {
-            self.gauges[place].roll(slot);
+            self.gauges[index].advance_to(slot);
         }
-        self.gauges[place].used
+        self.gauges[index].used
     }
 
-    /// What a share has used beyond its guarantee and not yet been forgiven.
+    /// Usage of a share beyond its guarantee that has not decayed yet.
     pub fn debt(&mut self, now: Micros, share: usize, measure: usize) -> f64 {
         self.used(now, share, measure);
-        self.gauges[self.place(share, measure)].debt
+        self.gauges[self.gauge_index(share, measure)].debt
     }
 
-    /// Of what a share uses beyond its guarantee, the nearest of its relatives who lends it.
+    /// The nearest ancestor from whose guarantee a share borrows what it uses beyond its own. `None` if it borrows
+    /// nothing.
     pub fn lender(&mut self, now: Micros, share: usize, measure: usize) -> Option<usize> {
         let mut lender = share;
         while self.used(now, lender, measure) > self.plan.bounds(lender, measure).guarantee {
@@ -242,87 +246,95 @@
         Some(lender).filter(|&lender| lender != share)
     }
 
-    /// How many requests of a share were refused.
+    /// Number of refused requests of a share.
     pub fn refused(&self, share: usize) -> u64 {
         self.refused[share]
     }
 
-    /// The last refusals of a share, the latest first, with their times.
-    pub fn last_refusals(&self, share: usize) -> impl Iterator<Item = (Micros, Over)> {
-        self.last.iter().copied().filter(move |(_, over)| over.share == share)
+    /// The latest refusals of a share with their times, newest first.
+    pub fn last_refusals(&self, share: usize) -> impl Iterator<Item = (Micros, QuotaExceeded)> {
+        self.recent_refusals.iter().copied().filter(move |(_, exceeded)| exceeded.share == share)
     }
 
-    fn place(&self, share: usize, measure: usize) -> usize {
+    /// Index of a share's gauge for a measure.
+    fn gauge_index(&self, share: usize, measure: usize) -> usize {
         share * self.plan.measures.len() + measure
     }
 
     /// The measures in which a request of a lane counts.
     fn measures(&self, lane: usize) -> impl Iterator<Item = usize> + use<> {
-        let counts: Vec<usize> =
+        let indices: Vec<usize> =
             (0..self.plan.measures.len()).filter(|&m| self.plan.measures[m].lane == lane).collect();
-        counts.into_iter()
+        indices.into_iter()
     }
 
-    /// Whether there is room for a request on the whole way to the root.
-    fn room(&self, m: usize, ask: QuotaRequest) -> Result<(), Over> {
+    /// Checks that there is capacity for a request on the whole path to the root.
+    fn check_capacity(&self, m: usize, request: QuotaRequest) -> Result<(), QuotaExceeded> {
         let measure = self.plan.measures[m];
-        let cost = cost(measure, ask) as f64;
-        // What is kept for others on the way, and whether a share on it has a guarantee that covers this.
-        let (mut kept, mut covered, mut share) = (0.0, false, ask.share);
+        let cost = cost(measure, request) as f64;
+        // Capacity reserved for other shares along the path, and whether a guarantee on the path covers this request.
+        let (mut reserved, mut is_covered, mut share) = (0.0, false, request.share);
         loop {
-            let (gauge, bounds) = (&self.gauges[self.place(share, m)], self.plan.bounds(share, m));
+            let (gauge, bounds) = (&self.gauges[self.gauge_index(share, m)], self.plan.bounds(share, m));
             let used = gauge.used as f64 + cost;
             let ceiling = bounds.ceiling as f64;
-            if used > ceiling || !covered && used + kept > ceiling {
-                let why = if used > ceiling { Why::Ceiling } else { Why::Kept };
-                let short = used + if covered { 0.0 } else { kept } - ceiling;
-                let retry_after = self.free_in(measure, gauge, short);
-                return Err(Over { share: ask.share, at: share, measure: m, why, retry_after });
+            if used > ceiling || !is_covered && used + reserved > ceiling {
+                let reason = if used > ceiling { ExceededReason::Ceiling } else { ExceededReason::Reserved };
+                let shortfall = used + if is_covered { 0.0 } else { reserved } - ceiling;
+                let retry_after = self.time_until_free(measure, gauge, shortfall);
+                return Err(QuotaExceeded {
+                    share: request.share,
+                    limiting_share: share,
+                    measure: m,
+                    reason,
+                    retry_after,
+                });
             }
-            covered |= used + kept <= bounds.guarantee as f64;
+            is_covered |= used + reserved <= bounds.guarantee as f64;
             let Some(parent) = self.plan.shares[share].parent else { return Ok(()) };
-            kept += (self.gauges[self.place(parent, m)].claims - gauge.claim).max(0.0);
+            reserved += (self.gauges[self.gauge_index(parent, m)].child_claims - gauge.claim).max(0.0);
             share = parent;
         }
     }
 
-    /// When so much less is used, if nobody asks.
-    fn free_in(&self, measure: Measure, gauge: &Gauge, short: f64) -> Micros {
+    /// Time until usage has dropped by `shortfall`, if no requests come. In-flight usage has no schedule; one slot is
+    /// assumed.
+    fn time_until_free(&self, measure: Measure, gauge: &Gauge, shortfall: f64) -> Micros {
         let length = slot_length(period(measure));
         match measure.dimension {
             Dimension::InFlight => length,
-            _ => (gauge.slot_with_less(short) * length).saturating_sub(self.now),
+            _ => (gauge.slot_when_freed(shortfall) * length).saturating_sub(self.now),
         }
     }
 
-    /// Notes an ask on the whole way to the root, met or not.
-    fn count(&mut self, m: usize, ask: QuotaRequest, met: bool) {
+    /// Records a request, admitted or not, on the whole path to the root.
+    fn record_request(&mut self, m: usize, request: QuotaRequest, admitted: bool) {
         let measure = self.plan.measures[m];
-        let (cost, slot) = (cost(measure, ask), self.slots[m]);
-        let mut share = Some(ask.share);
+        let (cost, slot) = (cost(measure, request), self.computed_slots[m]);
+        let mut share = Some(request.share);
         while let Some(v) = share {
             share = self.plan.shares[v].parent;
-            let (place, bounds) = (self.place(v, m), self.plan.bounds(v, m));
-            let gauge = &mut self.gauges[place];
-            let held = measure.dimension == Dimension::InFlight;
-            // In steady asking this comes to what is asked for in a window.
-            let more = match (held, met) {
+            let (index, bounds) = (self.gauge_index(v, m), self.plan.bounds(v, m));
+            let gauge = &mut self.gauges[index];
+            let in_flight = measure.dimension == Dimension::InFlight;
+            // At a steady rate the demand converges to the cost of the requests in one window.
+            let added_demand = match (in_flight, admitted) {
                 (true, true) => -(cost as f64),
                 (true, false) => cost as f64,
-                (false, _) => cost as f64 * SLOTS as f64 / MEMORY,
+                (false, _) => cost as f64 * SLOTS as f64 / DEMAND_DECAY_SLOTS,
             };
-            // Guards against: a storm of refused requests, which would ask for all there is.
-            gauge.unit = cost as f64;
-            gauge.asked = (gauge.asked + more).clamp(0.0, bounds.ceiling as f64);
-            if !met && gauge.used.saturating_add(cost) <= bounds.guarantee {
-                // Guards against: an owner that wakes and has to show, refusal by refusal, how much it wants.
-                gauge.pressed = slot + PRESSED;
+            // The demand is capped at the ceiling, so that a flood of refused requests does not claim all capacity.
+            gauge.last_cost = cost as f64;
+            gauge.demand = (gauge.demand + added_demand).clamp(0.0, bounds.ceiling as f64);
+            if !admitted && gauge.used.saturating_add(cost) <= bounds.guarantee {
+                // Otherwise a share that becomes active again would build up its demand one refusal at a time.
+                gauge.reserved_until_slot = slot + RESERVATION_SLOTS;
             }
-            if met {
-                if held {
-                    gauge.hold(cost);
+            if admitted {
+                if in_flight {
+                    gauge.acquire(cost);
                 } else {
-                    gauge.roll(slot);
+                    gauge.advance_to(slot);
                     gauge.add(cost);
                 }
                 gauge.debt += gauge.used.saturating_sub(bounds.guarantee).min(cost) as f64;
@@ -330,159 +342,168 @@
             if share.is_some() {
                 self.activate(v, m);
             }
-            self.settle(v, m);
+            self.update_claim(v, m);
         }
     }
 
+    /// Lists a share among the active children of its parent.
     fn activate(&mut self, share: usize, m: usize) {
-        let place = self.place(share, m);
-        if let Some(parent) = self.plan.shares[share].parent.filter(|_| !self.gauges[place].active) {
-            self.gauges[place].active = true;
-            let parent = self.place(parent, m);
-            self.active[parent].push(share);
+        let index = self.gauge_index(share, m);
+        if let Some(parent) = self.plan.shares[share].parent.filter(|_| !self.gauges[index].active) {
+            self.gauges[index].active = true;
+            let parent = self.gauge_index(parent, m);
+            self.active_children[parent].push(share);
         }
     }
 
-    /// Brings a share's claim, and its parent's sums, up to what it has used and asked for.
-    fn settle(&mut self, share: usize, m: usize) {
-        let (place, bounds) = (self.place(share, m), self.plan.bounds(share, m));
-        let (held, slot) = (self.plan.measures[m].dimension == Dimension::InFlight, self.slots[m]);
-        let gauge = &mut self.gauges[place];
-        let (due, claim) = (gauge.due, gauge.claim);
+    /// Updates a share's claim, and the sums of its parent, from its usage and demand.
+    fn update_claim(&mut self, share: usize, m: usize) {
+        let (index, bounds) = (self.gauge_index(share, m), self.plan.bounds(share, m));
+        let (in_flight, slot) =
+            (self.plan.measures[m].dimension == Dimension::InFlight, self.computed_slots[m]);
+        let gauge = &mut self.gauges[index];
+        let (old_guaranteed, old_claim) = (gauge.guaranteed_claim, gauge.claim);
         let used = gauge.used as f64;
-        let wanted = if gauge.pressed > slot {
+        let demand = if gauge.reserved_until_slot > slot {
             f64::INFINITY
         } else {
-            gauge.wanted(held) + AHEAD * (gauge.asked * gauge.unit).sqrt()
+            gauge.total_demand(in_flight)
+                + RESERVED_STANDARD_DEVIATIONS * (gauge.demand * gauge.last_cost).sqrt()
         };
-        gauge.due = (bounds.guarantee as f64).min(wanted) - used;
-        gauge.due = gauge.due.max(gauge.dues).max(0.0);
-        gauge.claim = (gauge.target - used).max(gauge.due);
-        let (due, claim) = (gauge.due - due, gauge.claim - claim);
+        gauge.guaranteed_claim = (bounds.guarantee as f64).min(demand) - used;
+        gauge.guaranteed_claim = gauge.guaranteed_claim.max(gauge.child_guaranteed_claims).max(0.0);
+        gauge.claim = (gauge.target - used).max(gauge.guaranteed_claim);
+        let guaranteed_change = gauge.guaranteed_claim - old_guaranteed;
+        let claim_change = gauge.claim - old_claim;
         if let Some(parent) = self.plan.shares[share].parent {
-            let parent = self.place(parent, m);
-            self.gauges[parent].dues = (self.gauges[parent].dues + due).max(0.0);
-            self.gauges[parent].claims = (self.gauges[parent].claims + claim).max(0.0);
+            let parent = self.gauge_index(parent, m);
+            let parent = &mut self.gauges[parent];
+            parent.child_guaranteed_claims = (parent.child_guaranteed_claims + guaranteed_change).max(0.0);
+            parent.child_claims = (parent.child_claims + claim_change).max(0.0);
         }
     }
 
-    /// Reckons a measure anew, once in each of its slots: what counts no more, what each who asks should come to,
-    /// and what is kept for it.
-    fn reckon(&mut self, m: usize) {
+    /// Recomputes a measure, once per slot: expired usage, the target of each active share, and what is reserved for it.
+    fn recompute(&mut self, m: usize) {
         let measure = self.plan.measures[m];
         let slot = self.now / slot_length(period(measure));
-        let passed = slot.saturating_sub(self.slots[m]);
+        let passed = slot.saturating_sub(self.computed_slots[m]);
         if passed == 0 {
             return;
         }
-        self.slots[m] = slot;
+        self.computed_slots[m] = slot;
         let length = slot_length(period(measure)) as f64;
-        let forgotten = (-(passed as f64) / MEMORY).exp();
-        let forgiven = 0.5_f64.powf(passed as f64 * length / self.plan.half_life.max(1) as f64);
-        self.balance(m, forgotten, forgiven);
+        let demand_factor = (-(passed as f64) / DEMAND_DECAY_SLOTS).exp();
+        let debt_factor = 0.5_f64.powf(passed as f64 * length / self.plan.half_life.max(1) as f64);
+        self.rebalance(m, demand_factor, debt_factor);
     }
 
-    /// Divides a measure anew, with these parts left of what was asked and of debts.
-    fn balance(&mut self, m: usize, forgotten: f64, forgiven: f64) {
-        let (measure, slot) = (self.plan.measures[m], self.slots[m]);
-        // Parents before their children.
+    /// Divides a measure among the shares again, after multiplying demands and debts by the given decay factors.
+    fn rebalance(&mut self, m: usize, demand_factor: f64, debt_factor: f64) {
+        let (measure, slot) = (self.plan.measures[m], self.computed_slots[m]);
+        // Active shares, parents before their children.
         let mut order = vec![0];
         let mut next = 0;
         while let Some(&share) = order.get(next) {
-            order.extend_from_slice(&self.active[self.place(share, m)]);
+            order.extend_from_slice(&self.active_children[self.gauge_index(share, m)]);
             next += 1;
         }
         for &share in &order {
-            let place = self.place(share, m);
-            let gauge = &mut self.gauges[place];
+            let index = self.gauge_index(share, m);
+            let gauge = &mut self.gauges[index];
             if measure.dimension != Dimension::InFlight {
-                gauge.roll(slot);
+                gauge.advance_to(slot);
             }
-            gauge.asked *= forgotten;
-            gauge.debt *= forgiven;
-            if gauge.asked < NOTHING {
-                gauge.asked = 0.0;
+            gauge.demand *= demand_factor;
+            gauge.debt *= debt_factor;
+            if gauge.demand < MIN_DEMAND {
+                gauge.demand = 0.0;
             }
-            (gauge.dues, gauge.claims, gauge.due, gauge.claim, gauge.target) = Default::default();
+            (gauge.child_guaranteed_claims, gauge.child_claims) = Default::default();
+            (gauge.guaranteed_claim, gauge.claim, gauge.target) = Default::default();
         }
         for &share in &order {
             self.divide(share, m);
         }
         for &share in order.iter().rev() {
-            self.settle(share, m);
-            let gauge = &self.gauges[self.place(share, m)];
-            if gauge.used == 0 && gauge.asked == 0.0 && self.active[self.place(share, m)].is_empty() {
-                self.rest(share, m);
+            self.update_claim(share, m);
+            let gauge = &self.gauges[self.gauge_index(share, m)];
+            if gauge.used == 0
+                && gauge.demand == 0.0
+                && self.active_children[self.gauge_index(share, m)].is_empty()
+            {
+                self.deactivate(share, m);
             }
         }
     }
 
-    /// Counts a share no more among those that ask.
-    fn rest(&mut self, share: usize, m: usize) {
-        let place = self.place(share, m);
+    /// Removes a share from the active children of its parent.
+    fn deactivate(&mut self, share: usize, m: usize) {
+        let index = self.gauge_index(share, m);
         if let Some(parent) = self.plan.shares[share].parent {
-            let parent = self.place(parent, m);
-            self.gauges[place].active = false;
-            self.active[parent].retain(|&child| child != share);
+            let parent = self.gauge_index(parent, m);
+            self.gauges[index].active = false;
+            self.active_children[parent].retain(|&child| child != share);
         }
     }
 
-    /// Divides what a share may come to among its children that ask: first what each is guaranteed, then the rest in
-    /// proportion to guarantees, less for those deep in debt, and to none more than it asks for.
+    /// Divides the target of a share among its active children. Each first gets its demand up to its guarantee. The rest
+    /// is divided in proportion to guarantees, with a lower weight for children in debt, and never beyond their demand.
     fn divide(&mut self, share: usize, m: usize) {
-        let place = self.place(share, m);
-        let held = self.plan.measures[m].dimension == Dimension::InFlight;
+        let index = self.gauge_index(share, m);
+        let in_flight = self.plan.measures[m].dimension == Dimension::InFlight;
         let ceiling = self.plan.bounds(share, m).ceiling as f64;
-        let whole = if share == 0 { ceiling } else { ceiling.min(self.gauges[place].target) };
-        let mut asks: Vec<(f64, f64, f64, usize)> = Vec::with_capacity(self.active[place].len());
-        let mut left = whole;
-        for &child in &self.active[place] {
-            let (gauge, bounds) = (&self.gauges[self.place(child, m)], self.plan.bounds(child, m));
-            let wanted = gauge.wanted(held).min(bounds.ceiling as f64);
-            let first = wanted.min(bounds.guarantee as f64);
+        let capacity = if share == 0 { ceiling } else { ceiling.min(self.gauges[index].target) };
+        let mut demands: Vec<(f64, f64, f64, usize)> = Vec::with_capacity(self.active_children[index].len());
+        let mut remaining = capacity;
+        for &child in &self.active_children[index] {
+            let (gauge, bounds) = (&self.gauges[self.gauge_index(child, m)], self.plan.bounds(child, m));
+            let demand = gauge.total_demand(in_flight).min(bounds.ceiling as f64);
+            let guaranteed = demand.min(bounds.guarantee as f64);
             let guarantee = bounds.guarantee.max(1) as f64;
             let weight = guarantee / (1.0 + gauge.debt / guarantee);
-            left -= first;
-            asks.push(((wanted - first) / weight, weight, first, child));
+            remaining -= guaranteed;
+            demands.push(((demand - guaranteed) / weight, weight, guaranteed, child));
         }
-        // Who wants least for its weight is served first, so that what it leaves goes to the others.
-        asks.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut weights: f64 = asks.iter().map(|ask| ask.1).sum();
-        left = left.max(0.0);
-        for (level, weight, first, child) in asks {
-            let more = (left * weight / weights.max(f64::MIN_POSITIVE)).min(level * weight);
-            left -= more;
-            weights -= weight;
-            let place = self.place(child, m);
-            self.gauges[place].target = first + more;
+        // The smallest excess demand per weight is served first, so that what it leaves goes to the others.
+        demands.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let mut total_weight: f64 = demands.iter().map(|demand| demand.1).sum();
+        remaining = remaining.max(0.0);
+        for (excess_per_weight, weight, guaranteed, child) in demands {
+            let borrowed =
+                (remaining * weight / total_weight.max(f64::MIN_POSITIVE)).min(excess_per_weight * weight);
+            remaining -= borrowed;
+            total_weight -= weight;
+            let index = self.gauge_index(child, m);
+            self.gauges[index].target = guaranteed + borrowed;
         }
     }
 }
 
-/// What a request costs in a measure.
-fn cost(measure: Measure, ask: QuotaRequest) -> u64 {
+/// Cost of a request in a measure.
+fn cost(measure: Measure, request: QuotaRequest) -> u64 {
     match measure.dimension {
         Dimension::Requests | Dimension::InFlight => 1,
-        Dimension::Worth => ask.worth,
-        Dimension::Bytes => ask.bytes,
+        Dimension::Worth => request.worth,
+        Dimension::Bytes => request.bytes,
     }
 }
 
-/// The time that is divided into slots.
+/// Duration that is divided into slots.
 fn period(measure: Measure) -> Micros {
     match measure.dimension {
-        Dimension::InFlight if measure.window == 0 => PERIOD,
+        Dimension::InFlight if measure.window == 0 => IN_FLIGHT_PERIOD_US,
         _ => measure.window,
     }
 }
 
-/// Whether two plans differ in no more than their bounds.
-fn same_tree(one: &Plan, other: &Plan) -> bool {
+/// Whether two plans differ at most in their bounds.
+fn is_same_tree(one: &Plan, other: &Plan) -> bool {
     let names = |plan: &Plan| plan.shares.iter().map(|s| (s.name.clone(), s.parent)).collect::<Vec<_>>();
     one.measures == other.measures && names(one) == names(other)
 }
 
-/// The names from the root to a share.
+/// The names of a share and its ancestors, from the share up to the root.
 fn path(plan: &Plan, share: usize) -> Vec<&str> {
     let mut names = Vec::new();
     let mut next = Some(share);
