--- a/crates/quota/tests/property.rs
+++ b/crates/quota/tests/property.rs
@@ -162,7 +162,7 @@
     let mut calm = Quota::new(three_shares(), 0).unwrap();
     let mut flooded = Quota::new(three_shares(), 0).unwrap();
     let calm = run_load(&mut calm, 0, 10 * SECOND, &[(1, 200), (2, 30), (3, 20)]);
-    let stormy = run_load(&mut flooded, 0, 10 * SECOND, &[(1, 20_000), (2, 30), (3, 20)]);
+    let flooded = run_load(&mut flooded, 0, 10 * SECOND, &[(1, 20_000), (2, 30), (3, 20)]);
     for share in [2, 3] {
         let sums: [u64; 2] = [&calm, &flooded].map(|admitted| admitted[share][1..].iter().sum());
         assert!(sums[1] * 100 >= sums[0] * 95, "{sums:?}");
