--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -1,4 +1,4 @@
-//! Compiles `proto/etcd.proto` with a compiler in Rust, so that a new machine needs no protoc.
+//! Compiles `proto/etcd.proto` with a compiler written in Rust, so that building does not require protoc.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto/etcd.proto");
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of one endpoint. It tries nothing twice: what to do about a failed call is its user's business.
+//! A client of one etcd endpoint. It does not retry: failed calls are returned to the caller.
 
 use std::fmt;
 use std::time::Duration;
@@ -20,41 +20,41 @@
     WatchCreateRequest, WatchProgressRequest, WatchRequest, WatchResponse,
 };
 
-/// A connection must stand, with its TLS, after this time.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Larger answers are not read.
-const LARGEST: usize = 4 << 20;
-/// The key of a user's token among a call's metadata.
-const TOKEN: &str = "token";
+/// Timeout for establishing a connection, including the TLS handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of a response in bytes; larger ones fail with [`ErrorKind::TooLarge`].
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Metadata key that carries the authentication token of a call.
+const TOKEN_KEY: &str = "token";
 
-/// How to reach a cluster.
+/// Connection settings of a cluster.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Addresses as `http://127.0.0.1:2379`, or `https://` with TLS.
+    /// Endpoint URLs such as `http://127.0.0.1:2379`, or `https://` with TLS.
     pub endpoints: Vec<String>,
-    /// For endpoints with `https://`.
+    /// TLS settings for `https://` endpoints.
     pub tls: Option<Tls>,
-    /// Who calls, if the cluster asks for that.
+    /// Credentials, if the cluster requires authentication.
     pub user: Option<User>,
 }
 
-/// TLS, in PEM.
+/// TLS settings; certificates and keys are in PEM.
 #[derive(Clone, PartialEq, Default)]
 pub struct Tls {
-    /// Who may have signed the endpoints' certificates.
+    /// Certificate authorities trusted to sign the endpoints' certificates.
     pub ca: Vec<u8>,
-    /// The caller's certificate and key, if the cluster asks for them.
+    /// Client certificate and key, if the cluster requires them.
     pub identity: Option<(Vec<u8>, Vec<u8>)>,
-    /// The name in the endpoints' certificates, if it is not the address's.
+    /// Server name in the endpoints' certificates, if it differs from the host of the URL.
     pub name: Option<String>,
 }
 
-/// A user of etcd.
+/// Credentials of an etcd user.
 #[derive(Clone, PartialEq)]
 pub struct User {
-    /// Its name.
+    /// User name.
     pub name: String,
-    /// Its password.
+    /// Password, left out of debug output.
     pub password: String,
 }
 
@@ -70,31 +70,31 @@
     }
 }
 
-/// What kind of failure it was.
+/// Kind of a failed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// No connection: the call was not sent.
-    Unreached,
-    /// The revision asked for has been compacted.
+pub enum ErrorKind {
+    /// There was no connection, so the call was not sent.
+    Unreachable,
+    /// The requested revision has been compacted.
     Compacted,
-    /// The answer was larger than is read.
+    /// The response exceeded the maximum size.
     TooLarge,
-    /// Anything else; a write may have been done.
-    Failed,
+    /// Any other failure; a write may have been applied.
+    Other,
 }
 
 /// A failed call.
 #[derive(Debug, Clone)]
 pub struct Error {
-    /// Its kind.
-    pub fault: Fault,
-    /// In words.
-    pub what: String,
+    /// Kind of the failure.
+    pub kind: ErrorKind,
+    /// Message for the log.
+    pub message: String,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
@@ -103,26 +103,26 @@
 impl From<Status> for Error {
     fn from(status: Status) -> Self {
         let message = status.message();
-        let fault = match status.code() {
-            // Both have this code: etcd's own answer, and a message that the client would not decode.
-            Code::OutOfRange if message.contains("compacted") => Fault::Compacted,
-            Code::OutOfRange if message.contains("too large") => Fault::TooLarge,
-            _ => Fault::Failed,
+        let kind = match status.code() {
+            // Two failures have this code: etcd's own response, and a message too large for the client to decode.
+            Code::OutOfRange if message.contains("compacted") => ErrorKind::Compacted,
+            Code::OutOfRange if message.contains("too large") => ErrorKind::TooLarge,
+            _ => ErrorKind::Other,
         };
-        Error { fault, what: format!("{}: {message}", status.code()) }
+        Error { kind, message: format!("{}: {message}", status.code()) }
     }
 }
 
 impl From<tonic::transport::Error> for Error {
     fn from(error: tonic::transport::Error) -> Self {
-        // Its own words say only 'transport error'.
-        let mut what = error.to_string();
+        // The outermost error says only 'transport error'; the innermost cause is reported.
+        let mut message = error.to_string();
         let mut cause = std::error::Error::source(&error);
         while let Some(error) = cause {
-            what = error.to_string();
+            message = error.to_string();
             cause = error.source();
         }
-        Error { fault: Fault::Unreached, what }
+        Error { kind: ErrorKind::Unreachable, message }
     }
 }
 
@@ -134,11 +134,11 @@
 }
 
 impl Settings {
-    fn endpoint(&self, number: usize) -> Result<Endpoint, Error> {
-        let at = self.endpoints.get(number).cloned().unwrap_or_default();
-        let wrong = |what: String| Error { fault: Fault::Unreached, what };
-        let endpoint = Endpoint::from_shared(at).map_err(|error| wrong(error.to_string()))?;
-        let endpoint = endpoint.connect_timeout(CONNECT).tcp_nodelay(true);
+    fn endpoint(&self, index: usize) -> Result<Endpoint, Error> {
+        let url = self.endpoints.get(index).cloned().unwrap_or_default();
+        let invalid = |message: String| Error { kind: ErrorKind::Unreachable, message };
+        let endpoint = Endpoint::from_shared(url).map_err(|error| invalid(error.to_string()))?;
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
         let Some(tls) = &self.tls else { return Ok(endpoint) };
         let mut config = ClientTlsConfig::new().ca_certificate(Certificate::from_pem(&tls.ca));
         if let Some((certificate, key)) = &tls.identity {
@@ -152,17 +152,20 @@
 }
 
 impl Client {
-    /// Connects to the endpoint of this number, and tells it who calls.
+    /// Connects to the endpoint at this index, and authenticates if the settings name a user.
     ///
     /// # Errors
-    /// If there is no such endpoint, it is not reached, or it does not take the user.
+    /// If there is no such endpoint, it can't be reached, or it rejects the user.
     pub async fn connect(settings: &Settings, endpoint: usize) -> Result<Client, Error> {
         let channel = settings.endpoint(endpoint)?.connect().await?;
         let mut client = Client { channel, token: None };
         if let Some(User { name, password }) = settings.user.clone() {
-            let asked = AuthenticateRequest { name, password };
-            let told = AuthClient::new(client.channel.clone()).authenticate(asked).await?.into_inner();
-            let token = told.token.parse().map_err(|_| Status::internal("a token that can't be sent"))?;
+            let request = AuthenticateRequest { name, password };
+            let response = AuthClient::new(client.channel.clone()).authenticate(request).await?.into_inner();
+            let token = response
+                .token
+                .parse()
+                .map_err(|_| Status::internal("the token is not valid call metadata"))?;
             client.token = Some(token);
         }
         Ok(client)
@@ -171,13 +174,13 @@
     fn request<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
         if let Some(token) = &self.token {
-            request.metadata_mut().insert(TOKEN, token.clone());
+            request.metadata_mut().insert(TOKEN_KEY, token.clone());
         }
         request
     }
 
     fn kv(&self) -> KvClient<Channel> {
-        KvClient::new(self.channel.clone()).max_decoding_message_size(LARGEST)
+        KvClient::new(self.channel.clone()).max_decoding_message_size(MAX_RESPONSE_BYTES)
     }
 
     fn lease(&self) -> LeaseClient<Channel> {
@@ -187,112 +190,112 @@
     /// Reads keys.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn range(&self, asked: RangeRequest) -> Result<RangeResponse, Error> {
-        Ok(self.kv().range(self.request(asked)).await.map(Response::into_inner)?)
+    /// If the call fails.
+    pub async fn range(&self, request: RangeRequest) -> Result<RangeResponse, Error> {
+        Ok(self.kv().range(self.request(request)).await.map(Response::into_inner)?)
     }
 
     /// Writes a key.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn put(&self, asked: PutRequest) -> Result<PutResponse, Error> {
-        Ok(self.kv().put(self.request(asked)).await.map(Response::into_inner)?)
+    /// If the call fails.
+    pub async fn put(&self, request: PutRequest) -> Result<PutResponse, Error> {
+        Ok(self.kv().put(self.request(request)).await.map(Response::into_inner)?)
     }
 
     /// Deletes keys.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn delete(&self, asked: DeleteRangeRequest) -> Result<DeleteRangeResponse, Error> {
-        Ok(self.kv().delete_range(self.request(asked)).await.map(Response::into_inner)?)
+    /// If the call fails.
+    pub async fn delete(&self, request: DeleteRangeRequest) -> Result<DeleteRangeResponse, Error> {
+        Ok(self.kv().delete_range(self.request(request)).await.map(Response::into_inner)?)
     }
 
-    /// Does several operations in one revision, if all comparisons hold.
+    /// Applies several operations in one revision if all comparisons succeed.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn txn(&self, asked: TxnRequest) -> Result<TxnResponse, Error> {
-        Ok(self.kv().txn(self.request(asked)).await.map(Response::into_inner)?)
+    /// If the call fails.
+    pub async fn txn(&self, request: TxnRequest) -> Result<TxnResponse, Error> {
+        Ok(self.kv().txn(self.request(request)).await.map(Response::into_inner)?)
     }
 
-    /// Takes a lease of so many seconds; tells its id.
+    /// Grants a lease with a TTL in seconds and returns its id.
     ///
     /// # Errors
-    /// As the call's, or in etcd's words.
-    pub async fn grant(&self, seconds: i64) -> Result<i64, Error> {
-        let asked = self.request(LeaseGrantRequest { ttl: seconds, id: 0 });
-        let told = self.lease().lease_grant(asked).await?.into_inner();
-        match told.error.is_empty() {
-            true => Ok(told.id),
-            false => Err(Error { fault: Fault::Failed, what: told.error }),
+    /// If the call fails, or etcd reports an error in its response.
+    pub async fn grant_lease(&self, seconds: i64) -> Result<i64, Error> {
+        let request = self.request(LeaseGrantRequest { ttl: seconds, id: 0 });
+        let response = self.lease().lease_grant(request).await?.into_inner();
+        match response.error.is_empty() {
+            true => Ok(response.id),
+            false => Err(Error { kind: ErrorKind::Other, message: response.error }),
         }
     }
 
-    /// Ends a lease, and with it all keys that have it.
+    /// Revokes a lease, which deletes all keys attached to it.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn revoke(&self, lease: i64) -> Result<(), Error> {
+    /// If the call fails.
+    pub async fn revoke_lease(&self, lease: i64) -> Result<(), Error> {
         self.lease().lease_revoke(self.request(LeaseRevokeRequest { id: lease })).await?;
         Ok(())
     }
 
-    /// Renews a lease; tells the seconds that it has from now, 0 if it is gone.
+    /// Renews a lease and returns its remaining seconds, 0 if it has expired.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn renew(&self, lease: i64) -> Result<i64, Error> {
-        let asked = tokio_stream::once(LeaseKeepAliveRequest { id: lease });
-        let mut told = self.lease().lease_keep_alive(self.request(asked)).await?.into_inner();
-        Ok(told.message().await?.map_or(0, |told| told.ttl))
+    /// If the call fails.
+    pub async fn renew_lease(&self, lease: i64) -> Result<i64, Error> {
+        let request = tokio_stream::once(LeaseKeepAliveRequest { id: lease });
+        let mut responses = self.lease().lease_keep_alive(self.request(request)).await?.into_inner();
+        Ok(responses.message().await?.map_or(0, |response| response.ttl))
     }
 
     /// Opens a stream with one watch.
     ///
     /// # Errors
-    /// As the call's.
-    pub async fn watch(&self, asked: WatchCreateRequest) -> Result<WatchStream, Error> {
-        let (to, orders) = mpsc::channel(4);
-        let create = WatchRequest { request_union: Some(RequestUnion::CreateRequest(asked)) };
-        to.try_send(create).map_err(|_| Status::internal("no room in a new stream"))?;
-        let mut client = WatchClient::new(self.channel.clone()).max_decoding_message_size(LARGEST);
-        let answers = client.watch(self.request(ReceiverStream::new(orders))).await?.into_inner();
-        Ok(WatchStream { to, answers })
+    /// If the call fails.
+    pub async fn watch(&self, request: WatchCreateRequest) -> Result<WatchStream, Error> {
+        let (requests, outgoing) = mpsc::channel(4);
+        let create = WatchRequest { request_union: Some(RequestUnion::CreateRequest(request)) };
+        requests.try_send(create).map_err(|_| Status::internal("the queue of a new watch stream is full"))?;
+        let mut client = WatchClient::new(self.channel.clone()).max_decoding_message_size(MAX_RESPONSE_BYTES);
+        let responses = client.watch(self.request(ReceiverStream::new(outgoing))).await?.into_inner();
+        Ok(WatchStream { requests, responses })
     }
 }
 
-/// An open stream of a watch. Dropped, it ends.
+/// An open watch stream. Dropping it ends the watch.
 pub struct WatchStream {
-    to: mpsc::Sender<WatchRequest>,
-    answers: Streaming<WatchResponse>,
+    requests: mpsc::Sender<WatchRequest>,
+    responses: Streaming<WatchResponse>,
 }
 
 impl WatchStream {
-    /// Where to ask how far the watch is; asking never waits.
-    pub fn asker(&self) -> Asker {
-        Asker { to: self.to.clone() }
+    /// A handle for requesting progress notifications, which never blocks.
+    pub fn progress_requester(&self) -> ProgressRequester {
+        ProgressRequester { requests: self.requests.clone() }
     }
 
-    /// The next answer.
+    /// The next response.
     ///
     /// # Errors
-    /// As the call's; also if the endpoint ends the stream.
+    /// If the call fails, or the endpoint ends the stream.
     pub async fn next(&mut self) -> Result<WatchResponse, Error> {
-        let ended = || Error { fault: Fault::Failed, what: "the stream has ended".into() };
-        self.answers.message().await?.ok_or_else(ended)
+        let ended = || Error { kind: ErrorKind::Other, message: "the stream has ended".into() };
+        self.responses.message().await?.ok_or_else(ended)
     }
 }
 
-/// Asks how far a watch is.
-pub struct Asker {
-    to: mpsc::Sender<WatchRequest>,
+/// Requests progress notifications, which tell up to which revision a watch has delivered all events.
+pub struct ProgressRequester {
+    requests: mpsc::Sender<WatchRequest>,
 }
 
-impl Asker {
-    /// Asks. Where no more can be asked, an answer is owed already.
-    pub fn ask(&self) {
-        let asked = RequestUnion::ProgressRequest(WatchProgressRequest {});
-        let _ = self.to.try_send(WatchRequest { request_union: Some(asked) });
+impl ProgressRequester {
+    /// Requests a notification. If the queue is full, one has been requested already.
+    pub fn request_progress(&self) {
+        let request = RequestUnion::ProgressRequest(WatchProgressRequest {});
+        let _ = self.requests.try_send(WatchRequest { request_union: Some(request) });
     }
 }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,19 +1,19 @@
-//! etcd's v3 API: the messages and services that `proto/etcd.proto` names, and a [`Client`].
+//! The etcd v3 API: the messages and services of `proto/etcd.proto`, and a [`Client`].
 //!
-//! What the keys mean is its users' business.
+//! This crate is independent of the meaning of keys and values.
 
-/// Messages, clients and servers, generated from `proto/etcd.proto`, which has their words.
+/// Messages, clients and servers, generated from `proto/etcd.proto`, which documents them.
 #[allow(missing_docs, clippy::all)]
 pub mod api {
     tonic::include_proto!("etcdserverpb");
 }
 mod client;
 
-pub use client::{Asker, Client, Error, Fault, Settings, Tls, User, WatchStream};
+pub use client::{Client, Error, ErrorKind, ProgressRequester, Settings, Tls, User, WatchStream};
 
-/// The end of the range of all keys that begin with a prefix: the prefix with its last byte raised (etcd
-/// documentation, "API: range"). Empty bytes stand for 'no end' in the API as `\0`.
-pub fn end_of(prefix: &[u8]) -> Vec<u8> {
+/// The exclusive end of the range of keys that start with a prefix: the prefix with its last byte incremented (etcd
+/// documentation, "API: range"). For a prefix without an end this is `\0`, which the API reads as 'no end'.
+pub fn prefix_range_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
@@ -26,13 +26,13 @@
 
 #[cfg(test)]
 mod tests {
-    use super::end_of;
+    use super::prefix_range_end;
 
     #[test]
-    fn a_prefix_ends_where_no_key_begins_with_it() {
-        assert_eq!(end_of(b"/a/"), b"/a0");
-        assert_eq!(end_of(b"a\xff"), b"b");
-        assert_eq!(end_of(b"\xff"), b"\0");
-        assert_eq!(end_of(b""), b"\0");
+    fn the_range_of_a_prefix_ends_after_its_last_key() {
+        assert_eq!(prefix_range_end(b"/a/"), b"/a0");
+        assert_eq!(prefix_range_end(b"a\xff"), b"b");
+        assert_eq!(prefix_range_end(b"\xff"), b"\0");
+        assert_eq!(prefix_range_end(b""), b"\0");
     }
 }
