--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the whole list at once, then a watch; see `Watch::run`.
+//! The server list from an HTTP discovery service: the full list first, then its changes by long polling. See
+//! [`DiscoveryWatcher::run`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,55 +20,54 @@
 use tokio_util::task::AbortOnDropHandle;
 use tracing::warn;
 
-/// How long a watch waits for news, and how much longer the answer may take. Guards against: a discovery
-/// that has fallen silent and is believed to have no news for long; what it has to tell counts as told
-/// after 6 s, and 4 s after a reload.
-const WAIT: Duration = Duration::from_secs(2);
-/// The longest that a watch may wait, by the protocol.
-const LONGEST: Duration = Duration::from_secs(60);
-/// Where discovery is one service that all nodes ask, each waits so long for each node that there is, so that all
-/// together call it no more often than a small fleet does.
-///
-/// Guards against: a service that works through calls in turn and is kept busy by hundreds of watches that are
-/// asked anew every other second, so that it turns them all away.
-const WAIT_FOR_EACH: Duration = Duration::from_millis(250);
-const ANSWER: Duration = Duration::from_secs(1);
-/// A failed call is repeated after this time: a watch goes on only if its next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Larger lists are not believed.
-const LARGEST: usize = 4 << 20;
-
-/// An answer of discovery.
+/// How long a poll waits for changes by default. Together with [`RESPONSE_TIMEOUT`] it bounds how long a discovery
+/// service that no longer answers is mistaken for one without changes: a change counts as delivered 6 s after it was
+/// made, and 4 s after a reload.
+const POLL_WAIT: Duration = Duration::from_secs(2);
+/// The longest wait that the protocol allows a poll.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
+/// Poll wait per node where all nodes poll one discovery service, so that together they call it no more often than a
+/// small fleet does. A service that processes calls one by one would otherwise be kept busy by hundreds of polls
+/// repeated every 2 s, and would reject them all.
+const POLL_WAIT_PER_NODE: Duration = Duration::from_millis(250);
+/// Timeout of a response, on top of the poll wait, and of establishing a connection.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a failed call is repeated: a watch continues only if its next call arrives within 200 ms.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum size of a response in bytes; larger ones are rejected.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+
+/// A response of the discovery service.
 #[derive(Deserialize, Default, Debug)]
-#[serde(from = "Whole")]
+#[serde(from = "ResponseBody")]
 pub struct DiscoveryResponse {
-    /// A watch goes on from here.
+    /// Version of the list, from which a watch continues.
     pub version: u64,
-    /// What it tells.
+    /// The full list, or the changes to it.
     pub list: List,
-    /// Entries that can't be read.
+    /// Number of entries that could not be parsed.
     pub skipped: usize,
 }
 
 #[derive(Deserialize)]
-struct Whole {
+struct ResponseBody {
     #[serde(default)]
     version: u64,
     #[serde(default)]
     full: bool,
     #[serde(default)]
-    servers: Vec<Listed>,
+    servers: Vec<ListedEntry>,
 }
 
-/// Guards against: one entry that can't be read, which would void all the others.
+/// An entry of the list. Entries are parsed one by one, so that a malformed entry does not make the others unusable.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Listed {
+enum ListedEntry {
     Server(Server),
-    Unreadable(IgnoredAny),
+    Malformed(IgnoredAny),
 }
 
-/// A server, as discovery words it.
+/// A server in the JSON format of the discovery service.
 #[derive(Deserialize)]
 struct Server {
     id: String,
@@ -78,7 +78,7 @@
     kind: String,
     #[serde(default)]
     cell: u32,
-    state: Word,
+    state: ServerState,
     #[serde(default)]
     weight: Option<f64>,
     #[serde(default)]
@@ -87,22 +87,22 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-enum Word {
+enum ServerState {
     Serving,
     Draining,
     Deleted,
 }
 
-impl From<Whole> for DiscoveryResponse {
-    fn from(told: Whole) -> DiscoveryResponse {
-        let listed = told.servers.len();
-        let readable = told.servers.into_iter().filter_map(|one| match one {
-            Listed::Server(server) => Some(Entry::from(server)),
-            Listed::Unreadable(_) => None,
+impl From<ResponseBody> for DiscoveryResponse {
+    fn from(body: ResponseBody) -> DiscoveryResponse {
+        let listed = body.servers.len();
+        let well_formed = body.servers.into_iter().filter_map(|entry| match entry {
+            ListedEntry::Server(server) => Some(Entry::from(server)),
+            ListedEntry::Malformed(_) => None,
         });
-        let servers: Vec<Entry> = readable.collect();
+        let servers: Vec<Entry> = well_formed.collect();
         let skipped = listed - servers.len();
-        DiscoveryResponse { version: told.version, list: List { full: told.full, servers }, skipped }
+        DiscoveryResponse { version: body.version, list: List { full: body.full, servers }, skipped }
     }
 }
 
@@ -110,33 +110,35 @@
     fn from(server: Server) -> Entry {
         let Server { id, addr, zone, kind, cell, state, weight, started_ms } = server;
         let state = match state {
-            Word::Serving => State::Serving,
-            Word::Draining => State::Draining,
-            Word::Deleted => State::Deleted,
+            ServerState::Serving => State::Serving,
+            ServerState::Draining => State::Draining,
+            ServerState::Deleted => State::Deleted,
         };
         Entry { id, addr, zone, kind, cell, state, weight, started_ms }
     }
 }
 
-/// Follows the list.
+/// Follows the list of a discovery service and reports it to the core.
 pub struct DiscoveryWatcher {
-    to: Members,
-    after: u64,
-    connection: Option<Client>,
-    /// How many nodes ask the same service, and whether it is one that is asked at all.
+    members: Members,
+    /// Version of the list that is known.
+    known_version: u64,
+    connection: Option<Connection>,
+    /// Number of nodes that poll the same service.
     nodes: watch::Receiver<usize>,
-    asked: bool,
-    /// Whether the whole list is wanted: nothing is known, or from another address. What has changed since a known
-    /// version is less to send, and fails less where discovery is pressed.
-    whole: bool,
-    /// Whether the next call must wait until it is due.
-    held: bool,
-    /// Whether entries that can't be read have been spoken of.
-    complained: bool,
+    /// Whether all nodes poll one service, to which the core asks each to subscribe.
+    is_shared_service: bool,
+    /// Whether to fetch the full list, because no list is known or it came from another address. Otherwise only the
+    /// changes since the known version are fetched, which is less to send and fails less often on an overloaded service.
+    needs_full_list: bool,
+    /// Whether to delay the next call until a retry is due.
+    is_retry: bool,
+    /// Whether malformed entries have been logged.
+    malformed_logged: bool,
 }
 
-/// A connection to discovery, closed when it is dropped.
-struct Client {
+/// An HTTP connection to the discovery service, closed on drop.
+struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     _task: AbortOnDropHandle<()>,
 }
@@ -144,69 +146,80 @@
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
 impl DiscoveryWatcher {
-    /// A watch of one of so many nodes, which may change, that knows a list of this version, if it knows one.
-    pub fn new(to: Members, after: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
-        let held = to.asked().is_some();
-        let whole = after.is_none();
-        let (asked, after) = (held, after.unwrap_or(0));
-        DiscoveryWatcher { to, after, nodes, asked, connection: None, whole, held, complained: false }
+    /// Creates a watcher. `known_version` is the version of the list that the core has, if any; `nodes` is the current
+    /// number of nodes that poll the service.
+    pub fn new(members: Members, known_version: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
+        let is_shared_service = members.asked().is_some();
+        DiscoveryWatcher {
+            needs_full_list: known_version.is_none(),
+            known_version: known_version.unwrap_or(0),
+            members,
+            nodes,
+            is_shared_service,
+            connection: None,
+            is_retry: is_shared_service,
+            malformed_logged: false,
+        }
     }
 
-    /// How long it waits for news: so that all nodes together ask no more than one service can answer.
-    fn wait(&self) -> Duration {
-        if self.asked { wait_among(*self.nodes.borrow()) } else { WAIT }
+    /// How long a poll waits for changes, chosen so that all nodes together don't overload a shared service.
+    fn poll_wait(&self) -> Duration {
+        if self.is_shared_service { poll_wait_for_nodes(*self.nodes.borrow()) } else { POLL_WAIT }
     }
 
-    /// Fetches the whole list, then watches; goes on until the node ends. A failed call keeps the list. A
-    /// new address breaks off what is out at the old one, and is asked for the whole list at once.
+    /// Fetches the full list, then polls for changes until the core has ended. A failed call leaves the list as it is. A
+    /// new address cancels the call at the old one and is asked for the full list at once.
     pub async fn run(mut self, mut address: watch::Receiver<SocketAddr>) {
         loop {
-            let at = *address.borrow_and_update();
-            let told = tokio::select! {
+            let current_address = *address.borrow_and_update();
+            let result = tokio::select! {
                 biased;
                 Ok(()) = address.changed() => {
-                    (self.connection, self.whole, self.held) = (None, true, false);
+                    (self.connection, self.needs_full_list, self.is_retry) = (None, true, false);
                     continue;
                 }
-                told = self.call(at) => told,
+                result = self.call(current_address) => result,
             };
-            let heard = match told {
-                Some(list) => self.to.list_at(list, self.after),
-                None => self.to.failed(),
+            let core_is_running = match result {
+                Some(list) => self.members.list_at(list, self.known_version),
+                None => self.members.failed(),
             };
-            if !heard {
+            if !core_is_running {
                 return;
             }
         }
     }
 
-    /// The next call, when it is due; nothing if it failed. Cancelled, it leaves nothing open.
-    async fn call(&mut self, at: SocketAddr) -> Option<List> {
-        match self.to.asked() {
-            Some(asked) if self.held => asked.notified().await,
-            None if self.held => sleep(PAUSE).await,
+    /// Makes the next call when it is due; `None` if it failed. If cancelled, it leaves no call open.
+    async fn call(&mut self, address: SocketAddr) -> Option<List> {
+        match self.members.asked() {
+            Some(subscribe) if self.is_retry => subscribe.notified().await,
+            None if self.is_retry => sleep(RETRY_DELAY).await,
             _ => {}
         }
-        let wait = self.wait();
-        let path = match self.whole {
+        let poll_wait = self.poll_wait();
+        let path = match self.needs_full_list {
             true => "/discovery/hosts".to_owned(),
-            false => format!("/discovery/hosts?after={}&wait_ms={}", self.after, wait.as_millis()),
+            false => {
+                format!("/discovery/hosts?after={}&wait_ms={}", self.known_version, poll_wait.as_millis())
+            }
         };
-        let limit = if self.whole { ANSWER } else { wait + ANSWER };
-        let told = timeout(limit, self.fetch(at, &path)).await.unwrap_or_else(|late| Err(late.into()));
-        self.held = told.is_err();
-        match told {
-            Ok(told) => {
-                (self.whole, self.after) = (false, told.version);
-                if told.skipped > 0 && !self.complained {
+        let call_timeout = if self.needs_full_list { RESPONSE_TIMEOUT } else { poll_wait + RESPONSE_TIMEOUT };
+        let result = timeout(call_timeout, self.fetch(address, &path)).await;
+        let result = result.unwrap_or_else(|elapsed| Err(elapsed.into()));
+        self.is_retry = result.is_err();
+        match result {
+            Ok(response) => {
+                (self.needs_full_list, self.known_version) = (false, response.version);
+                if response.skipped > 0 && !self.malformed_logged {
                     warn!(
                         source = "discovery",
-                        skipped = told.skipped,
-                        "entries can't be read and are skipped"
+                        skipped = response.skipped,
+                        "skipping malformed entries of the server list"
                     );
-                    self.complained = true;
+                    self.malformed_logged = true;
                 }
-                Some(told.list)
+                Some(response.list)
             }
             Err(error) => {
                 warn!(source = "discovery", "{error}");
@@ -215,39 +228,41 @@
         }
     }
 
-    async fn fetch(&mut self, at: SocketAddr, path: &str) -> Result<DiscoveryResponse, Error> {
-        let mut client = match self.connection.take().filter(|client| !client.sender.is_closed()) {
-            Some(client) => client,
-            None => timeout(ANSWER, connect(at)).await??,
+    async fn fetch(&mut self, address: SocketAddr, path: &str) -> Result<DiscoveryResponse, Error> {
+        let open = self.connection.take().filter(|connection| !connection.sender.is_closed());
+        let mut connection = match open {
+            Some(connection) => connection,
+            None => timeout(RESPONSE_TIMEOUT, connect(address)).await??,
         };
-        client.sender.ready().await?;
-        let request = Request::get(path).header(HOST, at.to_string()).body(Empty::<Bytes>::new())?;
-        let answer = client.sender.send_request(request).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), LARGEST).collect().await?.to_bytes();
+        connection.sender.ready().await?;
+        let request = Request::get(path).header(HOST, address.to_string()).body(Empty::<Bytes>::new())?;
+        let response = connection.sender.send_request(request).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await?.to_bytes();
         if status != StatusCode::OK {
-            return Err(format!("answered {status}").into());
+            return Err(format!("unexpected status {status}").into());
         }
-        let told: DiscoveryResponse = serde_json::from_slice(&body)?;
-        if told.list.full && told.list.servers.is_empty() && told.skipped > 0 {
-            return Err("no entry of the list can be read".into());
+        let response: DiscoveryResponse = serde_json::from_slice(&body)?;
+        if response.list.full && response.list.servers.is_empty() && response.skipped > 0 {
+            return Err("all entries of the server list are malformed".into());
         }
-        self.connection = Some(client);
-        Ok(told)
+        self.connection = Some(connection);
+        Ok(response)
     }
 }
 
-/// How long each of so many nodes waits for news from one service.
-fn wait_among(nodes: usize) -> Duration {
-    WAIT_FOR_EACH.saturating_mul(u32::try_from(nodes).unwrap_or(u32::MAX)).clamp(WAIT, LONGEST)
+/// Poll wait of each node where `nodes` nodes poll one service.
+fn poll_wait_for_nodes(nodes: usize) -> Duration {
+    let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
+    POLL_WAIT_PER_NODE.saturating_mul(nodes).clamp(POLL_WAIT, MAX_POLL_WAIT)
 }
 
-async fn connect(at: SocketAddr) -> Result<Client, Error> {
-    let stream = TcpStream::connect(at).await?;
+async fn connect(address: SocketAddr) -> Result<Connection, Error> {
+    let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::handshake(TokioIo::new(Stream::new(stream))).await?;
     let task = tokio::spawn(async move {
-        let _ = connection.await; // a break shows in the call that is out
+        let _ = connection.await; // a broken connection fails the open call
     });
-    Ok(Client { sender, _task: AbortOnDropHandle::new(task) })
+    Ok(Connection { sender, _task: AbortOnDropHandle::new(task) })
 }
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -1,9 +1,9 @@
-//! Follows the list of servers through etcd's Range and Watch: events in, actions out. It does no I/O, has no
-//! clock and no thread; what is sent and read are the API's own messages.
+//! State machine that follows the server list through etcd's Range and Watch calls. It takes events and returns actions;
+//! it has no I/O, clock or threads, and uses the messages of the etcd API.
 //!
-//! One call is open at a time. A whole list is read in pages at one revision, then watched from the next one; a
-//! watch that breaks goes on from the revision held, and where that can't be had or what comes contradicts what
-//! is held, the whole list is read again. docs/design/etcd-membership.md weighs the ways.
+//! One call is open at a time. The full list is read in pages at one revision, then watched from the next revision. A
+//! broken watch resumes from the known revision. If that is not possible, or a response contradicts the known list, the
+//! full list is read again. docs/design/etcd-membership.md compares the alternatives.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,709 +13,755 @@
 use lilacquay_etcd::api::{
     self, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchCreateRequest, WatchResponse,
 };
-use lilacquay_etcd::{Fault, end_of};
+use lilacquay_etcd::{ErrorKind, prefix_range_end};
 
 use super::layout;
 use super::list_cache::CachedList;
 
-/// The number of a call: what comes of an earlier one is late and changes nothing.
+/// Number of a call. Events of earlier calls are late and are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
-/// What the follower is told.
+/// An input of the follower.
 #[derive(Debug)]
 pub enum Event {
     /// A page of the list.
-    Page(Call, RangeResponse),
-    /// An answer of the watch.
-    Watched(Call, WatchResponse),
-    /// The call has failed, or the watch's stream has ended.
-    Failed(Call, Fault, String),
-    /// The time that [`Follower::wake_at`] named has come.
+    Page(CallId, RangeResponse),
+    /// A response of the watch.
+    WatchUpdate(CallId, WatchResponse),
+    /// The call has failed, or the watch stream has ended.
+    CallFailed(CallId, ErrorKind, String),
+    /// The time returned by [`Follower::next_wakeup`] has come.
     Tick,
-    /// There are so many endpoints now, and they may be others.
-    Moved(usize),
+    /// The endpoints have changed; there are this many now.
+    EndpointsChanged(usize),
 }
 
-/// What it wants done.
+/// An output of the follower.
 #[derive(Debug)]
 pub enum Action {
-    /// Read a page, and close any other call.
-    Range(Call, usize, RangeRequest),
-    /// Open a watch at the endpoint of this number, and close any other call.
-    Watch(Call, usize, WatchCreateRequest),
-    /// Ask on the open watch how far it is.
-    Ask,
+    /// Read a page of the list from the endpoint at this index, and close any other call.
+    ReadPage(CallId, usize, RangeRequest),
+    /// Open a watch at the endpoint at this index, and close any other call.
+    OpenWatch(CallId, usize, WatchCreateRequest),
+    /// Request a progress notification on the open watch.
+    RequestProgress,
     /// Close the open call.
-    Close,
-    /// Tell the core.
-    Tell(Change),
-    /// Keep [`Follower::kept`].
-    Keep,
-    /// Say so in the log.
-    Note(Note),
+    CloseCall,
+    /// Send the update to the core.
+    Publish(ListUpdate),
+    /// Store [`Follower::to_cached_list`] on disk.
+    SaveCache,
+    /// Write the notice to the log.
+    Log(Notice),
 }
 
-/// A list, whole or what has changed, and where it stands in the store's history.
+/// A full list or the changes to it, and its position in the store's history.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Change {
-    /// What to tell.
+pub struct ListUpdate {
+    /// The full list or the changes.
     pub list: List,
-    /// The revision that the list has with it.
+    /// Revision that the list reaches with this update.
     pub revision: i64,
-    /// How many histories came before this one: one more for each store that went backwards.
-    pub history: u32,
+    /// Number of the store's history, incremented each time the store is replaced by one with another history.
+    pub history_number: u32,
 }
 
-/// What those who run a node should know.
+/// A log message for operators.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
-    /// It begins with a kept list of this revision, so many servers and this age.
-    Kept(i64, usize, Micros),
-    /// It follows the store from this revision on, with so many servers, at the endpoint of this number.
+pub enum Notice {
+    /// Started from a cached list with this revision, number of servers and age.
+    CacheLoaded(i64, usize, Micros),
+    /// Follows the store from this revision, with this number of servers, at the endpoint at this index.
     Following(i64, usize, usize),
-    /// A call at this endpoint failed for the n-th time in a row; the next is made after this time.
-    Lost(usize, String, u32, Micros),
-    /// What came contradicts what is held: the whole list is read.
-    Doubt(String),
-    /// This key can't be read; its server is kept as it was.
+    /// A call at this endpoint failed: the reason, the number of failures in a row, and the delay before the next call.
+    CallFailed(usize, String, u32, Micros),
+    /// A response contradicts the known list, for this reason. The full list is read again.
+    Inconsistent(String),
+    /// This key can't be parsed, for this reason. The last known entry of its server stays.
     Malformed(String, String),
-    /// A whole list of another cluster or an older revision than this one was told; it must be told again to be
-    /// believed.
-    Rumour(i64, i64),
-    /// It was told again, and counts.
-    Rewound(i64, i64),
+    /// A full list belongs to another cluster or history: its revision, and the known one. It is accepted only after it
+    /// has been read repeatedly.
+    HistoryConflict(i64, i64),
+    /// A conflicting list was confirmed and replaces the known one: its revision, and the one known before.
+    HistoryReplaced(i64, i64),
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let s = |micros: &Micros| *micros as f64 / 1e6;
+        let seconds = |micros: &Micros| *micros as f64 / 1e6;
         match self {
-            Note::Kept(revision, servers, age) => {
-                write!(f, "{servers} servers from the kept list of revision {revision}, {:.0} s old", s(age))
+            Notice::CacheLoaded(revision, servers, age) => {
+                write!(
+                    f,
+                    "{servers} servers from the kept list of revision {revision}, {:.0} s old",
+                    seconds(age)
+                )
             }
-            Note::Following(revision, servers, endpoint) => {
+            Notice::Following(revision, servers, endpoint) => {
                 write!(f, "following {servers} servers from revision {revision} at endpoint {endpoint}")
             }
-            Note::Lost(endpoint, why, times, wait) => {
-                write!(f, "endpoint {endpoint}: {why} (failure {times}; next try in {:.2} s)", s(wait))
+            Notice::CallFailed(endpoint, reason, failures, delay) => {
+                write!(
+                    f,
+                    "endpoint {endpoint}: {reason} (failure {failures}; next try in {:.2} s)",
+                    seconds(delay)
+                )
             }
-            Note::Doubt(why) => write!(f, "{why}; reading the whole list"),
-            Note::Malformed(key, why) => {
-                write!(f, "{key:?} can't be read, its server stays as it was: {why}")
+            Notice::Inconsistent(reason) => write!(f, "{reason}; reading the full list again"),
+            Notice::Malformed(key, reason) => {
+                write!(f, "{key:?} can't be read, keeping the last known entry: {reason}")
             }
-            Note::Rumour(told, held) => {
-                write!(f, "another history is told: revision {told} where {held} is held; asking again")
+            Notice::HistoryConflict(received, known) => {
+                write!(
+                    f,
+                    "revision {received} conflicts with the known revision {known}; reading the list again to confirm"
+                )
             }
-            Note::Rewound(told, held) => {
-                write!(f, "the store has another history: its revision {told} replaces {held}")
+            Notice::HistoryReplaced(received, known) => {
+                write!(f, "the store has another history: its revision {received} replaces {known}")
             }
         }
     }
 }
 
-/// Times and bounds.
+/// Timeouts, intervals and size limits.
 #[derive(Debug, Clone)]
-pub struct Pace {
-    /// Keys in a page.
-    pub page: i64,
-    /// A page, or the first answer of a watch, must come in this time.
-    pub answer: Micros,
-    /// A watch that was silent for so long is asked how far it is ...
-    pub quiet: Micros,
-    /// ... and counts as dead if it is silent for so long after that.
-    pub dead: Micros,
-    /// The wait after a first failure is up to this, and doubles with each ...
-    pub first_wait: Micros,
-    /// ... up to this.
-    pub longest_wait: Micros,
-    /// A watch goes on from the revision held if that was the newest so lately; else the whole list is read, since
-    /// a store may have been restored from a backup meanwhile, and have passed that revision on another way.
-    pub resume: Micros,
-    /// After so long a watch has shown that it works, and failures count from the start.
-    pub settled: Micros,
-    /// Changes that come sooner than this after others were told are told together.
-    pub gather: Micros,
-    /// A changed list is kept so often at most ...
-    pub keep: Micros,
-    /// ... and one that has not changed so often, for its age.
-    pub keep_unchanged: Micros,
-    /// Most servers: a larger list is not believed.
-    pub most: usize,
+pub struct Limits {
+    /// Number of keys in a page.
+    pub page_size: i64,
+    /// Timeout of a page, and of the first response of a watch.
+    pub response_timeout: Micros,
+    /// Time without a response after which a progress notification is requested on a watch.
+    pub idle_before_progress_request: Micros,
+    /// Time without a response after such a request after which the watch counts as dead.
+    pub progress_timeout: Micros,
+    /// Maximum backoff after the first failure. It doubles with each further failure.
+    pub initial_backoff: Micros,
+    /// Upper limit of the backoff.
+    pub max_backoff: Micros,
+    /// A watch resumes from the known revision only if that was current at most this long ago. Otherwise the full list is
+    /// read, since the store may have been restored from a backup and have passed that revision with other changes.
+    pub max_resume_age: Micros,
+    /// Lifetime after which a watch counts as working, and the failure count is reset.
+    pub stable_after: Micros,
+    /// Minimum time between updates to the core. Changes that arrive within it are published together.
+    pub publish_interval: Micros,
+    /// Minimum time between writes of a changed list to the cache.
+    pub save_interval: Micros,
+    /// Time between writes of an unchanged list, which update its age.
+    pub unchanged_save_interval: Micros,
+    /// Maximum number of servers; a larger list is rejected.
+    pub max_servers: usize,
 }
 
-impl Default for Pace {
-    /// Silence is noticed after 3 s, as discovery's. Changes wait for one another for a part of the time that a
-    /// server may be sent to after word: to tell the core costs by the length of the list.
+impl Default for Limits {
+    /// A dead watch is detected after 3 s, as with discovery. Changes are batched for 20 ms, a fraction of the time for
+    /// which a server may still get requests after a change, because an update costs the core time in proportion to the
+    /// length of the list.
     fn default() -> Self {
-        Pace {
-            page: 500,
-            answer: 2_000_000,
-            quiet: 2_000_000,
-            dead: 1_000_000,
-            first_wait: 50_000,
-            longest_wait: 5_000_000,
-            resume: 5_000_000,
-            settled: 2_000_000,
-            gather: 20_000,
-            keep: 1_000_000,
-            keep_unchanged: 30_000_000,
-            most: 20_000,
+        Limits {
+            page_size: 500,
+            response_timeout: 2_000_000,
+            idle_before_progress_request: 2_000_000,
+            progress_timeout: 1_000_000,
+            initial_backoff: 50_000,
+            max_backoff: 5_000_000,
+            max_resume_age: 5_000_000,
+            stable_after: 2_000_000,
+            publish_interval: 20_000,
+            save_interval: 1_000_000,
+            unchanged_save_interval: 30_000_000,
+            max_servers: 20_000,
         }
     }
 }
 
-/// What a follower is made of.
+/// Configuration of a follower.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// All keys of servers begin with this.
+    /// Prefix of all keys of servers.
     pub prefix: String,
-    /// How many endpoints there are; one at least.
+    /// Number of endpoints, at least 1.
     pub endpoints: usize,
-    /// For the jitter of waits, so that hundreds of nodes don't come back in step.
+    /// Seed of the backoff jitter, which keeps hundreds of nodes from reconnecting at the same moment.
     pub seed: u64,
-    /// Times and bounds.
-    pub pace: Pace,
-    /// Whether the list is to be kept.
-    pub keeps: bool,
+    /// Timeouts, intervals and size limits.
+    pub limits: Limits,
+    /// Whether to store the list on disk.
+    pub saves_cache: bool,
 }
 
-/// A key, as it is held.
+/// The known state of a key.
 #[derive(Debug, Clone, PartialEq)]
-struct Item {
-    /// The revision in which it changed last.
+struct KeyState {
+    /// Revision of its last change.
     revision: i64,
-    /// Nothing if it could never be read.
+    /// The latest entry that could be parsed, if any.
     entry: Option<Entry>,
-    /// Why its newest value can't be read.
+    /// Why its latest value can't be parsed.
     malformed: Option<String>,
 }
 
-/// What is known of the store.
+/// The known state of the store.
 #[derive(Debug, Clone, Default)]
-struct Held {
+struct StoreState {
     cluster: u64,
-    /// All changes up to this one are in the list.
+    /// All changes up to this revision are in the list.
     revision: i64,
-    /// When it was last known to be the newest.
+    /// When the list was last known to be current.
     as_of: Micros,
-    items: BTreeMap<String, Item>,
+    items: BTreeMap<String, KeyState>,
 }
 
-/// An event of a watch, read.
-struct Told {
+/// A parsed event of a watch.
+struct KeyChange {
     revision: i64,
     id: String,
-    /// Nothing for a deletion.
-    item: Option<Item>,
+    /// `None` for a deletion.
+    item: Option<KeyState>,
 }
 
 enum Phase {
-    /// Until the next try, which reads the whole list or goes on with a watch.
-    Resting {
+    /// Waiting before the next call, which reads the full list or resumes the watch.
+    BackingOff {
         until: Micros,
-        whole: bool,
+        read_list: bool,
     },
-    Ranging(Ranging),
-    Watching(Watching),
+    ReadingList(ListRead),
+    Watching(WatchState),
 }
 
-struct Ranging {
-    since: Micros,
-    until: Micros,
-    /// What the first page told.
+/// A full list that is being read.
+struct ListRead {
+    started_at: Micros,
+    /// Deadline of the open page.
+    deadline: Micros,
+    /// Cluster id and revision, from the first page.
     cluster: u64,
     revision: i64,
-    items: BTreeMap<String, Item>,
-    /// Where the next page begins.
-    next: Vec<u8>,
+    items: BTreeMap<String, KeyState>,
+    /// First key of the next page.
+    next_key: Vec<u8>,
 }
 
-struct Watching {
-    since: Micros,
-    heard: Micros,
-    asked: Option<Micros>,
+/// An open watch.
+struct WatchState {
+    started_at: Micros,
+    last_response_at: Micros,
+    /// When a progress notification was requested that has not been answered.
+    progress_requested_at: Option<Micros>,
     created: bool,
-    /// It began behind a whole list from the same endpoint.
-    behind_list: bool,
-    /// Parts of an answer that is not whole.
-    parts: Vec<Told>,
+    /// Whether it started right after a full list was read from the same endpoint.
+    follows_list_read: bool,
+    /// Changes of a fragmented response that is not complete yet.
+    fragments: Vec<KeyChange>,
 }
 
-/// Follows the list.
+/// Follows the server list in etcd.
 pub struct Follower {
     prefix: String,
     endpoints: usize,
-    pace: Pace,
-    keeps: bool,
+    limits: Limits,
+    saves_cache: bool,
     rng: fastrand::Rng,
-    held: Option<Held>,
-    history: u32,
-    /// Whether the core has a list.
-    told: bool,
-    /// The servers of which the core does not know the newest yet, each as it knows it.
-    untold: BTreeMap<String, Option<Entry>>,
-    told_at: Micros,
+    known: Option<StoreState>,
+    /// Number of the store's history; see [`ListUpdate::history_number`].
+    history_number: u32,
+    /// Whether the core has received a list.
+    published: bool,
+    /// Servers with changes that are not published yet, each with its last published entry.
+    unpublished: BTreeMap<String, Option<Entry>>,
+    published_at: Micros,
     phase: Phase,
     call: u64,
     endpoint: usize,
+    /// Failures in a row.
     failures: u32,
-    /// Keys in a page; fewer where answers were too large.
-    page: i64,
-    /// Whole lists in a row that tell another history than the one held.
-    rumours: usize,
-    unkept: bool,
-    kept_at: Micros,
-    complained: bool,
+    /// Number of keys in a page, reduced when responses are too large.
+    page_size: i64,
+    /// Full lists in a row that conflict with the known history.
+    conflicting_lists: usize,
+    /// Whether the list has changed since it was last saved.
+    unsaved: bool,
+    saved_at: Micros,
+    /// Whether a key without a valid id has been logged.
+    invalid_id_logged: bool,
 }
 
 impl Follower {
-    /// A follower that knows this list from before, if it is of the same keys.
-    pub fn new(options: Options, kept: Option<CachedList>) -> Self {
-        let Options { prefix, endpoints, seed, pace, keeps } = options;
-        let held = kept.filter(|kept| kept.prefix == prefix).map(Held::from);
-        let (endpoints, page) = (endpoints.max(1), pace.page);
+    /// Creates a follower that starts from a cached list, if that has the same key prefix.
+    pub fn new(options: Options, cached: Option<CachedList>) -> Self {
+        let Options { prefix, endpoints, seed, limits, saves_cache } = options;
+        let known = cached.filter(|cached| cached.prefix == prefix).map(StoreState::from);
+        let (endpoints, page_size) = (endpoints.max(1), limits.page_size);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let kept_at = held.as_ref().map_or(0, |held| held.as_of);
+        let saved_at = known.as_ref().map_or(0, |known| known.as_of);
         Follower {
             prefix,
             endpoints,
-            pace,
-            keeps,
-            held,
-            history: 0,
-            told: false,
-            untold: BTreeMap::new(),
-            told_at: 0,
-            phase: Phase::Resting { until: 0, whole: true },
+            limits,
+            saves_cache,
+            known,
+            history_number: 0,
+            published: false,
+            unpublished: BTreeMap::new(),
+            published_at: 0,
+            phase: Phase::BackingOff { until: 0, read_list: true },
             call: 0,
             endpoint: rng.usize(..endpoints),
             rng,
             failures: 0,
-            page,
-            rumours: 0,
-            unkept: false,
-            kept_at,
-            complained: false,
+            page_size,
+            conflicting_lists: 0,
+            unsaved: false,
+            saved_at,
+            invalid_id_logged: false,
         }
     }
 
-    /// When it wants [`Event::Tick`] next.
-    pub fn wake_at(&self) -> Micros {
+    /// When the next [`Event::Tick`] is due.
+    pub fn next_wakeup(&self) -> Micros {
         let call = match &self.phase {
-            Phase::Resting { until, .. } => *until,
-            Phase::Ranging(range) => range.until,
-            Phase::Watching(watch) => match watch.asked {
-                _ if !watch.created => watch.since + self.pace.answer,
-                None => watch.heard + self.pace.quiet,
-                Some(asked) => asked + self.pace.dead,
+            Phase::BackingOff { until, .. } => *until,
+            Phase::ReadingList(read) => read.deadline,
+            Phase::Watching(watch) => match watch.progress_requested_at {
+                _ if !watch.created => watch.started_at + self.limits.response_timeout,
+                None => watch.last_response_at + self.limits.idle_before_progress_request,
+                Some(requested_at) => requested_at + self.limits.progress_timeout,
             },
         };
-        let others = [self.keep_due(), self.tell_due()];
+        let others = [self.save_due(), self.publish_due()];
         others.into_iter().flatten().fold(call, Micros::min)
     }
 
-    /// The list held, as it is kept.
-    pub fn kept(&self) -> Option<CachedList> {
-        let held = self.held.as_ref()?;
-        let servers = held.items.values().filter_map(|item| Some((item.entry.clone()?, item.revision)));
+    /// The known list in the form in which it is cached.
+    pub fn to_cached_list(&self) -> Option<CachedList> {
+        let known = self.known.as_ref()?;
+        let servers = known.items.values().filter_map(|item| Some((item.entry.clone()?, item.revision)));
         Some(CachedList {
             prefix: self.prefix.clone(),
-            cluster: held.cluster,
-            revision: held.revision,
-            as_of: held.as_of,
+            cluster: known.cluster,
+            revision: known.revision,
+            as_of: known.as_of,
             servers: servers.collect(),
         })
     }
 
-    /// Takes an event; adds what is to be done.
+    /// Processes an event and appends the actions to carry out.
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Page(call, page) if call.0 == self.call => self.page(now, page, out),
-            Event::Watched(call, told) if call.0 == self.call => self.watched(now, told, out),
-            Event::Failed(call, fault, why) if call.0 == self.call => self.failed(now, fault, &why, out),
-            Event::Page(..) | Event::Watched(..) | Event::Failed(..) => {} // late
+            Event::Page(call, page) if call.0 == self.call => self.on_page(now, page, out),
+            Event::WatchUpdate(call, response) if call.0 == self.call => {
+                self.on_watch_response(now, response, out);
+            }
+            Event::CallFailed(call, kind, reason) if call.0 == self.call => {
+                self.on_call_failed(now, kind, &reason, out);
+            }
+            Event::Page(..) | Event::WatchUpdate(..) | Event::CallFailed(..) => {} // of an earlier call
             Event::Tick => self.tick(now, out),
-            Event::Moved(endpoints) => {
+            Event::EndpointsChanged(endpoints) => {
                 self.endpoints = endpoints.max(1);
                 (self.endpoint, self.failures) = (self.rng.usize(..self.endpoints), 0);
-                self.read(now, out);
+                self.start_list_read(now, out);
             }
         }
-        if self.tell_due().is_some_and(|due| due <= now) {
-            self.tell(now, out);
+        if self.publish_due().is_some_and(|due| due <= now) {
+            self.publish_changes(now, out);
         }
-        if self.keep_due().is_some_and(|due| due <= now) {
-            (self.unkept, self.kept_at) = (false, now);
-            out.push(Action::Keep);
+        if self.save_due().is_some_and(|due| due <= now) {
+            (self.unsaved, self.saved_at) = (false, now);
+            out.push(Action::SaveCache);
         }
     }
 
-    fn tell_due(&self) -> Option<Micros> {
-        (self.told && !self.untold.is_empty()).then_some(self.told_at + self.pace.gather)
+    fn publish_due(&self) -> Option<Micros> {
+        (self.published && !self.unpublished.is_empty())
+            .then_some(self.published_at + self.limits.publish_interval)
     }
 
-    fn keep_due(&self) -> Option<Micros> {
-        let wanted = self.keeps && self.call > 0 && self.held.as_ref().is_some_and(|held| held.revision > 0);
-        let every = if self.unkept { self.pace.keep } else { self.pace.keep_unchanged };
-        // What has not been heard again has not grown younger.
-        let newer = self.unkept || self.held.as_ref().is_some_and(|held| held.as_of > self.kept_at);
-        (wanted && newer).then_some(self.kept_at + every)
+    fn save_due(&self) -> Option<Micros> {
+        let has_list =
+            self.saves_cache && self.call > 0 && self.known.as_ref().is_some_and(|known| known.revision > 0);
+        let interval =
+            if self.unsaved { self.limits.save_interval } else { self.limits.unchanged_save_interval };
+        // A list that has not been confirmed since the last write has no newer age to record.
+        let has_news = self.unsaved || self.known.as_ref().is_some_and(|known| known.as_of > self.saved_at);
+        (has_list && has_news).then_some(self.saved_at + interval)
     }
 
     fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if let (false, Some(held)) = (self.told, &self.held) {
-            let age = now.saturating_sub(held.as_of);
-            out.push(Action::Note(Note::Kept(held.revision, held.items.len(), age)));
-            self.tell_whole(now, out);
+        if let (false, Some(known)) = (self.published, &self.known) {
+            let age = now.saturating_sub(known.as_of);
+            out.push(Action::Log(Notice::CacheLoaded(known.revision, known.items.len(), age)));
+            self.publish_full_list(now, out);
         }
-        let (answer, dead) = (self.pace.answer, self.pace.dead);
+        let response_timeout = self.limits.response_timeout;
+        let progress_timeout = self.limits.progress_timeout;
         match &mut self.phase {
-            Phase::Resting { until, whole } if *until <= now => {
-                let resume = self.pace.resume;
-                match self.held.as_ref().is_some_and(|held| !*whole && held.as_of + resume > now) {
-                    true => self.watch(now, false, out),
-                    false => self.read(now, out),
+            Phase::BackingOff { until, read_list } if *until <= now => {
+                let max_age = self.limits.max_resume_age;
+                match self.known.as_ref().is_some_and(|known| !*read_list && known.as_of + max_age > now) {
+                    true => self.start_watch(now, false, out),
+                    false => self.start_list_read(now, out),
                 }
             }
-            Phase::Ranging(range) if range.until <= now => {
-                self.again(now, self.must_read(), "no answer", out);
+            Phase::ReadingList(read) if read.deadline <= now => {
+                self.retry_at_next_endpoint(now, self.is_reading_list(), "no response", out);
             }
-            Phase::Watching(watch) if !watch.created && watch.since + answer <= now => {
-                self.again(now, self.must_read(), "no answer", out);
+            Phase::Watching(watch) if !watch.created && watch.started_at + response_timeout <= now => {
+                self.retry_at_next_endpoint(now, self.is_reading_list(), "no response", out);
             }
-            Phase::Watching(watch) if watch.created => match watch.asked {
-                None if watch.heard + self.pace.quiet <= now => {
-                    watch.asked = Some(now);
-                    out.push(Action::Ask);
+            Phase::Watching(watch) if watch.created => match watch.progress_requested_at {
+                None if watch.last_response_at + self.limits.idle_before_progress_request <= now => {
+                    watch.progress_requested_at = Some(now);
+                    out.push(Action::RequestProgress);
+                }
+                Some(requested_at) if requested_at + progress_timeout <= now => {
+                    self.retry_at_next_endpoint(now, false, "the watch is silent", out);
                 }
-                Some(asked) if asked + dead <= now => self.again(now, false, "the watch is silent", out),
                 _ => {}
             },
             _ => {}
         }
     }
 
-    /// Whether a try that fails now must be followed by reading the whole list.
-    fn must_read(&self) -> bool {
-        matches!(self.phase, Phase::Ranging(_))
+    /// Whether the full list is being read, so that a failure must be followed by reading it again.
+    fn is_reading_list(&self) -> bool {
+        matches!(self.phase, Phase::ReadingList(_))
     }
 
-    // ---- calls ----
+    // ---- Calls ----
 
-    fn next_call(&mut self) -> Call {
+    fn next_call(&mut self) -> CallId {
         self.call += 1;
-        Call(self.call)
+        CallId(self.call)
     }
 
-    /// Begins to read the whole list.
-    fn read(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let next = self.prefix.clone().into_bytes();
+    /// Starts to read the full list.
+    fn start_list_read(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let next_key = self.prefix.clone().into_bytes();
         let (cluster, revision, items) = Default::default();
-        let until = now + self.pace.answer;
-        self.phase = Phase::Ranging(Ranging { since: now, until, cluster, revision, items, next });
-        self.read_page(out);
+        let deadline = now + self.limits.response_timeout;
+        let read = ListRead { started_at: now, deadline, cluster, revision, items, next_key };
+        self.phase = Phase::ReadingList(read);
+        self.request_page(out);
     }
 
-    fn read_page(&mut self, out: &mut Vec<Action>) {
+    fn request_page(&mut self, out: &mut Vec<Action>) {
         let call = self.next_call();
-        if let Phase::Ranging(range) = &self.phase {
-            let (key, range_end) = (range.next.clone(), end_of(self.prefix.as_bytes()));
-            let asked = RangeRequest { key, range_end, limit: self.page, revision: range.revision };
-            out.push(Action::Range(call, self.endpoint, asked));
-        }
-    }
-
-    /// Watches what comes after the revision held.
-    fn watch(&mut self, now: Micros, behind_list: bool, out: &mut Vec<Action>) {
-        let (since, heard, asked, created, parts) = (now, now, None, false, Vec::new());
-        self.phase = Phase::Watching(Watching { since, heard, asked, created, behind_list, parts });
+        if let Phase::ReadingList(read) = &self.phase {
+            let (key, range_end) = (read.next_key.clone(), prefix_range_end(self.prefix.as_bytes()));
+            let request = RangeRequest { key, range_end, limit: self.page_size, revision: read.revision };
+            out.push(Action::ReadPage(call, self.endpoint, request));
+        }
+    }
+
+    /// Opens a watch for the changes after the known revision.
+    fn start_watch(&mut self, now: Micros, follows_list_read: bool, out: &mut Vec<Action>) {
+        self.phase = Phase::Watching(WatchState {
+            started_at: now,
+            last_response_at: now,
+            progress_requested_at: None,
+            created: false,
+            follows_list_read,
+            fragments: Vec::new(),
+        });
         let call = self.next_call();
-        let asked = WatchCreateRequest {
+        let request = WatchCreateRequest {
             key: self.prefix.clone().into_bytes(),
-            range_end: end_of(self.prefix.as_bytes()),
-            start_revision: self.held.as_ref().map_or(0, |held| held.revision) + 1,
+            range_end: prefix_range_end(self.prefix.as_bytes()),
+            start_revision: self.known.as_ref().map_or(0, |known| known.revision) + 1,
             progress_notify: true,
             watch_id: 0,
             fragment: true,
         };
-        out.push(Action::Watch(call, self.endpoint, asked));
+        out.push(Action::OpenWatch(call, self.endpoint, request));
     }
 
-    fn failed(&mut self, now: Micros, fault: Fault, why: &str, out: &mut Vec<Action>) {
-        match fault {
-            // The pages' revision, or the watch's: in both cases there is a newer one to be had at once.
-            Fault::Compacted => self.doubt(now, why, out),
-            Fault::TooLarge if self.page > 1 => {
-                self.page = (self.page / 4).max(1);
-                self.again(now, self.must_read(), why, out);
+    fn on_call_failed(&mut self, now: Micros, kind: ErrorKind, reason: &str, out: &mut Vec<Action>) {
+        match kind {
+            // The revision of the pages or of the watch is compacted. The same endpoint has a newer one available.
+            ErrorKind::Compacted => self.reread_list(now, reason, out),
+            ErrorKind::TooLarge if self.page_size > 1 => {
+                self.page_size = (self.page_size / 4).max(1);
+                self.retry_at_next_endpoint(now, self.is_reading_list(), reason, out);
             }
-            _ => self.again(now, self.must_read(), why, out),
+            _ => self.retry_at_next_endpoint(now, self.is_reading_list(), reason, out),
         }
     }
 
-    /// Tries again later, at the next endpoint.
-    fn again(&mut self, now: Micros, whole: bool, why: &str, out: &mut Vec<Action>) {
-        let wait = self.rest(now, whole, out);
-        // Each failure at first, then ever fewer: a log must not fill with a lost store.
+    /// Retries at the next endpoint after a backoff.
+    fn retry_at_next_endpoint(&mut self, now: Micros, read_list: bool, reason: &str, out: &mut Vec<Action>) {
+        let delay = self.back_off(now, read_list, out);
+        // Logged at exponentially growing intervals, so that an unreachable store does not fill the log.
         if self.failures.is_power_of_two() {
-            out.push(Action::Note(Note::Lost(self.endpoint, words(why), self.failures, wait)));
+            let reason = sanitize_for_log(reason);
+            out.push(Action::Log(Notice::CallFailed(self.endpoint, reason, self.failures, delay)));
         }
         self.endpoint = (self.endpoint + 1) % self.endpoints;
     }
 
-    /// Reads the whole list soon, at the same endpoint.
-    fn doubt(&mut self, now: Micros, why: &str, out: &mut Vec<Action>) {
-        self.rest(now, true, out);
+    /// Reads the full list again after a backoff, at the same endpoint.
+    fn reread_list(&mut self, now: Micros, reason: &str, out: &mut Vec<Action>) {
+        self.back_off(now, true, out);
         if self.failures.is_power_of_two() {
-            out.push(Action::Note(Note::Doubt(words(why))));
+            out.push(Action::Log(Notice::Inconsistent(sanitize_for_log(reason))));
         }
     }
 
-    fn rest(&mut self, now: Micros, whole: bool, out: &mut Vec<Action>) -> Micros {
+    /// Closes the open call and waits for a random time; returns that time.
+    fn back_off(&mut self, now: Micros, read_list: bool, out: &mut Vec<Action>) -> Micros {
         self.failures = self.failures.saturating_add(1);
-        let doubled = self.pace.first_wait << (self.failures - 1).min(20);
-        let most = doubled.min(self.pace.longest_wait);
-        let least = if self.failures == 1 { 0 } else { most / 2 };
-        let wait = self.rng.u64(least..=most);
-        self.next_call(); // what still comes of the one before is late
-        self.phase = Phase::Resting { until: now + wait, whole };
-        out.push(Action::Close);
-        wait
+        let doubled = self.limits.initial_backoff << (self.failures - 1).min(20);
+        let max = doubled.min(self.limits.max_backoff);
+        let min = if self.failures == 1 { 0 } else { max / 2 };
+        let delay = self.rng.u64(min..=max);
+        self.next_call(); // invalidates events of the closed call
+        self.phase = Phase::BackingOff { until: now + delay, read_list };
+        out.push(Action::CloseCall);
+        delay
     }
 
-    // ---- the whole list ----
+    // ---- Reading the full list ----
 
-    fn page(&mut self, now: Micros, page: RangeResponse, out: &mut Vec<Action>) {
-        let Phase::Ranging(range) = &mut self.phase else { return };
-        if let Err(why) = range.take(&page, &self.prefix, self.pace.most) {
-            return self.again(now, true, why, out);
+    fn on_page(&mut self, now: Micros, page: RangeResponse, out: &mut Vec<Action>) {
+        let Phase::ReadingList(read) = &mut self.phase else { return };
+        if let Err(reason) = read.accept_page(&page, &self.prefix, self.limits.max_servers) {
+            return self.retry_at_next_endpoint(now, true, reason, out);
         }
         for kv in page.kvs {
-            let Some((id, item)) = read_kv(&self.prefix, &kv, &mut self.complained, out) else { continue };
-            if let Phase::Ranging(range) = &mut self.phase {
-                range.items.insert(id, item);
+            let Some((id, item)) = parse_kv(&self.prefix, &kv, &mut self.invalid_id_logged, out) else {
+                continue;
+            };
+            if let Phase::ReadingList(read) = &mut self.phase {
+                read.items.insert(id, item);
             }
         }
-        let resting = Phase::Resting { until: now, whole: true };
-        match std::mem::replace(&mut self.phase, resting) {
-            Phase::Ranging(range) if !page.more => self.whole(now, range, out),
-            range => {
-                self.phase = range;
-                if let Phase::Ranging(range) = &mut self.phase {
-                    range.until = now + self.pace.answer;
+        let placeholder = Phase::BackingOff { until: now, read_list: true };
+        match std::mem::replace(&mut self.phase, placeholder) {
+            Phase::ReadingList(read) if !page.more => self.on_list_complete(now, read, out),
+            phase => {
+                self.phase = phase;
+                if let Phase::ReadingList(read) = &mut self.phase {
+                    read.deadline = now + self.limits.response_timeout;
                 }
-                self.read_page(out);
+                self.request_page(out);
             }
         }
     }
 
-    /// A whole list has come: is it of the history that is held, and what has changed in it?
-    fn whole(&mut self, now: Micros, range: Ranging, out: &mut Vec<Action>) {
-        if let Some(held) = &self.held {
-            let other = held.contradicts(&range);
-            let note = (range.revision, held.revision);
-            if other && !self.believe_rumour() {
-                // Guards against: a member that answers from an old state, for which the newer list would be lost.
-                self.rest(now, true, out);
+    /// Processes a full list: checks that it belongs to the known history, and determines what has changed.
+    fn on_list_complete(&mut self, now: Micros, read: ListRead, out: &mut Vec<Action>) {
+        if let Some(known) = &self.known {
+            let conflicts = known.conflicts_with(&read);
+            let (received_revision, known_revision) = (read.revision, known.revision);
+            if conflicts && !self.confirm_conflicting_history() {
+                // A member that answers from an outdated state must not replace the newer list.
+                self.back_off(now, true, out);
                 self.endpoint = (self.endpoint + 1) % self.endpoints;
-                return out.push(Action::Note(Note::Rumour(note.0, note.1)));
+                return out.push(Action::Log(Notice::HistoryConflict(received_revision, known_revision)));
             }
-            if other {
-                self.history += 1;
-                out.push(Action::Note(Note::Rewound(note.0, note.1)));
+            if conflicts {
+                self.history_number += 1;
+                out.push(Action::Log(Notice::HistoryReplaced(received_revision, known_revision)));
             }
         }
-        self.rumours = 0;
-        let mut items = range.items;
-        // Both are in order of their ids, and gone through once: a look-up for each would hold the thread for long.
-        let mut before = self.held.take().unwrap_or_default().items.into_iter().peekable();
+        self.conflicting_lists = 0;
+        let mut items = read.items;
+        // Both maps are ordered by id and are merged in one pass; a lookup per key would block the thread for too long.
+        let mut before = self.known.take().unwrap_or_default().items.into_iter().peekable();
         for (id, item) in &mut items {
             while let Some((id, old)) = before.next_if(|(other, _)| other < id) {
-                note_untold(&mut self.untold, &id, Some(old), None);
+                record_unpublished(&mut self.unpublished, &id, Some(old), None);
             }
             let old = before.next_if(|(other, _)| other == id).map(|(_, old)| old);
-            item.keep_of(id, old.as_ref(), out);
-            note_untold(&mut self.untold, id, old, item.entry.as_ref());
+            item.inherit_entry(id, old.as_ref(), out);
+            record_unpublished(&mut self.unpublished, id, old, item.entry.as_ref());
         }
         for (id, old) in before {
-            note_untold(&mut self.untold, &id, Some(old), None);
+            record_unpublished(&mut self.unpublished, &id, Some(old), None);
         }
-        let (cluster, revision) = (range.cluster, range.revision);
+        let (cluster, revision) = (read.cluster, read.revision);
         let servers = items.len();
-        self.held = Some(Held { cluster, revision, as_of: range.since, items });
-        self.unkept = true;
-        if !self.untold.is_empty() {
-            self.failures = 0; // news, as a watch's
+        self.known = Some(StoreState { cluster, revision, as_of: read.started_at, items });
+        self.unsaved = true;
+        if !self.unpublished.is_empty() {
+            self.failures = 0; // the store delivers changes, as a working watch does
         }
-        match self.told {
-            true => self.tell(now, out),
-            false => self.tell_whole(now, out),
+        match self.published {
+            true => self.publish_changes(now, out),
+            false => self.publish_full_list(now, out),
         }
-        out.push(Action::Note(Note::Following(revision, servers, self.endpoint)));
-        self.watch(now, true, out);
+        out.push(Action::Log(Notice::Following(revision, servers, self.endpoint)));
+        self.start_watch(now, true, out);
     }
 
-    /// Whether another history has been told often enough: by each endpoint once, if all can be reached, and
-    /// twice at least.
-    fn believe_rumour(&mut self) -> bool {
-        self.rumours += 1;
-        self.rumours >= self.endpoints.max(2)
+    /// Counts a list that conflicts with the known history. True once there have been enough in a row: one from each
+    /// endpoint if all can be reached, and at least two.
+    fn confirm_conflicting_history(&mut self) -> bool {
+        self.conflicting_lists += 1;
+        self.conflicting_lists >= self.endpoints.max(2)
     }
 
-    fn tell_whole(&mut self, now: Micros, out: &mut Vec<Action>) {
-        (self.told, self.told_at) = (true, now);
-        self.untold.clear();
-        let items = self.held.iter().flat_map(|held| held.items.values());
+    fn publish_full_list(&mut self, now: Micros, out: &mut Vec<Action>) {
+        (self.published, self.published_at) = (true, now);
+        self.unpublished.clear();
+        let items = self.known.iter().flat_map(|known| known.items.values());
         let servers = items.filter_map(|item| item.entry.clone()).collect();
-        self.push_change(List { full: true, servers }, out);
-    }
-
-    /// Tells what the core does not know, as one change.
-    fn tell(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(held) = &self.held else { return };
-        let now_as = |id: &String| held.items.get(id).and_then(|item| item.entry.clone());
-        let changed =
-            std::mem::take(&mut self.untold).into_iter().filter_map(|(id, known)| match now_as(&id) {
-                entry if entry == known => None,
-                Some(entry) => Some(entry),
-                None => known.map(|known| Entry { state: State::Deleted, ..known }),
-            });
+        self.push_update(List { full: true, servers }, out);
+    }
+
+    /// Publishes all unpublished changes as one update.
+    fn publish_changes(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let Some(known) = &self.known else { return };
+        let current = |id: &String| known.items.get(id).and_then(|item| item.entry.clone());
+        let unpublished = std::mem::take(&mut self.unpublished).into_iter();
+        let changed = unpublished.filter_map(|(id, published)| match current(&id) {
+            entry if entry == published => None,
+            Some(entry) => Some(entry),
+            None => published.map(|published| Entry { state: State::Deleted, ..published }),
+        });
         let servers: Vec<Entry> = changed.collect();
         if !servers.is_empty() {
-            self.told_at = now;
-            self.push_change(List { full: false, servers }, out);
+            self.published_at = now;
+            self.push_update(List { full: false, servers }, out);
         }
     }
 
-    fn push_change(&self, list: List, out: &mut Vec<Action>) {
-        let revision = self.held.as_ref().map_or(0, |held| held.revision);
-        out.push(Action::Tell(Change { list, revision, history: self.history }));
+    fn push_update(&self, list: List, out: &mut Vec<Action>) {
+        let revision = self.known.as_ref().map_or(0, |known| known.revision);
+        out.push(Action::Publish(ListUpdate { list, revision, history_number: self.history_number }));
     }
 
-    // ---- the watch ----
+    // ---- The watch ----
 
-    fn watched(&mut self, now: Micros, told: WatchResponse, out: &mut Vec<Action>) {
-        let (Phase::Watching(watch), Some(held)) = (&mut self.phase, &self.held) else { return };
-        let Some(header) = told.header else {
-            return self.doubt(now, "an answer without a header", out);
+    fn on_watch_response(&mut self, now: Micros, response: WatchResponse, out: &mut Vec<Action>) {
+        let (Phase::Watching(watch), Some(known)) = (&mut self.phase, &self.known) else { return };
+        let Some(header) = response.header else {
+            return self.reread_list(now, "a watch response without a header", out);
         };
-        (watch.heard, watch.asked) = (now, None);
-        if now >= watch.since + self.pace.settled {
+        (watch.last_response_at, watch.progress_requested_at) = (now, None);
+        if now >= watch.started_at + self.limits.stable_after {
             self.failures = 0;
         }
-        if header.cluster_id != held.cluster {
-            return self.doubt(now, "the watch is another cluster's", out);
+        if header.cluster_id != known.cluster {
+            return self.reread_list(now, "the watch belongs to another cluster", out);
         }
-        if told.canceled {
-            let why = match told.compact_revision {
-                0 => format!("the watch was cancelled: {}", told.cancel_reason),
-                oldest => format!("the watch's revision is compacted, up to {oldest}"),
+        if response.canceled {
+            let reason = match response.compact_revision {
+                0 => format!("the watch was cancelled: {}", response.cancel_reason),
+                compacted => format!("the revision of the watch has been compacted, up to {compacted}"),
             };
-            return self.doubt(now, &why, out);
+            return self.reread_list(now, &reason, out);
         }
-        if told.created {
+        if response.created {
             watch.created = true;
-            // Guards against: a store that went backwards, of which a watch from a revision to come tells
-            // nothing. A member that only lags is told from it by the list, which a quorum answers.
-            if header.revision < held.revision && !watch.behind_list {
-                return self.doubt(now, "the store's revision is older than the one held", out);
+            // The store may have been restored to an older revision; a watch from a future revision would then deliver
+            // nothing. Reading the list, which needs a quorum, tells such a store from a member that only lags.
+            if header.revision < known.revision && !watch.follows_list_read {
+                return self.reread_list(now, "the store's revision is older than the known one", out);
             }
             return;
         }
         if !watch.created {
-            return self.doubt(now, "an answer of a watch that was not made", out);
+            return self.reread_list(now, "a response before the watch was created", out);
         }
-        let is_progress = told.events.is_empty() && !told.fragment && watch.parts.is_empty();
+        let is_progress = response.events.is_empty() && !response.fragment && watch.fragments.is_empty();
         if is_progress {
-            return self.progress(now, header);
+            return self.on_progress(now, header);
         }
-        self.parts(now, told, out);
+        self.on_events(now, response, out);
     }
 
-    /// All changes up to this revision have been told.
-    fn progress(&mut self, now: Micros, header: ResponseHeader) {
-        if let Some(held) = &mut self.held {
-            held.as_of = now;
-            if (held.revision + 1..i64::MAX).contains(&header.revision) {
-                held.revision = header.revision;
-                self.unkept = true;
+    /// Processes a progress notification: all changes up to its revision have been delivered.
+    fn on_progress(&mut self, now: Micros, header: ResponseHeader) {
+        if let Some(known) = &mut self.known {
+            known.as_of = now;
+            if (known.revision + 1..i64::MAX).contains(&header.revision) {
+                known.revision = header.revision;
+                self.unsaved = true;
             }
         }
     }
 
-    /// Takes an answer with events, or a part of one.
-    fn parts(&mut self, now: Micros, told: WatchResponse, out: &mut Vec<Action>) {
-        for event in told.events {
-            let read = read_event(&self.prefix, event, &mut self.complained, out);
+    /// Processes a response with events, or a fragment of one.
+    fn on_events(&mut self, now: Micros, response: WatchResponse, out: &mut Vec<Action>) {
+        for event in response.events {
+            let parsed = parse_event(&self.prefix, event, &mut self.invalid_id_logged, out);
             let Phase::Watching(watch) = &mut self.phase else { return };
-            match read {
-                Ok(read) => watch.parts.extend(read),
-                Err(why) => return self.doubt(now, why, out),
+            match parsed {
+                Ok(change) => watch.fragments.extend(change),
+                Err(reason) => return self.reread_list(now, reason, out),
             }
-            if watch.parts.len() > 4 * self.pace.most {
-                return self.doubt(now, "too many changes in one answer", out);
+            if watch.fragments.len() > 4 * self.limits.max_servers {
+                return self.reread_list(now, "too many changes in one response", out);
             }
         }
         let Phase::Watching(watch) = &mut self.phase else { return };
-        if told.fragment {
+        if response.fragment {
             return;
         }
-        let mut parts = std::mem::take(&mut watch.parts);
-        parts.sort_by_key(|told| told.revision); // stable: within a revision the order counts
-        while !parts.is_empty() {
-            let revision = parts[0].revision;
-            let rest = parts.split_off(parts.partition_point(|told| told.revision == revision));
-            if let Err(why) = self.apply(now, revision, parts, out) {
-                return self.doubt(now, why, out);
+        let mut changes = std::mem::take(&mut watch.fragments);
+        changes.sort_by_key(|change| change.revision); // stable, since the order within a revision matters
+        while !changes.is_empty() {
+            let revision = changes[0].revision;
+            let later = changes.split_off(changes.partition_point(|change| change.revision == revision));
+            if let Err(reason) = self.apply_revision(now, revision, changes, out) {
+                return self.reread_list(now, reason, out);
             }
-            parts = rest;
+            changes = later;
         }
     }
 
-    /// Applies the changes of one revision as one.
-    fn apply(
+    /// Applies all changes of one revision together.
+    fn apply_revision(
         &mut self,
         now: Micros,
         revision: i64,
-        changes: Vec<Told>,
+        changes: Vec<KeyChange>,
         out: &mut Vec<Action>,
     ) -> Result<(), &'static str> {
-        let Some(held) = &mut self.held else { return Ok(()) };
-        if revision <= held.revision {
-            // Guards against: changes of a revision that come in two answers, and changes that come late.
-            return match changes.iter().all(|told| held.reflects(told)) {
+        let Some(known) = &mut self.known else { return Ok(()) };
+        if revision <= known.revision {
+            // Detects changes that arrive late, and changes of one revision that are split over two responses.
+            return match changes.iter().all(|change| known.includes(change)) {
                 true => Ok(()), // a replay
-                false => Err("a change came that an earlier one should have included"),
+                false => Err("a change arrived that an earlier response should have included"),
             };
         }
-        let mut net: BTreeMap<String, Option<Item>> = BTreeMap::new();
-        for Told { id, item, .. } in changes {
-            net.insert(id, item);
+        let mut final_states: BTreeMap<String, Option<KeyState>> = BTreeMap::new();
+        for KeyChange { id, item, .. } in changes {
+            final_states.insert(id, item);
         }
-        for (id, item) in net {
-            let old = held.items.remove(&id);
+        for (id, item) in final_states {
+            let old = known.items.remove(&id);
             match item {
                 Some(mut item) => {
-                    item.keep_of(&id, old.as_ref(), out);
-                    note_untold(&mut self.untold, &id, old, item.entry.as_ref());
-                    held.items.insert(id, item);
+                    item.inherit_entry(&id, old.as_ref(), out);
+                    record_unpublished(&mut self.unpublished, &id, old, item.entry.as_ref());
+                    known.items.insert(id, item);
                 }
-                None => note_untold(&mut self.untold, &id, old, None),
+                None => record_unpublished(&mut self.unpublished, &id, old, None),
             }
         }
-        (held.revision, held.as_of) = (revision, now);
-        if held.items.len() > self.pace.most {
+        (known.revision, known.as_of) = (revision, now);
+        if known.items.len() > self.limits.max_servers {
             return Err("the list has too many servers");
         }
-        (self.unkept, self.failures) = (true, 0);
+        (self.unsaved, self.failures) = (true, 0);
         Ok(())
     }
 }
 
-impl Ranging {
-    /// Checks a page, and notes where the next begins.
-    fn take(&mut self, page: &RangeResponse, prefix: &str, most: usize) -> Result<(), &'static str> {
+impl ListRead {
+    /// Validates a page, and records where the next one starts.
+    fn accept_page(
+        &mut self,
+        page: &RangeResponse,
+        prefix: &str,
+        max_servers: usize,
+    ) -> Result<(), &'static str> {
         let header = page.header.ok_or("a page without a header")?;
         if !(1..i64::MAX).contains(&header.revision) {
             return Err("a page without a revision");
@@ -724,136 +770,142 @@
             (self.cluster, self.revision) = (header.cluster_id, header.revision);
         }
         if header.cluster_id != self.cluster || header.revision < self.revision {
-            return Err("pages of two stores");
+            return Err("pages from different stores");
         }
-        let mut next = std::mem::take(&mut self.next);
+        let mut next_key = std::mem::take(&mut self.next_key);
         for kv in &page.kvs {
-            if !kv.key.starts_with(prefix.as_bytes()) || kv.key < next {
-                return Err("a page with keys that were not asked for");
+            if !kv.key.starts_with(prefix.as_bytes()) || kv.key < next_key {
+                return Err("a page with keys that were not requested");
             }
             if !(1..=self.revision).contains(&kv.mod_revision) {
                 return Err("a page with a key from another revision");
             }
-            next.clone_from(&kv.key);
-            next.push(0);
+            next_key.clone_from(&kv.key);
+            next_key.push(0);
         }
         if page.more && page.kvs.is_empty() {
-            return Err("a page without keys, and more to come");
+            return Err("a page without keys that is not the last");
         }
-        if self.items.len() + page.kvs.len() > most {
+        if self.items.len() + page.kvs.len() > max_servers {
             return Err("the list has too many servers");
         }
-        self.next = next;
+        self.next_key = next_key;
         Ok(())
     }
 }
 
-impl Item {
-    /// A value that can't be read leaves the server as it was; said once for each reason.
-    fn keep_of(&mut self, id: &str, old: Option<&Item>, out: &mut Vec<Action>) {
-        let Some(why) = &self.malformed else { return };
+impl KeyState {
+    /// Keeps the old entry of a server whose new value is malformed. Logged once for each reason.
+    fn inherit_entry(&mut self, id: &str, old: Option<&KeyState>, out: &mut Vec<Action>) {
+        let Some(reason) = &self.malformed else { return };
         self.entry = old.and_then(|old| old.entry.clone());
-        if old.and_then(|old| old.malformed.as_ref()) != Some(why) {
-            out.push(Action::Note(Note::Malformed(id.to_owned(), why.clone())));
+        if old.and_then(|old| old.malformed.as_ref()) != Some(reason) {
+            out.push(Action::Log(Notice::Malformed(id.to_owned(), reason.clone())));
         }
     }
 }
 
-impl Held {
-    /// Whether a whole list can't be of the same history: it is of another cluster, older than what is held, or
-    /// has a key otherwise than all changes up to the revision held have left it.
-    fn contradicts(&self, range: &Ranging) -> bool {
-        if range.cluster != self.cluster || range.revision < self.revision {
+impl StoreState {
+    /// Whether a full list can't belong to the same history. This is the case if it is from another cluster or older than
+    /// the known list, or if a key differs from its state after all changes up to the known revision.
+    fn conflicts_with(&self, read: &ListRead) -> bool {
+        if read.cluster != self.cluster || read.revision < self.revision {
             return true;
         }
-        let same = range.revision == self.revision;
-        let mut held = self.items.iter().peekable();
-        for (id, item) in &range.items {
-            while held.next_if(|(other, _)| *other < id).is_some() {
-                if same {
-                    return true; // lost
+        let is_same_revision = read.revision == self.revision;
+        let mut known = self.items.iter().peekable();
+        for (id, item) in &read.items {
+            while known.next_if(|(other, _)| *other < id).is_some() {
+                if is_same_revision {
+                    return true; // a known key is missing
                 }
             }
-            let otherwise = match held.next_if(|(other, _)| *other == id) {
+            let differs = match known.next_if(|(other, _)| *other == id) {
                 Some((_, old)) => item.revision <= self.revision && item.revision != old.revision,
-                // What could never be read is not kept on a disk.
-                None => item.revision <= self.revision && same && item.entry.is_some(),
+                // The cache file leaves out keys that could never be parsed.
+                None => item.revision <= self.revision && is_same_revision && item.entry.is_some(),
             };
-            if otherwise {
+            if differs {
                 return true;
             }
         }
-        same && held.next().is_some()
+        is_same_revision && known.next().is_some()
     }
 
-    /// Whether a change of a revision held is in the list.
-    fn reflects(&self, told: &Told) -> bool {
-        match self.items.get(&told.id) {
-            Some(item) => item.revision >= told.revision,
-            None => told.item.is_none(),
+    /// Whether the list includes a change of the known revision or an earlier one.
+    fn includes(&self, change: &KeyChange) -> bool {
+        match self.items.get(&change.id) {
+            Some(item) => item.revision >= change.revision,
+            None => change.item.is_none(),
         }
     }
 }
 
-impl From<CachedList> for Held {
-    fn from(kept: CachedList) -> Self {
-        let CachedList { cluster, revision, as_of, servers, .. } = kept;
+impl From<CachedList> for StoreState {
+    fn from(cached: CachedList) -> Self {
+        let CachedList { cluster, revision, as_of, servers, .. } = cached;
         let item = |(entry, revision): (Entry, i64)| {
-            (entry.id.clone(), Item { revision, entry: Some(entry), malformed: None })
+            (entry.id.clone(), KeyState { revision, entry: Some(entry), malformed: None })
         };
-        Held { cluster, revision, as_of, items: servers.into_iter().map(item).collect() }
+        StoreState { cluster, revision, as_of, items: servers.into_iter().map(item).collect() }
     }
 }
 
-/// Notes that the core does not know a server's newest entry, with the entry that it knows.
-fn note_untold(
-    untold: &mut BTreeMap<String, Option<Entry>>,
+/// Records that a server's new entry is unpublished, with the entry that was published last.
+fn record_unpublished(
+    unpublished: &mut BTreeMap<String, Option<Entry>>,
     id: &str,
-    old: Option<Item>,
+    old: Option<KeyState>,
     new: Option<&Entry>,
 ) {
     let old = old.and_then(|old| old.entry);
-    if old.as_ref() != new && !untold.contains_key(id) {
-        untold.insert(id.to_owned(), old);
+    if old.as_ref() != new && !unpublished.contains_key(id) {
+        unpublished.insert(id.to_owned(), old);
     }
 }
 
-/// Reads a key and its value; nothing for a key that names no server, which is said once.
-fn read_kv(
+/// Parses a key and its value. `None` for a key without a valid id, the first of which is logged.
+fn parse_kv(
     prefix: &str,
     kv: &KeyValue,
-    complained: &mut bool,
+    invalid_id_logged: &mut bool,
     out: &mut Vec<Action>,
-) -> Option<(String, Item)> {
-    let id = read_id(prefix, kv, complained, out)?;
-    let read = layout::parse_value(&id, &kv.value).map_err(|malformed| words(&malformed.0));
-    let (entry, malformed) = match read {
+) -> Option<(String, KeyState)> {
+    let id = parse_id(prefix, kv, invalid_id_logged, out)?;
+    let parsed = layout::parse_value(&id, &kv.value).map_err(|malformed| sanitize_for_log(&malformed.0));
+    let (entry, malformed) = match parsed {
         Ok(entry) => (Some(entry), None),
-        Err(why) => (None, Some(why)),
+        Err(reason) => (None, Some(reason)),
     };
-    Some((id, Item { revision: kv.mod_revision, entry, malformed }))
+    Some((id, KeyState { revision: kv.mod_revision, entry, malformed }))
 }
 
-fn read_id(prefix: &str, kv: &KeyValue, complained: &mut bool, out: &mut Vec<Action>) -> Option<String> {
-    let rest = kv.key.strip_prefix(prefix.as_bytes())?;
-    match layout::parse_id(rest) {
+fn parse_id(
+    prefix: &str,
+    kv: &KeyValue,
+    invalid_id_logged: &mut bool,
+    out: &mut Vec<Action>,
+) -> Option<String> {
+    let id_bytes = kv.key.strip_prefix(prefix.as_bytes())?;
+    match layout::parse_id(id_bytes) {
         Ok(id) => Some(id.to_owned()),
         Err(malformed) => {
-            if !std::mem::replace(complained, true) {
-                let key = words(&String::from_utf8_lossy(&kv.key));
-                out.push(Action::Note(Note::Malformed(key, malformed.0)));
+            if !std::mem::replace(invalid_id_logged, true) {
+                let key = sanitize_for_log(&String::from_utf8_lossy(&kv.key));
+                out.push(Action::Log(Notice::Malformed(key, malformed.0)));
             }
             None
         }
     }
 }
 
-fn read_event(
+/// Parses an event of a watch. `None` for a key without a valid id.
+fn parse_event(
     prefix: &str,
     event: api::Event,
-    complained: &mut bool,
+    invalid_id_logged: &mut bool,
     out: &mut Vec<Action>,
-) -> Result<Option<Told>, &'static str> {
+) -> Result<Option<KeyChange>, &'static str> {
     let (kind, Some(kv)) = (event.r#type(), event.kv) else { return Err("an event without a key") };
     let revision = kv.mod_revision;
     if !(1..i64::MAX).contains(&revision) {
@@ -861,17 +913,17 @@
     }
     Ok(match kind {
         EventType::Put => {
-            let read = read_kv(prefix, &kv, complained, out);
-            read.map(|(id, item)| Told { revision, id, item: Some(item) })
+            let parsed = parse_kv(prefix, &kv, invalid_id_logged, out);
+            parsed.map(|(id, item)| KeyChange { revision, id, item: Some(item) })
         }
         EventType::Delete => {
-            read_id(prefix, &kv, complained, out).map(|id| Told { revision, id, item: None })
+            parse_id(prefix, &kv, invalid_id_logged, out).map(|id| KeyChange { revision, id, item: None })
         }
     })
 }
 
-/// Words from outside, for the log: one line of bounded length.
-fn words(text: &str) -> String {
+/// Makes external text safe for the log: a single line of at most 200 characters.
+fn sanitize_for_log(text: &str) -> String {
     text.chars().take(200).map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
 
--- a/crates/members/src/etcd/layout.rs
+++ b/crates/members/src/etcd/layout.rs
@@ -1,6 +1,6 @@
-//! The keys and values of servers in etcd.
+//! Parsing and encoding of the keys and values of servers in etcd.
 //!
-//! A server's key is the prefix and its id; its value is JSON with the words of discovery's entries, but the id:
+//! A server's key is the prefix followed by its id. Its value is JSON with the fields of a discovery entry except the id:
 //! `{"addr":"10.0.0.7:6379","zone":"a","kind":"standard","state":"serving","weight":1.0,"started_ms":0}`.
 
 use std::fmt;
@@ -9,14 +9,15 @@
 use lilacquay_core::{Entry, State};
 use serde::{Deserialize, Serialize};
 
-/// The longest id, in bytes.
-pub const LONGEST_ID: usize = 250;
-/// The longest value, in bytes. Real ones have some 150.
-pub const LONGEST_VALUE: usize = 4096;
-/// Names of zones and kinds are kept for ever by those who number them: longer ones are not believed.
-const LONGEST_NAME: usize = 100;
+/// Maximum length of an id in bytes.
+pub const MAX_ID_BYTES: usize = 250;
+/// Maximum length of a value in bytes. Typical values have about 150.
+pub const MAX_VALUE_BYTES: usize = 4096;
+/// Maximum length of the name of a zone or kind in bytes. Longer names are rejected, since the tables that number these
+/// names never drop one.
+const MAX_NAME_BYTES: usize = 100;
 
-/// Why a key or value can't be read as a server.
+/// Why a key or value can't be parsed as a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -28,7 +29,7 @@
 
 impl std::error::Error for Malformed {}
 
-/// A value.
+/// JSON form of a value.
 #[derive(Serialize, Deserialize)]
 struct Value {
     addr: SocketAddr,
@@ -38,117 +39,120 @@
     kind: String,
     #[serde(default)]
     cell: u32,
-    state: Word,
+    state: ListedState,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     weight: Option<f64>,
     #[serde(default)]
     started_ms: f64,
 }
 
-/// Who is gone has no key.
+/// State of a listed server. A removed server has no key.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Word {
+enum ListedState {
     #[serde(alias = "SERVING")]
     Serving,
     #[serde(alias = "DRAINING")]
     Draining,
 }
 
-/// Reads an id: what follows the prefix in a key.
+/// Parses an id, which is the part of a key after the prefix.
 ///
 /// # Errors
-/// What is wrong with it.
+/// The first rule that it violates.
 pub fn parse_id(bytes: &[u8]) -> Result<&str, Malformed> {
-    let text = std::str::from_utf8(bytes).map_err(|_| Malformed("the id is no UTF-8".into()))?;
-    let what = match text {
+    let text = std::str::from_utf8(bytes).map_err(|_| Malformed("the id is not UTF-8".into()))?;
+    let problem = match text {
         "" => "the id is empty",
-        _ if text.len() > LONGEST_ID => "the id is longer than 250 bytes",
+        _ if text.len() > MAX_ID_BYTES => "the id is longer than 250 bytes",
         _ if text.chars().any(|c| c.is_control() || c.is_whitespace() || c == '/') => {
             "the id has a blank, a slash or a control character"
         }
         _ => return Ok(text),
     };
-    Err(Malformed(what.into()))
+    Err(Malformed(problem.into()))
 }
 
-/// Reads a value.
+/// Parses a value.
 ///
 /// # Errors
-/// What is wrong with it, by field.
+/// The first problem, with the name of its field.
 pub fn parse_value(id: &str, bytes: &[u8]) -> Result<Entry, Malformed> {
-    if bytes.len() > LONGEST_VALUE {
-        return Err(Malformed(format!("the value has {} bytes; {LONGEST_VALUE} are the most", bytes.len())));
+    if bytes.len() > MAX_VALUE_BYTES {
+        return Err(Malformed(format!(
+            "the value has {} bytes; the maximum is {MAX_VALUE_BYTES}",
+            bytes.len()
+        )));
     }
     let value: Value = serde_json::from_slice(bytes).map_err(|error| Malformed(error.to_string()))?;
     let Value { addr, zone, kind, cell, state, weight, started_ms } = value;
     if addr.port() == 0 {
         return Err(Malformed("addr: a port of 0 can't be reached".into()));
     }
-    if zone.len() > LONGEST_NAME || kind.len() > LONGEST_NAME {
-        return Err(Malformed(format!("zone, kind: {LONGEST_NAME} bytes are the most")));
+    if zone.len() > MAX_NAME_BYTES || kind.len() > MAX_NAME_BYTES {
+        return Err(Malformed(format!("zone, kind: the maximum is {MAX_NAME_BYTES} bytes")));
     }
     if weight.is_some_and(|weight| weight <= 0.0 || !weight.is_finite()) {
-        return Err(Malformed("weight: must be over 0".into()));
+        return Err(Malformed("weight: must be greater than 0".into()));
     }
     if !(0.0..1e15).contains(&started_ms) {
         return Err(Malformed("started_ms: must be Unix time in milliseconds, or 0".into()));
     }
     let state = match state {
-        Word::Serving => State::Serving,
-        Word::Draining => State::Draining,
+        ListedState::Serving => State::Serving,
+        ListedState::Draining => State::Draining,
     };
     Ok(Entry { id: id.to_owned(), addr, zone, kind, cell, state, weight, started_ms })
 }
 
-/// Writes a value. A server that is gone has none; it is written as draining.
+/// Encodes a value. There is no value for a removed server; it is encoded as draining.
 pub fn encode_value(entry: &Entry) -> Vec<u8> {
     let Entry { addr, cell, weight, started_ms, .. } = *entry;
     let (zone, kind) = (entry.zone.clone(), entry.kind.clone());
     let state = match entry.state {
-        State::Serving => Word::Serving,
-        State::Draining | State::Deleted => Word::Draining,
+        State::Serving => ListedState::Serving,
+        State::Draining | State::Deleted => ListedState::Draining,
     };
     let value = Value { addr, zone, kind, cell, state, weight, started_ms };
-    serde_json::to_vec(&value).expect("numbers and texts are JSON")
+    serde_json::to_vec(&value).expect("numbers and strings always serialize")
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const GOOD: &str = r#"{"addr":"127.0.0.1:7001","zone":"a","kind":"m","cell":3,"state":"draining","weight":2.0,"started_ms":5.0}"#;
+    const VALID_VALUE: &str = r#"{"addr":"127.0.0.1:7001","zone":"a","kind":"m","cell":3,"state":"draining","weight":2.0,"started_ms":5.0}"#;
 
     #[test]
-    fn a_value_read_and_written_is_the_same() {
-        let read = parse_value("box-1", GOOD.as_bytes()).unwrap();
-        assert_eq!((read.state, read.weight, read.cell), (State::Draining, Some(2.0), 3));
-        assert_eq!(parse_value("box-1", &encode_value(&read)).unwrap(), read);
-        let short = parse_value("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
-        assert_eq!((short.state, short.weight, short.started_ms), (State::Serving, None, 0.0));
-        assert_eq!(parse_value("b", &encode_value(&short)).unwrap(), short);
+    fn a_value_survives_parsing_and_encoding() {
+        let parsed = parse_value("box-1", VALID_VALUE.as_bytes()).unwrap();
+        assert_eq!((parsed.state, parsed.weight, parsed.cell), (State::Draining, Some(2.0), 3));
+        assert_eq!(parse_value("box-1", &encode_value(&parsed)).unwrap(), parsed);
+        let minimal = parse_value("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
+        assert_eq!((minimal.state, minimal.weight, minimal.started_ms), (State::Serving, None, 0.0));
+        assert_eq!(parse_value("b", &encode_value(&minimal)).unwrap(), minimal);
     }
 
     #[test]
-    fn what_is_wrong_is_told_by_its_field() {
+    fn malformed_values_are_reported_by_field() {
         let cases = [
             ("", "EOF"),
             ("{}", "missing field `addr`"),
             (r#"{"addr":"x","state":"serving"}"#, "socket address"),
             (r#"{"addr":"1.1.1.1:0","state":"serving"}"#, "addr: a port of 0"),
             (r#"{"addr":"1.1.1.1:1","state":"gone"}"#, "unknown variant `gone`"),
-            (r#"{"addr":"1.1.1.1:1","state":"serving","weight":0}"#, "weight: must be over 0"),
-            (r#"{"addr":"1.1.1.1:1","state":"serving","weight":-1}"#, "weight: must be over 0"),
+            (r#"{"addr":"1.1.1.1:1","state":"serving","weight":0}"#, "weight: must be greater than 0"),
+            (r#"{"addr":"1.1.1.1:1","state":"serving","weight":-1}"#, "weight: must be greater than 0"),
             (r#"{"addr":"1.1.1.1:1","state":"serving","started_ms":-1}"#, "started_ms: must be"),
             (r#"{"addr":"1.1.1.1:1","state":"serving","started_ms":1e300}"#, "started_ms: must be"),
         ];
-        for (text, told) in cases {
-            let what = parse_value("b", text.as_bytes()).unwrap_err().to_string();
-            assert!(what.contains(told), "{text}: {what}");
+        for (text, expected) in cases {
+            let error = parse_value("b", text.as_bytes()).unwrap_err().to_string();
+            assert!(error.contains(expected), "{text}: {error}");
         }
         let long = format!(r#"{{"addr":"1.1.1.1:1","state":"serving","zone":"{}"}}"#, "z".repeat(101));
         assert!(parse_value("b", long.as_bytes()).unwrap_err().0.starts_with("zone, kind"));
-        assert!(parse_value("b", &[b' '; LONGEST_VALUE + 1]).unwrap_err().0.contains("4097 bytes"));
+        assert!(parse_value("b", &[b' '; MAX_VALUE_BYTES + 1]).unwrap_err().0.contains("4097 bytes"));
         for bad in [&b""[..], b"a b", b"a/b", b"\xff", b"a\n", &[b'x'; 251]] {
             assert!(parse_id(bad).is_err(), "{bad:?}");
         }
@@ -156,10 +160,10 @@
     }
 
     #[test]
-    fn no_bytes_panic() {
+    fn malformed_bytes_cause_no_panic() {
         let mut rng = fastrand::Rng::with_seed(7);
         for _ in 0..20_000 {
-            let mut bytes = GOOD.as_bytes().to_vec();
+            let mut bytes = VALID_VALUE.as_bytes().to_vec();
             for _ in 0..rng.usize(1..6) {
                 let at = rng.usize(..bytes.len());
                 match rng.u8(..3) {
@@ -168,8 +172,8 @@
                     _ => bytes.insert(at, rng.u8(..)),
                 }
             }
-            if let Ok(read) = parse_value("b", &bytes) {
-                assert_eq!(parse_value("b", &encode_value(&read)).unwrap(), read);
+            if let Ok(parsed) = parse_value("b", &bytes) {
+                assert_eq!(parse_value("b", &encode_value(&parsed)).unwrap(), parsed);
             }
             let _ = parse_id(&bytes);
         }
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -1,7 +1,7 @@
-//! The last list with its revision, in a file: whole or not at all.
+//! Cache of the latest list and its revision in a file, which is replaced atomically.
 //!
-//! A first line, `lilacquay members 1 <checksum> <length>`, with the XXH3 checksum of the rest in 16 hex digits
-//! and its length in bytes; then JSON.
+//! The file starts with the line `lilacquay members 1 <checksum> <length>`, with the XXH3 checksum of the rest in 16 hex
+//! digits and its length in bytes. The rest is JSON.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -14,22 +14,23 @@
 
 use super::layout;
 
-/// The name of the file in its folder.
-pub const NAME: &str = "members";
-const WORDS: &str = "lilacquay members 1";
+/// Name of the file in its folder.
+pub const FILE_NAME: &str = "members";
+/// Start of the first line: the file format and its version.
+const HEADER: &str = "lilacquay members 1";
 
-/// A list as it was followed.
+/// A cached list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CachedList {
-    /// The keys' prefix.
+    /// Prefix of the keys that the list was read from.
     pub prefix: String,
-    /// The cluster that told it; its revisions mean nothing elsewhere.
+    /// Id of the cluster that the list comes from. Revisions are only comparable within a cluster.
     pub cluster: u64,
-    /// Its revision.
+    /// Revision of the list.
     pub revision: i64,
-    /// When it was last known to be the newest, Unix time.
+    /// When the list was last known to be current, as Unix time in microseconds.
     pub as_of: Micros,
-    /// The servers, each with the revision in which it changed last.
+    /// The servers, each with the revision of its last change.
     pub servers: Vec<(Entry, i64)>,
 }
 
@@ -39,82 +40,84 @@
     cluster: u64,
     revision: i64,
     as_of: Micros,
-    servers: Vec<Line>,
+    servers: Vec<ServerRecord>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Line {
+struct ServerRecord {
     id: String,
     revision: i64,
     value: Box<RawValue>,
 }
 
 impl CachedList {
-    /// Writes it to a folder in place of what was there. A break at any moment leaves the old one or the new one.
+    /// Writes the list to a folder and replaces the file there. An interruption at any point leaves the old file or the
+    /// new one.
     ///
     /// # Errors
-    /// The system's; the old file stays.
+    /// If the file can't be written; the old file stays.
     pub fn write(&self, folder: &Path) -> io::Result<()> {
-        let (file, beside) = (folder.join(NAME), folder.join(format!("{NAME}.new")));
+        let (file, temporary_file) = (folder.join(FILE_NAME), folder.join(format!("{FILE_NAME}.new")));
         let body = self.body();
-        let mut to = File::create(&beside)?;
-        writeln!(to, "{WORDS} {:016x} {}", xxh3_64(&body), body.len())?;
-        to.write_all(&body)?;
-        to.sync_all()?;
-        fs::rename(&beside, &file)?;
-        File::open(folder)?.sync_all() // the name, too, survives a crash
+        let mut output = File::create(&temporary_file)?;
+        writeln!(output, "{HEADER} {:016x} {}", xxh3_64(&body), body.len())?;
+        output.write_all(&body)?;
+        output.sync_all()?;
+        fs::rename(&temporary_file, &file)?;
+        File::open(folder)?.sync_all() // makes the rename durable
     }
 
     fn body(&self) -> Vec<u8> {
-        let line = |(entry, revision): &(Entry, i64)| {
+        let record = |(entry, revision): &(Entry, i64)| {
             let value = String::from_utf8(layout::encode_value(entry)).expect("JSON is UTF-8");
-            let value = RawValue::from_string(value).expect("it is JSON");
-            Line { id: entry.id.clone(), revision: *revision, value }
+            let value = RawValue::from_string(value).expect("an encoded value is JSON");
+            ServerRecord { id: entry.id.clone(), revision: *revision, value }
         };
-        let servers = self.servers.iter().map(line).collect();
+        let servers = self.servers.iter().map(record).collect();
         let (prefix, cluster) = (self.prefix.clone(), self.cluster);
         let body = Body { prefix, cluster, revision: self.revision, as_of: self.as_of, servers };
-        serde_json::to_vec(&body).expect("numbers and texts are JSON")
+        serde_json::to_vec(&body).expect("numbers and strings always serialize")
     }
 
-    /// Reads it; nothing if there is no file.
+    /// Reads the list; `None` if there is no file.
     ///
     /// # Errors
-    /// The system's, or that the file is not whole.
+    /// If the file can't be read or is corrupted.
     pub fn read(folder: &Path) -> io::Result<Option<CachedList>> {
-        let file = folder.join(NAME);
+        let file = folder.join(FILE_NAME);
         let bytes = match fs::read(&file) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             other => other?,
         };
-        let wrong = |what| io::Error::new(io::ErrorKind::InvalidData, format!("{}: {what}", file.display()));
-        CachedList::parse(&bytes).map(Some).map_err(wrong)
+        let corrupted =
+            |what| io::Error::new(io::ErrorKind::InvalidData, format!("{}: {what}", file.display()));
+        CachedList::parse(&bytes).map(Some).map_err(corrupted)
     }
 
-    /// Reads it for the node that writes it; a file that is not whole is set aside as `members.bad`, so that the
-    /// next one does not replace what may tell why.
+    /// Reads the list for the node that writes the file. A corrupted file is renamed to `members.bad`, so that the next
+    /// write does not destroy the evidence.
     ///
     /// # Errors
     /// As [`Kept::read`].
     pub fn read_or_quarantine(folder: &Path) -> io::Result<Option<CachedList>> {
         CachedList::read(folder).inspect_err(|error| {
             if error.kind() == io::ErrorKind::InvalidData {
-                let _ = fs::rename(folder.join(NAME), folder.join(format!("{NAME}.bad"))); // left, if it must be
+                let _ = fs::rename(folder.join(FILE_NAME), folder.join(format!("{FILE_NAME}.bad"))); // if the rename fails, the file stays where it is
             }
         })
     }
 
     fn parse(bytes: &[u8]) -> Result<CachedList, String> {
-        let end = bytes.iter().position(|b| *b == b'\n').ok_or("no first line")?;
+        let end = bytes.iter().position(|b| *b == b'\n').ok_or("the first line is missing")?;
         let (first, body) = (String::from_utf8_lossy(&bytes[..end]), &bytes[end + 1..]);
-        let said = first.strip_prefix(WORDS).ok_or("not a list that this program keeps")?;
-        if said.trim_start() != format!("{:016x} {}", xxh3_64(body), body.len()) {
-            return Err("its checksum is wrong".into());
+        let checksum_and_length = first.strip_prefix(HEADER).ok_or("not a list file of this program")?;
+        if checksum_and_length.trim_start() != format!("{:016x} {}", xxh3_64(body), body.len()) {
+            return Err("wrong checksum".into());
         }
         let body: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
-        let read = |line: Line| {
-            let entry = layout::parse_value(&line.id, line.value.get().as_bytes());
-            entry.map(|entry| (entry, line.revision)).map_err(|error| format!("{}: {error}", line.id))
+        let read = |record: ServerRecord| {
+            let entry = layout::parse_value(&record.id, record.value.get().as_bytes());
+            entry.map(|entry| (entry, record.revision)).map_err(|error| format!("{}: {error}", record.id))
         };
         let servers = body.servers.into_iter().map(read).collect::<Result<_, String>>()?;
         let Body { prefix, cluster, revision, as_of, .. } = body;
@@ -126,7 +129,7 @@
 mod tests {
     use super::*;
 
-    fn kept(revision: i64) -> CachedList {
+    fn cached_list(revision: i64) -> CachedList {
         let server = |n: i64| {
             let value = format!(r#"{{"addr":"127.0.0.1:{}","state":"serving"}}"#, n + 1);
             (layout::parse_value(&format!("box-{n}"), value.as_bytes()).unwrap(), n)
@@ -142,45 +145,45 @@
     }
 
     #[test]
-    fn it_is_read_as_it_was_written_and_the_newest_counts() {
+    fn the_latest_list_written_is_read_back() {
         let folder = tempfile::tempdir().unwrap();
         assert_eq!(CachedList::read(folder.path()).unwrap(), None);
         for revision in [7, 8] {
-            kept(revision).write(folder.path()).unwrap();
-            assert_eq!(CachedList::read(folder.path()).unwrap(), Some(kept(revision)));
+            cached_list(revision).write(folder.path()).unwrap();
+            assert_eq!(CachedList::read(folder.path()).unwrap(), Some(cached_list(revision)));
         }
-        assert!(kept(9).write(&folder.path().join("none")).is_err());
+        assert!(cached_list(9).write(&folder.path().join("none")).is_err());
     }
 
     #[test]
-    fn one_that_is_not_whole_is_set_aside() {
+    fn a_corrupted_file_is_renamed() {
         let folder = tempfile::tempdir().unwrap();
-        let file = folder.path().join(NAME);
-        kept(7).write(folder.path()).unwrap();
-        let whole = fs::read(&file).unwrap();
-        for length in (0..whole.len()).step_by(7) {
-            fs::write(&file, &whole[..length]).unwrap();
+        let file = folder.path().join(FILE_NAME);
+        cached_list(7).write(folder.path()).unwrap();
+        let intact = fs::read(&file).unwrap();
+        for length in (0..intact.len()).step_by(7) {
+            fs::write(&file, &intact[..length]).unwrap();
             assert!(CachedList::read_or_quarantine(folder.path()).is_err(), "{length} bytes");
             assert!(!file.exists());
         }
         let mut rng = fastrand::Rng::with_seed(3);
         for _ in 0..500 {
-            let mut bytes = whole.clone();
+            let mut bytes = intact.clone();
             let at = rng.usize(..bytes.len());
             bytes[at] ^= 1 << rng.u8(..8);
             fs::write(&file, &bytes).unwrap();
             assert!(CachedList::read_or_quarantine(folder.path()).is_err(), "byte {at}");
         }
-        let told = CachedList::read(folder.path()).map_err(|error| error.to_string());
-        assert_eq!(told, Ok(None), "set aside as members.bad");
+        let result = CachedList::read(folder.path()).map_err(|error| error.to_string());
+        assert_eq!(result, Ok(None), "renamed to members.bad");
     }
 
     #[test]
-    fn a_write_that_breaks_leaves_the_old_one() {
+    fn a_failed_write_leaves_the_old_file() {
         let folder = tempfile::tempdir().unwrap();
-        kept(7).write(folder.path()).unwrap();
-        fs::create_dir(folder.path().join("members.new")).unwrap(); // nothing can be written beside it
-        assert!(kept(8).write(folder.path()).is_err());
-        assert_eq!(CachedList::read(folder.path()).unwrap(), Some(kept(7)));
+        cached_list(7).write(folder.path()).unwrap();
+        fs::create_dir(folder.path().join("members.new")).unwrap(); // blocks the temporary file
+        assert!(cached_list(8).write(folder.path()).is_err());
+        assert_eq!(CachedList::read(folder.path()).unwrap(), Some(cached_list(7)));
     }
 }
--- a/crates/members/src/etcd/mod.rs
+++ b/crates/members/src/etcd/mod.rs
@@ -1,7 +1,7 @@
-//! The list of servers from etcd: docs/membership.md has its keys and values.
+//! The server list from etcd. docs/membership.md documents its keys and values.
 //!
-//! [`follower`] decides, without I/O; [`source`] carries out what it decides; [`list_cache`] is what stays on a disk;
-//! [`registry`] is for those who write the list.
+//! [`follower`] makes the decisions, without I/O; [`source`] carries them out; [`list_cache`] stores the latest list on
+//! disk; [`registry`] serves tools that write the list.
 
 pub mod follower;
 pub mod layout;
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -1,4 +1,4 @@
-//! The list as those see it who write it: read, put, drain and remove servers.
+//! The list for tools that write it: reads, puts, drains and removes servers.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,31 +9,32 @@
 use lilacquay_etcd::api::{
     Compare, DeleteRangeRequest, KeyValue, PutRequest, RangeRequest, RequestOp, TxnRequest,
 };
-use lilacquay_etcd::{Client, Error, Fault, Settings, end_of};
+use lilacquay_etcd::{Client, Error, ErrorKind, Settings, prefix_range_end};
 use tokio::time::timeout;
 
 use super::layout::{self, Malformed};
 
-/// A call that takes longer has failed.
-const CALL: Duration = Duration::from_secs(5);
-const PAGE: i64 = 500;
-/// A change that another's change came before is tried so often.
-const TRIES: usize = 5;
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of keys read per call.
+const PAGE_SIZE: i64 = 500;
+/// Maximum number of attempts of a change that conflicts with concurrent changes.
+const MAX_ATTEMPTS: usize = 5;
 
 /// Why the list could not be read or written.
 #[derive(Debug)]
 pub enum RegistryError {
-    /// No endpoint could be reached; nothing was sent. Why not, of each.
+    /// No endpoint could be reached, so nothing was sent. Holds the reason for each endpoint.
     Unreachable(Vec<String>),
-    /// A call failed; a write may have been done.
+    /// A call failed; a write may have been applied.
     Call(Error),
-    /// No answer came in time; a write may have been done.
+    /// No response arrived in time; a write may have been applied.
     Timeout,
-    /// No such server is listed.
+    /// The server is not in the list.
     NotListed(String),
-    /// Its value, or an id, can't be read.
+    /// The value of this server, or its id, is malformed.
     Malformed(String, Malformed),
-    /// Others change the server as fast.
+    /// Concurrent changes to the server made all attempts fail.
     Contended(String),
 }
 
@@ -43,11 +44,15 @@
             RegistryError::Unreachable(why) => write!(f, "no endpoint can be reached: {}", why.join("; ")),
             RegistryError::Call(error) => write!(f, "{error}"),
             RegistryError::Timeout => {
-                write!(f, "no answer in {} s; look at the list before trying again", CALL.as_secs())
+                write!(
+                    f,
+                    "no response within {} s; check the list before trying again",
+                    CALL_TIMEOUT.as_secs()
+                )
             }
             RegistryError::NotListed(id) => write!(f, "no server {id} is listed; `members list` shows all"),
             RegistryError::Malformed(id, why) => write!(f, "{id}: {why}; `members put` writes it anew"),
-            RegistryError::Contended(id) => write!(f, "{id} changes too fast; try again"),
+            RegistryError::Contended(id) => write!(f, "{id} is being changed concurrently; try again"),
         }
     }
 }
@@ -60,69 +65,70 @@
     }
 }
 
-/// A server as it is listed.
+/// A server in the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RegistryEntry {
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// What its value says.
+    /// The parsed value.
     pub entry: Result<Entry, Malformed>,
-    /// The revision in which it changed last.
+    /// Revision of its last change.
     pub revision: i64,
-    /// Its lease; 0 for none.
+    /// Id of its lease; 0 for none.
     pub lease: i64,
 }
 
-/// The list in a store.
+/// The server list in an etcd cluster.
 pub struct Registry {
     client: Client,
-    /// The address that answered.
+    /// URL of the connected endpoint.
     pub endpoint: String,
     prefix: String,
 }
 
-async fn in_time<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, RegistryError> {
-    Ok(timeout(CALL, call).await.map_err(|_| RegistryError::Timeout)??)
+/// Applies the call timeout.
+async fn with_timeout<T>(call: impl Future<Output = Result<T, Error>>) -> Result<T, RegistryError> {
+    Ok(timeout(CALL_TIMEOUT, call).await.map_err(|_| RegistryError::Timeout)??)
 }
 
 impl Registry {
     /// Connects to the first endpoint that can be reached.
     ///
     /// # Errors
-    /// If none can, or the first that can refuses the caller.
+    /// If no endpoint can be reached, or the first reachable one rejects the credentials.
     pub async fn connect(settings: &Settings, prefix: &str) -> Result<Registry, RegistryError> {
-        let mut why = Vec::new();
-        for (number, endpoint) in settings.endpoints.iter().enumerate() {
-            match in_time(Client::connect(settings, number)).await {
+        let mut reasons = Vec::new();
+        for (index, endpoint) in settings.endpoints.iter().enumerate() {
+            match with_timeout(Client::connect(settings, index)).await {
                 Ok(client) => {
                     let (endpoint, prefix) = (endpoint.clone(), prefix.to_owned());
                     return Ok(Registry { client, endpoint, prefix });
                 }
-                Err(RegistryError::Call(error)) if error.fault == Fault::Unreached => {
-                    why.push(format!("{endpoint}: {error}"));
+                Err(RegistryError::Call(error)) if error.kind == ErrorKind::Unreachable => {
+                    reasons.push(format!("{endpoint}: {error}"));
                 }
-                Err(RegistryError::Timeout) => why.push(format!("{endpoint}: no answer")),
+                Err(RegistryError::Timeout) => reasons.push(format!("{endpoint}: no response")),
                 Err(other) => return Err(other),
             }
         }
-        Err(RegistryError::Unreachable(why))
+        Err(RegistryError::Unreachable(reasons))
     }
 
-    /// The whole list with its revision.
+    /// The full list with its revision.
     ///
     /// # Errors
-    /// As the calls'.
+    /// If a call fails.
     pub async fn list(&self) -> Result<(i64, Vec<RegistryEntry>), RegistryError> {
         let (mut revision, mut listed) = (0, Vec::new());
         let mut key = self.prefix.clone().into_bytes();
         loop {
-            let range_end = end_of(self.prefix.as_bytes());
-            let asked = RangeRequest { key, range_end, limit: PAGE, revision };
-            let page = in_time(self.client.range(asked)).await?;
+            let range_end = prefix_range_end(self.prefix.as_bytes());
+            let request = RangeRequest { key, range_end, limit: PAGE_SIZE, revision };
+            let page = with_timeout(self.client.range(request)).await?;
             if revision == 0 {
                 revision = page.header.map_or(0, |header| header.revision);
             }
-            listed.extend(page.kvs.iter().map(|kv| self.listed(kv)));
+            listed.extend(page.kvs.iter().map(|kv| self.parse_entry(kv)));
             match page.kvs.into_iter().next_back().filter(|_| page.more) {
                 Some(last) => {
                     key = last.key;
@@ -133,11 +139,11 @@
         }
     }
 
-    fn listed(&self, kv: &KeyValue) -> RegistryEntry {
-        let rest = kv.key.get(self.prefix.len()..).unwrap_or_default();
-        let id = layout::parse_id(rest).map(str::to_owned);
+    fn parse_entry(&self, kv: &KeyValue) -> RegistryEntry {
+        let id_bytes = kv.key.get(self.prefix.len()..).unwrap_or_default();
+        let id = layout::parse_id(id_bytes).map(str::to_owned);
         let entry = id.as_ref().map_err(Malformed::clone).and_then(|id| layout::parse_value(id, &kv.value));
-        let id = id.unwrap_or_else(|_| String::from_utf8_lossy(rest).escape_debug().to_string());
+        let id = id.unwrap_or_else(|_| String::from_utf8_lossy(id_bytes).escape_debug().to_string());
         RegistryEntry { id, entry, revision: kv.mod_revision, lease: kv.lease }
     }
 
@@ -146,33 +152,34 @@
         Ok(format!("{}{id}", self.prefix).into_bytes())
     }
 
-    /// Writes a server, whatever was there; 0 is no lease. Tells the revision.
+    /// Writes a server, replacing any existing value, and returns the new revision. A `lease` of 0 means none.
     ///
     /// # Errors
-    /// If the id or the entry is one that nodes would not read, and as the call's.
+    /// If nodes would reject the id or the entry, or the call fails.
     pub async fn put(&self, entry: &Entry, lease: i64) -> Result<i64, RegistryError> {
         let (key, value) = (self.key(&entry.id)?, layout::encode_value(entry));
         layout::parse_value(&entry.id, &value)
             .map_err(|why| RegistryError::Malformed(entry.id.clone(), why))?;
-        let told = in_time(self.client.put(PutRequest { key, value, lease, ignore_lease: false })).await?;
-        Ok(told.header.map_or(0, |header| header.revision))
+        let response =
+            with_timeout(self.client.put(PutRequest { key, value, lease, ignore_lease: false })).await?;
+        Ok(response.header.map_or(0, |header| header.revision))
     }
 
-    /// Changes a server's state and nothing else; its lease stays. Tells the revision.
+    /// Changes only the state of a server, keeps its lease, and returns the new revision.
     ///
     /// # Errors
-    /// If it is not listed or can't be read, if others change it at the same time, and as the calls'.
+    /// If the server is not listed or malformed, concurrent changes make all attempts fail, or a call fails.
     pub async fn set_state(&self, id: &str, state: State) -> Result<i64, RegistryError> {
         let key = self.key(id)?;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let (limit, revision, range_end) = (1, 0, Vec::new());
-            let asked = RangeRequest { key: key.clone(), range_end, limit, revision };
-            let found = in_time(self.client.range(asked)).await?.kvs.into_iter().next();
+            let request = RangeRequest { key: key.clone(), range_end, limit, revision };
+            let found = with_timeout(self.client.range(request)).await?.kvs.into_iter().next();
             let kv = found.ok_or_else(|| RegistryError::NotListed(id.to_owned()))?;
             let entry = layout::parse_value(id, &kv.value);
             let entry = entry.map_err(|why| RegistryError::Malformed(id.to_owned(), why))?;
             let value = layout::encode_value(&Entry { state, ..entry });
-            // Guards against: a change that another made between the reading and the writing.
+            // The write applies only if the key has not changed since it was read.
             let unchanged = Compare {
                 result: CompareResult::Equal.into(),
                 target: CompareTarget::Mod.into(),
@@ -181,49 +188,49 @@
             };
             let put = PutRequest { key: key.clone(), value, lease: 0, ignore_lease: true };
             let success = vec![RequestOp { request: Some(Request::RequestPut(put)) }];
-            let asked = TxnRequest { compare: vec![unchanged], success, failure: Vec::new() };
-            let told = in_time(self.client.txn(asked)).await?;
-            if told.succeeded {
-                return Ok(told.header.map_or(0, |header| header.revision));
+            let request = TxnRequest { compare: vec![unchanged], success, failure: Vec::new() };
+            let response = with_timeout(self.client.txn(request)).await?;
+            if response.succeeded {
+                return Ok(response.header.map_or(0, |header| header.revision));
             }
         }
         Err(RegistryError::Contended(id.to_owned()))
     }
 
-    /// Removes a server. Tells the revision.
+    /// Removes a server and returns the new revision.
     ///
     /// # Errors
-    /// If it is not listed, and as the call's.
+    /// If it is not listed, or the call fails.
     pub async fn remove(&self, id: &str) -> Result<i64, RegistryError> {
-        let asked = DeleteRangeRequest { key: self.key(id)?, range_end: Vec::new() };
-        let told = in_time(self.client.delete(asked)).await?;
-        match told.deleted {
+        let request = DeleteRangeRequest { key: self.key(id)?, range_end: Vec::new() };
+        let response = with_timeout(self.client.delete(request)).await?;
+        match response.deleted {
             0 => Err(RegistryError::NotListed(id.to_owned())),
-            _ => Ok(told.header.map_or(0, |header| header.revision)),
+            _ => Ok(response.header.map_or(0, |header| header.revision)),
         }
     }
 
-    /// Takes a lease of so many seconds.
+    /// Grants a lease with a TTL in seconds and returns its id.
     ///
     /// # Errors
-    /// As the call's.
+    /// If the call fails.
     pub async fn grant_lease(&self, seconds: i64) -> Result<i64, RegistryError> {
-        in_time(self.client.grant(seconds)).await
+        with_timeout(self.client.grant_lease(seconds)).await
     }
 
-    /// Renews a lease; false if it is gone.
+    /// Renews a lease; false if it has expired.
     ///
     /// # Errors
-    /// As the call's.
+    /// If the call fails.
     pub async fn renew_lease(&self, lease: i64) -> Result<bool, RegistryError> {
-        Ok(in_time(self.client.renew(lease)).await? > 0)
+        Ok(with_timeout(self.client.renew_lease(lease)).await? > 0)
     }
 
-    /// Ends a lease, and with it its servers.
+    /// Revokes a lease, which removes the servers attached to it.
     ///
     /// # Errors
-    /// As the call's.
+    /// If the call fails.
     pub async fn revoke_lease(&self, lease: i64) -> Result<(), RegistryError> {
-        in_time(self.client.revoke(lease)).await
+        with_timeout(self.client.revoke_lease(lease)).await
     }
 }
--- a/crates/members/src/etcd/source.rs
+++ b/crates/members/src/etcd/source.rs
@@ -1,4 +1,4 @@
-//! Carries out what the follower decides: calls over gRPC, the kept file, and the word to the core.
+//! Carries out the actions of the follower: gRPC calls, the cache file, and updates to the core.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,55 +6,57 @@
 
 use lilacquay_core::{Clock, Members};
 use lilacquay_etcd::api::{RangeRequest, WatchCreateRequest};
-use lilacquay_etcd::{Asker, Client, Error, Settings};
+use lilacquay_etcd::{Client, Error, ProgressRequester, Settings};
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, JoinHandle, spawn_blocking};
 use tokio::time::sleep_until;
 use tokio_util::task::AbortOnDropHandle;
 use tracing::{info, warn};
 
-use super::follower::{Action, Call, Event, Follower, Note, Options};
+use super::follower::{Action, CallId, Event, Follower, Notice, Options};
 use super::list_cache::CachedList;
 
-/// Answers that wait to be taken; a stream that tells more waits in turn.
-const QUEUE: usize = 8;
+/// Capacity of the event queue; a watch stream with more responses is delayed by backpressure.
+const EVENT_QUEUE_CAPACITY: usize = 8;
 
-/// Follows the list and tells it to the core.
+/// Follows the list in etcd and sends it to the core.
 pub struct Source {
     members: Members,
     follower: Follower,
     settings: Settings,
     clock: Clock,
     folder: Option<PathBuf>,
-    /// A file is being written; a second one waits for it.
-    writing: Option<JoinHandle<()>>,
-    /// The last one could not be written.
-    keeping_fails: Arc<AtomicBool>,
-    /// The source that this one goes before: ended by the first list.
-    rival: Option<AbortHandle>,
-    connected: Connected,
-    to_self: mpsc::Sender<Event>,
-    answers: mpsc::Receiver<Event>,
+    /// The current write of the cache file. No second write starts before it has finished.
+    cache_write: Option<JoinHandle<()>>,
+    /// Whether the last write of the cache file failed.
+    cache_write_failed: Arc<AtomicBool>,
+    /// The source with lower precedence, which is stopped when this one has its first list.
+    superseded_source: Option<AbortHandle>,
+    connected_client: ConnectedClient,
+    event_sender: mpsc::Sender<Event>,
+    events: mpsc::Receiver<Event>,
+    /// The task of the open call.
     call: Option<AbortOnDropHandle<()>>,
-    asker: Arc<Mutex<Option<Asker>>>,
+    /// Handle for progress requests on the open watch.
+    progress_requester: Arc<Mutex<Option<ProgressRequester>>>,
 }
 
-/// The client in use, with its endpoint's number.
-type Connected = Arc<Mutex<Option<(usize, Client)>>>;
+/// The connected client with the index of its endpoint.
+type ConnectedClient = Arc<Mutex<Option<(usize, Client)>>>;
 
 impl Source {
-    /// A source by these settings. With a folder, the list is kept there, and what is kept there serves until the
-    /// store has been heard. The first list ends the rival, if there is one.
+    /// Creates a source. With a folder, the list is cached there, and a cached list is used until the store answers. The
+    /// first list stops `superseded_source`, if there is one.
     pub fn new(
         members: Members,
         settings: Settings,
         prefix: &str,
         seed: u64,
         folder: Option<PathBuf>,
-        rival: Option<AbortHandle>,
+        superseded_source: Option<AbortHandle>,
     ) -> Self {
-        let kept = folder.as_ref().and_then(|folder| {
-            let _ = std::fs::create_dir_all(folder); // one that can't be had shows when it is written to
+        let cached = folder.as_ref().and_then(|folder| {
+            let _ = std::fs::create_dir_all(folder); // a failure is reported by the first write to it
             CachedList::read_or_quarantine(folder).unwrap_or_else(|error| {
                 warn!(source = "etcd", "the kept list can't be used: {error}");
                 None
@@ -64,150 +66,155 @@
             prefix: prefix.to_owned(),
             endpoints: settings.endpoints.len(),
             seed,
-            pace: Default::default(),
-            keeps: folder.is_some(),
+            limits: Default::default(),
+            saves_cache: folder.is_some(),
         };
-        let (to_self, answers) = mpsc::channel(QUEUE);
+        let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         Source {
             members,
-            follower: Follower::new(options, kept),
+            follower: Follower::new(options, cached),
             settings,
             clock: Clock::new(),
             folder,
-            writing: None,
-            keeping_fails: Arc::default(),
-            rival,
-            connected: Arc::default(),
-            to_self,
-            answers,
+            cache_write: None,
+            cache_write_failed: Arc::default(),
+            superseded_source,
+            connected_client: Arc::default(),
+            event_sender,
+            events,
             call: None,
-            asker: Arc::default(),
+            progress_requester: Arc::default(),
         }
     }
 
-    /// Goes on until the node ends. New settings break off what is out, and the list is read at the new endpoints.
+    /// Runs until the core has ended. New settings cancel the open call, and the list is read from the new endpoints.
     pub async fn run(mut self, mut settings: watch::Receiver<Settings>) {
         let mut actions = Vec::new();
         let mut event = Event::Tick;
         loop {
             self.follower.on_event(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                if !self.carry_out(action) {
+                if !self.execute(action) {
                     return;
                 }
             }
-            let wake = self.clock.instant(self.follower.wake_at());
+            let wakeup = self.clock.instant(self.follower.next_wakeup());
             event = tokio::select! {
                 biased;
                 Ok(()) = settings.changed() => {
                     self.settings = settings.borrow_and_update().clone();
-                    *lock(&self.connected) = None;
-                    Event::Moved(self.settings.endpoints.len())
+                    *lock(&self.connected_client) = None;
+                    Event::EndpointsChanged(self.settings.endpoints.len())
                 }
-                Some(event) = self.answers.recv() => event,
-                () = sleep_until(wake) => Event::Tick,
+                Some(event) = self.events.recv() => event,
+                () = sleep_until(wakeup) => Event::Tick,
             };
         }
     }
 
-    /// False once the core has ended.
-    fn carry_out(&mut self, action: Action) -> bool {
+    /// Executes an action. False once the core has ended.
+    fn execute(&mut self, action: Action) -> bool {
         match action {
-            Action::Range(call, endpoint, asked) => self.range(call, endpoint, asked),
-            Action::Watch(call, endpoint, asked) => self.watch(call, endpoint, asked),
-            Action::Ask => lock(&self.asker).iter().for_each(Asker::ask),
-            Action::Close => self.close(),
-            Action::Tell(change) => {
-                if let Some(rival) = self.rival.take() {
-                    rival.abort();
+            Action::ReadPage(call, endpoint, request) => self.read_page(call, endpoint, request),
+            Action::OpenWatch(call, endpoint, request) => self.open_watch(call, endpoint, request),
+            Action::RequestProgress => {
+                lock(&self.progress_requester).iter().for_each(ProgressRequester::request_progress);
+            }
+            Action::CloseCall => self.close_call(),
+            Action::Publish(update) => {
+                if let Some(superseded_source) = self.superseded_source.take() {
+                    superseded_source.abort();
                     info!(source = "etcd", "etcd goes before discovery from here on");
                 }
-                return self.members.list(change.list);
+                return self.members.list(update.list);
             }
-            Action::Keep => self.keep(),
-            Action::Note(note) => self.note(&note),
+            Action::SaveCache => self.save_cache(),
+            Action::Log(notice) => self.log(&notice),
         }
         true
     }
 
-    fn note(&self, note: &Note) {
-        let endpoint = |n: usize| self.settings.endpoints.get(n).map_or("", String::as_str);
-        match note {
-            Note::Following(_, _, n) => info!(source = "etcd", endpoint = endpoint(*n), "{note}"),
-            Note::Kept(..) => info!(source = "etcd", "{note}"),
-            Note::Lost(n, ..) => warn!(source = "etcd", endpoint = endpoint(*n), "{note}"),
-            _ => warn!(source = "etcd", "{note}"),
+    fn log(&self, notice: &Notice) {
+        let endpoint = |index: usize| self.settings.endpoints.get(index).map_or("", String::as_str);
+        match notice {
+            Notice::Following(_, _, index) => info!(source = "etcd", endpoint = endpoint(*index), "{notice}"),
+            Notice::CacheLoaded(..) => info!(source = "etcd", "{notice}"),
+            Notice::CallFailed(index, ..) => warn!(source = "etcd", endpoint = endpoint(*index), "{notice}"),
+            _ => warn!(source = "etcd", "{notice}"),
         }
     }
 
-    fn close(&mut self) {
+    fn close_call(&mut self) {
         self.call = None;
-        *lock(&self.asker) = None;
-        // The next call connects anew: what failed on a connection may fail on it again.
-        *lock(&self.connected) = None;
+        *lock(&self.progress_requester) = None;
+        // The next call opens a new connection, since a call that failed on a connection may fail on it again.
+        *lock(&self.connected_client) = None;
     }
 
-    /// Runs a call in place of the one that is open.
-    fn run_call(&mut self, call: Call, work: impl Future<Output = Result<(), Error>> + Send + 'static) {
-        *lock(&self.asker) = None;
-        let to = self.to_self.clone();
+    /// Runs a call and cancels the one that is open.
+    fn run_call(&mut self, call: CallId, future: impl Future<Output = Result<(), Error>> + Send + 'static) {
+        *lock(&self.progress_requester) = None;
+        let events = self.event_sender.clone();
         let task = tokio::spawn(async move {
-            if let Err(error) = work.await {
-                let _ = to.send(Event::Failed(call, error.fault, error.what)).await; // the node may have ended
+            if let Err(error) = future.await {
+                let _ = events.send(Event::CallFailed(call, error.kind, error.message)).await; // fails if the source has ended
             }
         });
         self.call = Some(AbortOnDropHandle::new(task));
     }
 
-    fn range(&mut self, call: Call, endpoint: usize, asked: RangeRequest) {
-        let (to, client) = (self.to_self.clone(), self.client(endpoint));
+    fn read_page(&mut self, call: CallId, endpoint: usize, request: RangeRequest) {
+        let (events, client) = (self.event_sender.clone(), self.client(endpoint));
         self.run_call(call, async move {
-            let page = client.await?.range(asked).await?;
-            let _ = to.send(Event::Page(call, page)).await;
+            let page = client.await?.range(request).await?;
+            let _ = events.send(Event::Page(call, page)).await;
             Ok(())
         });
     }
 
-    fn watch(&mut self, call: Call, endpoint: usize, asked: WatchCreateRequest) {
-        let (to, client, asker) = (self.to_self.clone(), self.client(endpoint), self.asker.clone());
+    fn open_watch(&mut self, call: CallId, endpoint: usize, request: WatchCreateRequest) {
+        let (events, client) = (self.event_sender.clone(), self.client(endpoint));
+        let progress_requester = self.progress_requester.clone();
         self.run_call(call, async move {
-            let mut stream = client.await?.watch(asked).await?;
-            *lock(&asker) = Some(stream.asker());
+            let mut stream = client.await?.watch(request).await?;
+            *lock(&progress_requester) = Some(stream.progress_requester());
             loop {
-                let told = stream.next().await?;
-                if to.send(Event::Watched(call, told)).await.is_err() {
+                let response = stream.next().await?;
+                if events.send(Event::WatchUpdate(call, response)).await.is_err() {
                     return Ok(());
                 }
             }
         });
     }
 
-    /// The client for an endpoint: the one in use, or a new one.
+    /// The client for an endpoint: the connected one, or a new one.
     fn client(&self, endpoint: usize) -> impl Future<Output = Result<Client, Error>> + Send + 'static {
-        let (connected, settings) = (self.connected.clone(), self.settings.clone());
+        let (connected_client, settings) = (self.connected_client.clone(), self.settings.clone());
         async move {
-            let used = lock(&connected).clone().filter(|(number, _)| *number == endpoint);
-            if let Some((_, client)) = used {
+            let reusable = lock(&connected_client).clone().filter(|(index, _)| *index == endpoint);
+            if let Some((_, client)) = reusable {
                 return Ok(client);
             }
             let client = Client::connect(&settings, endpoint).await?;
-            *lock(&connected) = Some((endpoint, client.clone()));
+            *lock(&connected_client) = Some((endpoint, client.clone()));
             Ok(client)
         }
     }
 
-    /// Writes the list on a thread of its own: a disk may take its time.
-    fn keep(&mut self) {
-        let (Some(folder), Some(kept)) = (self.folder.clone(), self.follower.kept()) else { return };
-        if self.writing.as_ref().is_some_and(|writing| !writing.is_finished()) {
-            return; // a slow disk gets the next one
+    /// Writes the cache file on a blocking thread, since the disk may be slow.
+    fn save_cache(&mut self) {
+        let (Some(folder), Some(list)) = (self.folder.clone(), self.follower.to_cached_list()) else {
+            return;
+        };
+        if self.cache_write.as_ref().is_some_and(|write| !write.is_finished()) {
+            return; // a slow disk skips versions; a later save writes a newer one
         }
-        let failing = self.keeping_fails.clone();
-        self.writing = Some(spawn_blocking(move || {
-            // Said once, not every second: a disk that is full must not fill the log.
-            match kept.write(&folder) {
-                Ok(()) => failing.store(false, Ordering::Relaxed),
-                Err(error) if !failing.swap(true, Ordering::Relaxed) => {
+        let write_failed = self.cache_write_failed.clone();
+        self.cache_write = Some(spawn_blocking(move || {
+            // Logged once rather than every second, so that a full disk does not fill the log.
+            match list.write(&folder) {
+                Ok(()) => write_failed.store(false, Ordering::Relaxed),
+                Err(error) if !write_failed.swap(true, Ordering::Relaxed) => {
                     warn!(source = "etcd", "the list can't be kept for now: {error}");
                 }
                 Err(_) => {}
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,4 +1,4 @@
-//! Where the list of servers comes from: a module for each source.
+//! Sources of the server list: HTTP discovery and etcd.
 
 pub mod discovery;
 pub mod etcd;
--- a/crates/members/tests/registry.rs
+++ b/crates/members/tests/registry.rs
@@ -1,11 +1,11 @@
-//! The client and the registry against a stand-in etcd; and the client against what is no etcd.
+//! The client and the registry against a simulated etcd, and the client against a peer that is not etcd.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use lilacquay_core::{Entry, State};
 use lilacquay_etcd::api::{RangeRequest, WatchCreateRequest};
-use lilacquay_etcd::{Client, Fault, Settings, Tls, User};
+use lilacquay_etcd::{Client, ErrorKind, Settings, Tls, User};
 use lilacquay_fleet::Clock;
 use lilacquay_fleet::etcd::{Etcd, EtcdFaults, EtcdPlan};
 use lilacquay_fleet::record::Log;
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn what_is_put_is_listed_and_what_is_drained_keeps_all_else() {
+async fn a_put_server_is_listed_and_a_drain_changes_only_its_state() {
     let etcd = start(EtcdPlan::default()).await;
     let registry = registry(&etcd).await;
     let lease = registry.grant_lease(60).await.unwrap();
@@ -72,20 +72,20 @@
 }
 
 #[tokio::test]
-async fn a_drain_does_not_undo_what_another_changes_meanwhile() {
+async fn a_drain_does_not_overwrite_a_concurrent_change() {
     let etcd = Arc::new(start(EtcdPlan::default()).await);
     etcd.put("box-1", r#"{"addr":"127.0.0.1:1","state":"serving"}"#);
-    // Each answer is late, so that the change falls between the reading and the writing.
+    // Every response is delayed, so that the other change falls between the read and the write.
     etcd.set_all_faults(&EtcdFaults { late_ms: 100, ..EtcdFaults::default() });
-    let one = registry(&etcd).await;
-    let other = etcd.clone();
+    let registry = registry(&etcd).await;
+    let other_writer = etcd.clone();
     let changed = tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(150)).await;
-        other.put("box-1", r#"{"addr":"127.0.0.1:2","state":"serving"}"#);
+        other_writer.put("box-1", r#"{"addr":"127.0.0.1:2","state":"serving"}"#);
     });
-    one.set_state("box-1", State::Draining).await.unwrap();
+    registry.set_state("box-1", State::Draining).await.unwrap();
     changed.await.unwrap();
-    let listed = one.list().await.unwrap().1.remove(0).entry.unwrap();
+    let listed = registry.list().await.unwrap().1.remove(0).entry.unwrap();
     assert_eq!((listed.addr.port(), listed.state), (2, State::Draining));
 }
 
@@ -101,24 +101,24 @@
 }
 
 #[tokio::test]
-async fn a_lease_that_is_not_renewed_takes_its_server_along() {
+async fn an_expired_lease_removes_its_server() {
     let etcd = start(EtcdPlan::default()).await;
     let registry = registry(&etcd).await;
     let lease = registry.grant_lease(1).await.unwrap();
     registry.put(&entry("box-1"), lease).await.unwrap();
     let client = Client::connect(&settings(&etcd, "http"), 0).await.unwrap();
     let (key, range_end) = (b"/m/".to_vec(), b"/m0".to_vec());
-    let asked = WatchCreateRequest { key, range_end, start_revision: 3, ..Default::default() };
-    let mut watch = client.watch(asked).await.unwrap();
+    let request = WatchCreateRequest { key, range_end, start_revision: 3, ..Default::default() };
+    let mut watch = client.watch(request).await.unwrap();
     assert!(watch.next().await.unwrap().created);
     assert!(registry.renew_lease(lease).await.unwrap());
-    let gone = watch.next().await.unwrap();
-    assert_eq!((gone.events.len(), gone.events[0].r#type), (1, 1), "a deletion");
+    let removal = watch.next().await.unwrap();
+    assert_eq!((removal.events.len(), removal.events[0].r#type), (1, 1), "a deletion");
     assert!(!registry.renew_lease(lease).await.unwrap());
 }
 
 #[tokio::test]
-async fn any_endpoint_that_answers_is_used_and_all_that_fail_are_named() {
+async fn a_reachable_endpoint_is_used_and_all_unreachable_ones_are_named() {
     let etcd = start(EtcdPlan { endpoints: 3, ..EtcdPlan::default() }).await;
     let refuse = EtcdFaults { refuse: true, ..EtcdFaults::default() };
     etcd.set_faults(0, refuse.clone());
@@ -129,23 +129,27 @@
     assert_eq!(registry.endpoint, settings.endpoints[2]);
     etcd.set_faults(2, refuse);
     while tokio::net::TcpStream::connect(etcd.endpoints[2]).await.is_ok() {}
-    let Err(RegistryError::Unreachable(why)) = Registry::connect(&settings, PREFIX).await else { panic!() };
-    assert!(why.len() == 3 && why.iter().all(|why| why.contains("refused")), "{why:?}");
+    let Err(RegistryError::Unreachable(reasons)) = Registry::connect(&settings, PREFIX).await else {
+        panic!()
+    };
+    assert!(reasons.len() == 3 && reasons.iter().all(|reason| reason.contains("refused")), "{reasons:?}");
 }
 
 #[tokio::test]
-async fn a_user_is_told_and_a_wrong_password_refused() {
+async fn a_user_is_authenticated_and_a_wrong_password_rejected() {
     let user = ("node".to_owned(), "secret".to_owned());
     let etcd = start(EtcdPlan { user: Some(user), ..EtcdPlan::default() }).await;
     let settings = settings(&etcd, "http");
-    let without = Registry::connect(&settings, PREFIX).await.unwrap();
-    assert!(matches!(without.list().await, Err(RegistryError::Call(error)) if error.what.contains("token")));
+    let unauthenticated = Registry::connect(&settings, PREFIX).await.unwrap();
+    assert!(
+        matches!(unauthenticated.list().await, Err(RegistryError::Call(error)) if error.message.contains("token"))
+    );
     let user = |password: &str| Some(User { name: "node".into(), password: password.into() });
     let good = Settings { user: user("secret"), ..settings.clone() };
     assert_eq!(Registry::connect(&good, PREFIX).await.unwrap().list().await.unwrap().1, []);
     let wrong = Settings { user: user("guess"), ..settings };
     let Err(RegistryError::Call(error)) = Registry::connect(&wrong, PREFIX).await else { panic!() };
-    assert!(error.what.contains("invalid user ID or password"));
+    assert!(error.message.contains("invalid user ID or password"));
     assert!(!format!("{good:?}").contains("secret"));
 }
 
@@ -154,28 +158,28 @@
 }
 
 #[tokio::test]
-async fn tls_takes_the_right_ca_and_name_and_certificate() {
+async fn tls_requires_the_right_ca_server_name_and_client_certificate() {
     let (server, client) = (certificate("etcd.example"), certificate("node"));
-    let mut callers = RootCertStore::empty();
-    callers.add(client.cert.der().clone()).unwrap();
-    let verifier = WebPkiClientVerifier::builder(callers.into()).build().unwrap();
+    let mut client_roots = RootCertStore::empty();
+    client_roots.add(client.cert.der().clone()).unwrap();
+    let verifier = WebPkiClientVerifier::builder(client_roots.into()).build().unwrap();
     let key = PrivateKeyDer::try_from(server.signing_key.serialize_der()).unwrap();
     let config = ServerConfig::builder().with_client_cert_verifier(verifier);
     let mut config = config.with_single_cert(vec![server.cert.der().clone()], key).unwrap();
     config.alpn_protocols = vec![b"h2".to_vec()];
     let etcd = start(EtcdPlan { tls: Some(config.into()), ..EtcdPlan::default() }).await;
-    let pem = |one: &CertifiedKey<rcgen::KeyPair>| {
-        (one.cert.pem().into_bytes(), one.signing_key.serialize_pem().into_bytes())
+    let pem = |certified: &CertifiedKey<rcgen::KeyPair>| {
+        (certified.cert.pem().into_bytes(), certified.signing_key.serialize_pem().into_bytes())
     };
-    let right = Tls { ca: pem(&server).0, identity: Some(pem(&client)), name: Some("etcd.example".into()) };
+    let valid = Tls { ca: pem(&server).0, identity: Some(pem(&client)), name: Some("etcd.example".into()) };
     let with = |tls: Tls| Settings { tls: Some(tls), ..settings(&etcd, "https") };
-    let good = Registry::connect(&with(right.clone()), PREFIX).await.unwrap();
+    let good = Registry::connect(&with(valid.clone()), PREFIX).await.unwrap();
     assert_eq!(good.put(&entry("box-1"), 0).await.unwrap(), 2);
     let wrong = [
-        Tls { ca: pem(&client).0, ..right.clone() },
-        Tls { name: Some("other.example".into()), ..right.clone() },
-        Tls { identity: None, ..right.clone() },
-        Tls { ca: b"no certificate".to_vec(), ..right.clone() },
+        Tls { ca: pem(&client).0, ..valid.clone() },
+        Tls { name: Some("other.example".into()), ..valid.clone() },
+        Tls { identity: None, ..valid.clone() },
+        Tls { ca: b"no certificate".to_vec(), ..valid.clone() },
     ];
     for tls in wrong {
         let listed = match Registry::connect(&with(tls.clone()), PREFIX).await {
@@ -192,8 +196,8 @@
     assert!(listed.is_err(), "without TLS");
 }
 
-/// Frames as an HTTP/2 server might begin with, followed by others and by junk.
-fn junk(rng: &mut fastrand::Rng) -> Vec<u8> {
+/// Frames with which an HTTP/2 server might start, followed by other frames and random bytes.
+fn random_frames(rng: &mut fastrand::Rng) -> Vec<u8> {
     let frame = |kind: u8, flags: u8, stream: u32, body: &[u8]| {
         let length = (body.len() as u32).to_be_bytes();
         [&length[1..], &[kind, flags], &stream.to_be_bytes(), body].concat()
@@ -203,7 +207,7 @@
         let body: Vec<u8> = (0..rng.usize(..60)).map(|_| rng.u8(..)).collect();
         let (kind, flags, stream) = (rng.u8(..11), rng.u8(..), rng.u32(..4));
         bytes.extend(match rng.u8(..4) {
-            // Headers that say 200 and grpc, then a message of a length that is a lie.
+            // Headers with status 200 and the gRPC content type, then a message with a wrong length.
             0 => frame(1, 4, 1, b"\x88\x5f\x10application/grpc"),
             1 => frame(0, 0, 1, &[&[0, 0xff, 0xff, 0xff, 0xff][..], &body].concat()),
             2 => frame(kind, flags, stream, &body),
@@ -214,13 +218,13 @@
 }
 
 #[tokio::test]
-async fn no_frames_panic_the_client_or_keep_it_waiting_for_what_cannot_come() {
+async fn invalid_frames_cause_no_panic_and_no_endless_wait() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let endpoints = vec![format!("http://{}", listener.local_addr().unwrap())];
     tokio::spawn(async move {
         let mut rng = fastrand::Rng::with_seed(5);
         while let Ok((mut stream, _)) = listener.accept().await {
-            let (bytes, mut first) = (junk(&mut rng), [0; 24]);
+            let (bytes, mut first) = (random_frames(&mut rng), [0; 24]);
             tokio::spawn(async move {
                 let _ = stream.read_exact(&mut first).await;
                 let _ = stream.write_all(&bytes).await;
@@ -238,7 +242,7 @@
                 _ => client.watch(WatchCreateRequest::default()).await?.next().await.map(drop),
             }
         };
-        let ended = tokio::time::timeout(Duration::from_secs(20), call).await.expect("an end");
-        assert!(ended.is_err_and(|error| error.fault != Fault::Compacted), "call {n}");
+        let ended = tokio::time::timeout(Duration::from_secs(20), call).await.expect("the call ends");
+        assert!(ended.is_err_and(|error| error.kind != ErrorKind::Compacted), "call {n}");
     }
 }
