--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -126,13 +126,13 @@
     connection: Option<Connection>,
     /// Number of nodes that poll the same service.
     nodes: watch::Receiver<usize>,
-    /// Whether all nodes poll one service, to which the core asks each to subscribe.
+    /// Whether the core requests each subscription, as it does where all nodes poll one discovery service.
     is_shared_service: bool,
     /// Whether to fetch the full list, because no list is known or it came from another address. Otherwise only the
     /// changes since the known version are fetched, which is less to send and fails less often on an overloaded service.
     needs_full_list: bool,
-    /// Whether to delay the next call until a retry is due.
-    is_retry: bool,
+    /// Whether the next call must wait: for a request of the core, or else for the retry delay.
+    is_next_call_delayed: bool,
     /// Whether malformed entries have been logged.
     malformed_logged: bool,
 }
@@ -157,7 +157,7 @@
             nodes,
             is_shared_service,
             connection: None,
-            is_retry: is_shared_service,
+            is_next_call_delayed: is_shared_service,
             malformed_logged: false,
         }
     }
@@ -175,7 +175,7 @@
             let result = tokio::select! {
                 biased;
                 Ok(()) = address.changed() => {
-                    (self.connection, self.needs_full_list, self.is_retry) = (None, true, false);
+                    (self.connection, self.needs_full_list, self.is_next_call_delayed) = (None, true, false);
                     continue;
                 }
                 result = self.call(current_address) => result,
@@ -193,8 +193,8 @@
     /// Makes the next call when it is due; `None` if it failed. If cancelled, it leaves no call open.
     async fn call(&mut self, address: SocketAddr) -> Option<List> {
         match self.members.asked() {
-            Some(subscribe) if self.is_retry => subscribe.notified().await,
-            None if self.is_retry => sleep(RETRY_DELAY).await,
+            Some(subscribe) if self.is_next_call_delayed => subscribe.notified().await,
+            None if self.is_next_call_delayed => sleep(RETRY_DELAY).await,
             _ => {}
         }
         let poll_wait = self.poll_wait();
@@ -207,7 +207,7 @@
         let call_timeout = if self.needs_full_list { RESPONSE_TIMEOUT } else { poll_wait + RESPONSE_TIMEOUT };
         let result = timeout(call_timeout, self.fetch(address, &path)).await;
         let result = result.unwrap_or_else(|elapsed| Err(elapsed.into()));
-        self.is_retry = result.is_err();
+        self.is_next_call_delayed = result.is_err();
         match result {
             Ok(response) => {
                 (self.needs_full_list, self.known_version) = (false, response.version);
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -658,7 +658,7 @@
         if response.created {
             watch.created = true;
             // The store may have been restored to an older revision; a watch from a future revision would then deliver
-            // nothing. Reading the list, which needs a quorum, tells such a store from a member that only lags.
+            // nothing. Reading the list, which needs a quorum, distinguishes such a store from a member that only lags.
             if header.revision < known.revision && !watch.follows_list_read {
                 return self.reread_list(now, "the store's revision is older than the known one", out);
             }
--- a/crates/members/src/etcd/follower_tests.rs
+++ b/crates/members/src/etcd/follower_tests.rs
@@ -136,7 +136,7 @@
     }
 
     /// Advances the time to the next wakeup.
-    fn wake(&mut self) {
+    fn advance_to_wakeup(&mut self) {
         self.now = self.now.max(self.follower.next_wakeup());
         self.send(Event::Tick);
     }
@@ -145,7 +145,7 @@
     fn next_call(&mut self) -> Micros {
         let (before, since) = (self.call, self.now);
         while self.call == before {
-            self.wake();
+            self.advance_to_wakeup();
         }
         self.now - since
     }
@@ -501,7 +501,7 @@
                 2 => harness.fail(
                     *rng.choice(&[ErrorKind::Compacted, ErrorKind::TooLarge, ErrorKind::Other]).unwrap(),
                 ),
-                3 => harness.wake(),
+                3 => harness.advance_to_wakeup(),
                 _ => {
                     let start = created(10);
                     harness.watched(start);
@@ -573,7 +573,7 @@
             harness.page(response);
         }
         if rng.u8(..8) == 0 {
-            harness.wake();
+            harness.advance_to_wakeup();
         }
         assert!(harness.follower.known.as_ref().is_none_or(|known| known.items.len() < 300));
     }
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -98,11 +98,12 @@
     /// write does not destroy the evidence.
     ///
     /// # Errors
-    /// As [`Kept::read`].
+    /// As [`CachedList::read`].
     pub fn read_or_quarantine(folder: &Path) -> io::Result<Option<CachedList>> {
         CachedList::read(folder).inspect_err(|error| {
             if error.kind() == io::ErrorKind::InvalidData {
-                let _ = fs::rename(folder.join(FILE_NAME), folder.join(format!("{FILE_NAME}.bad"))); // if the rename fails, the file stays where it is
+                // If the rename fails, the file stays where it is.
+                let _ = fs::rename(folder.join(FILE_NAME), folder.join(format!("{FILE_NAME}.bad")));
             }
         })
     }
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -41,7 +41,9 @@
 impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegistryError::Unreachable(why) => write!(f, "no endpoint can be reached: {}", why.join("; ")),
+            RegistryError::Unreachable(reason) => {
+                write!(f, "no endpoint can be reached: {}", reason.join("; "))
+            }
             RegistryError::Call(error) => write!(f, "{error}"),
             RegistryError::Timeout => {
                 write!(
@@ -51,7 +53,7 @@
                 )
             }
             RegistryError::NotListed(id) => write!(f, "no server {id} is listed; `members list` shows all"),
-            RegistryError::Malformed(id, why) => write!(f, "{id}: {why}; `members put` writes it anew"),
+            RegistryError::Malformed(id, reason) => write!(f, "{id}: {reason}; `members put` rewrites it"),
             RegistryError::Contended(id) => write!(f, "{id} is being changed concurrently; try again"),
         }
     }
@@ -148,7 +150,8 @@
     }
 
     fn key(&self, id: &str) -> Result<Vec<u8>, RegistryError> {
-        layout::parse_id(id.as_bytes()).map_err(|why| RegistryError::Malformed(format!("{id:?}"), why))?;
+        layout::parse_id(id.as_bytes())
+            .map_err(|reason| RegistryError::Malformed(format!("{id:?}"), reason))?;
         Ok(format!("{}{id}", self.prefix).into_bytes())
     }
 
@@ -159,7 +162,7 @@
     pub async fn put(&self, entry: &Entry, lease: i64) -> Result<i64, RegistryError> {
         let (key, value) = (self.key(&entry.id)?, layout::encode_value(entry));
         layout::parse_value(&entry.id, &value)
-            .map_err(|why| RegistryError::Malformed(entry.id.clone(), why))?;
+            .map_err(|reason| RegistryError::Malformed(entry.id.clone(), reason))?;
         let response =
             with_timeout(self.client.put(PutRequest { key, value, lease, ignore_lease: false })).await?;
         Ok(response.header.map_or(0, |header| header.revision))
@@ -177,7 +180,7 @@
             let found = with_timeout(self.client.range(request)).await?.kvs.into_iter().next();
             let kv = found.ok_or_else(|| RegistryError::NotListed(id.to_owned()))?;
             let entry = layout::parse_value(id, &kv.value);
-            let entry = entry.map_err(|why| RegistryError::Malformed(id.to_owned(), why))?;
+            let entry = entry.map_err(|reason| RegistryError::Malformed(id.to_owned(), reason))?;
             let value = layout::encode_value(&Entry { state, ..entry });
             // The write applies only if the key has not changed since it was read.
             let unchanged = Compare {
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -24,8 +24,8 @@
 /// A list of servers: ids with a text of their values.
 type ServerMap = BTreeMap<String, String>;
 
-#[derive(Default, Clone)]
 /// Faults of an endpoint.
+#[derive(Default, Clone)]
 struct Faults {
     down: bool,
     silent: bool,
@@ -41,6 +41,7 @@
     split: f64,
 }
 
+/// The open call with its responses.
 struct Stream {
     call: CallId,
     endpoint: usize,
@@ -50,6 +51,7 @@
     next_revision: Option<i64>,
 }
 
+/// A simulation of a store, its endpoints and a follower.
 struct Sim {
     rng: fastrand::Rng,
     now: Micros,
@@ -76,7 +78,7 @@
     Options { prefix: PREFIX.into(), endpoints, seed, limits, saves_cache: true }
 }
 
-fn text(entry: &Entry) -> String {
+fn describe(entry: &Entry) -> String {
     format!("{} {:?}", entry.addr, entry.state)
 }
 
@@ -85,7 +87,7 @@
     let read = all.kvs.iter().map(|kv| {
         let id = String::from_utf8(kv.key[PREFIX.len()..].to_vec()).unwrap();
         let entry = lilacquay_members::etcd::layout::parse_value(&id, &kv.value).unwrap();
-        (id, text(&entry))
+        (id, describe(&entry))
     });
     read.collect()
 }
@@ -394,7 +396,7 @@
                 State::Deleted => {
                     assert!(self.core.remove(&entry.id).is_some(), "{} was not listed", entry.id)
                 }
-                _ => drop(self.core.insert(entry.id.clone(), text(&entry))),
+                _ => drop(self.core.insert(entry.id.clone(), describe(&entry))),
             }
         }
         let position = (update.history_number, update.revision);
