--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Timeouts, intervals and size limits.
+/// Timeouts, intervals and size limits. Durations are in microseconds.
 #[derive(Debug, Clone)]
 pub struct Limits {
     /// Number of keys in a page.
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -41,8 +41,8 @@
 impl fmt::Display for RegistryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RegistryError::Unreachable(reason) => {
-                write!(f, "no endpoint can be reached: {}", reason.join("; "))
+            RegistryError::Unreachable(reasons) => {
+                write!(f, "no endpoint can be reached: {}", reasons.join("; "))
             }
             RegistryError::Call(error) => write!(f, "{error}"),
             RegistryError::Timeout => {
--- a/crates/quota/src/gauge.rs
+++ b/crates/quota/src/gauge.rs
@@ -56,10 +56,10 @@
     /// Records usage in the current slot.
     pub fn add(&mut self, cost: u64) {
         let ring = self.ring.get_or_insert_default();
-        let place = &mut ring[(self.current_slot % RING_SLOTS) as usize];
+        let slot_usage = &mut ring[(self.current_slot % RING_SLOTS) as usize];
         // Saturates instead of overflowing the counter.
         let cost = cost.min(u64::MAX - self.used);
-        *place += cost;
+        *slot_usage += cost;
         self.used += cost;
     }
 
