--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use lilacquay_core::{CoreHandle, OrdersInForce};
-use lilacquay_overrides::{Ask, Done, Kept};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, PersistentOrder};
 use serde_json::{Value, json};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{Mutex, Semaphore, mpsc, oneshot};
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommonOrder {
     /// On a server, which is obeyed here already.
-    Server(Ask),
+    Server(OrderRequest),
     /// To log from this level on.
     Level(String),
 }
@@ -370,7 +370,7 @@
         }
     }
 
-    async fn obeyed(&self, verb: Verb, done: &Done, held: Option<HeldBy>) -> Answer {
+    async fn obeyed(&self, verb: Verb, done: &AppliedOrder, held: Option<HeldBy>) -> Answer {
         let _turn = self.recording.lock().await;
         let Ok(holding) = self.orders.orders_in_force().await else { return ended() };
         let replaced = done.replaced.map(|held| Standing::new(server(&verb), held, holding.now));
@@ -397,7 +397,12 @@
     }
 
     /// Records an order, and keeps those that last. A disk that is full or slow holds up nobody else.
-    async fn record(&self, verb: Verb, outcome: String, kept: Option<Vec<Kept>>) -> io::Result<()> {
+    async fn record(
+        &self,
+        verb: Verb,
+        outcome: String,
+        kept: Option<Vec<PersistentOrder>>,
+    ) -> io::Result<()> {
         let asked = serde_json::to_string(&verb).unwrap_or_default();
         info!(order = asked, "{outcome}");
         let folder = self.folder.clone();
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use lilacquay_observe::ShareNow;
-use lilacquay_quota::{Ask, Dimension, Done, Quota, Ticket};
+use lilacquay_quota::{Completion, Dimension, Quota, QuotaRequest, Ticket};
 use paddlefold::{Micros, Settings};
 
 use crate::call::Call;
@@ -62,8 +62,8 @@
         let worth = settings.classes.get(class).map_or(1.0, |class| class.worth);
         let value_bytes = call.value.as_ref().map_or(0, bytes::Bytes::len);
         let bytes = (call.key.len() + call.id.len() + call.facts.len() + value_bytes) as u64;
-        let ask = Ask { share, lane, worth: (worth * 1000.0) as u64, bytes };
-        self.quota.ask(now, ask).map(Some).map_err(|over| over.retry_after)
+        let ask = QuotaRequest { share, lane, worth: (worth * 1000.0) as u64, bytes };
+        self.quota.try_acquire(now, ask).map(Some).map_err(|over| over.retry_after)
     }
 
     /// The current state of all shares, for operators.
@@ -73,7 +73,7 @@
 
     /// Reports that an admitted call has ended. A call that was refused without an attempt is not charged.
     pub(crate) fn done(&mut self, now: Micros, ticket: Ticket, tried: bool) {
-        self.quota.done(now, ticket, if tried { Done::Paid } else { Done::Unpaid });
+        self.quota.release(now, ticket, if tried { Completion::Charged } else { Completion::Refunded });
     }
 }
 
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -12,7 +12,7 @@
 
 use lilacquay_metrics::{Book, End};
 use lilacquay_observe::{CommonNow, Kind};
-use lilacquay_overrides::Kept;
+use lilacquay_overrides::PersistentOrder;
 use lilacquay_quota::Ticket;
 use paddlefold::setup::Setup;
 use paddlefold::{
@@ -35,7 +35,7 @@
 use crate::message::{
     CoreHandle, HandoverState, ListUpdate, MembershipSummary, Message, NewRequest, ReplicatedUpdate,
 };
-use crate::overrides::{Overrides, ServerStatus};
+use crate::overrides::{OverriddenList, ServerStatus};
 use crate::permit::{ClientLeftAt, PermitRequest};
 use crate::request_log::{RequestLog, answer_kind};
 use crate::requests::Requests;
@@ -163,7 +163,7 @@
     /// This process's share of all limits.
     pub resource_share: ResourceShare,
     /// If operators may override the state of servers: the orders that persisted over a restart.
-    pub persisted_orders: Option<Vec<Kept>>,
+    pub persisted_orders: Option<Vec<PersistentOrder>>,
     /// Receives each list that the node's own source reports.
     pub list_updates: Option<UnboundedSender<ListUpdate>>,
 }
@@ -185,7 +185,7 @@
     clock: Clock,
     upstream: U,
     quotas: Option<Admission>,
-    overrides: Option<Overrides>,
+    overrides: Option<OverriddenList>,
     list_updates: Option<UnboundedSender<ListUpdate>>,
     request_log: RequestLog,
     /// The state of the other nodes, if the nodes communicate with one another.
@@ -244,7 +244,7 @@
             balancer: Balancer::new(settings, options.seed, clock.now()),
             setup: options.setup,
             quotas: options.quotas,
-            overrides: options.persisted_orders.map(|kept| Overrides::new(clock.now(), kept)),
+            overrides: options.persisted_orders.map(|kept| OverriddenList::new(clock.now(), kept)),
             list_updates: options.list_updates,
             request_log,
             membership_summary: None,
@@ -522,7 +522,7 @@
 
     /// The listed servers with their attempts in flight. Iterates over all open requests, so it is called for operators
     /// and not for each request.
-    fn server_statuses(&self, overrides: &Overrides) -> Vec<ServerStatus> {
+    fn server_statuses(&self, overrides: &OverriddenList) -> Vec<ServerStatus> {
         let mut in_flight: HashMap<ServerId, usize> = HashMap::new();
         for running in self.open_requests.values().flat_map(|request| request.attempts.iter().flatten()) {
             *in_flight.entry(running.server).or_default() += 1;
@@ -689,8 +689,8 @@
     for (server, change) in changes {
         match change {
             ListChange::Serving => info!(server, "server is in service"),
-            ListChange::Draining => info!(server, "server is draining: no new requests are sent to it"),
-            ListChange::Removed => info!(server, "server has been removed from the list"),
+            ListChange::Draining => info!(server, "drains: no new requests are sent to it"),
+            ListChange::Removed => info!(server, "has left the list"),
         }
     }
 }
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
-use lilacquay_overrides::Hold;
+use lilacquay_overrides::OrderEffect;
 use paddlefold::{Micros, RequestId, ServerId, WaitReason};
 use tokio::time::Instant;
 
@@ -119,9 +119,9 @@
             let view = id.and_then(|id| self.balancer.server_view(id));
             let order = server.order.map(|held| OrderNow {
                 number: held.number,
-                seconds_left: match held.hold {
-                    Hold::Drain => None,
-                    Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
+                seconds_left: match held.effect {
+                    OrderEffect::Drain => None,
+                    OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
                 },
                 lasting: held.lasting,
             });
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lilacquay_observe::{CommonNow, Snapshot};
-use lilacquay_overrides::{Ask, Common, Done, Refusal};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, SharedOrder};
 use paddlefold::{Learned, RequestId};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -28,7 +28,7 @@
     ListFailed,
     HandoverState(oneshot::Sender<HandoverState>),
     SetQuotas(Box<Admission>),
-    ApplyOrder(Box<Ask>, oneshot::Sender<Result<Done, Refusal>>),
+    ApplyOrder(Box<OrderRequest>, oneshot::Sender<Result<AppliedOrder, Refusal>>),
     OrdersInForce(oneshot::Sender<OrdersInForce>),
     Servers(oneshot::Sender<Vec<ServerStatus>>),
     /// An observer has been added (true) or removed (false).
@@ -48,7 +48,7 @@
         /// Whether these are all orders, so that any missing one has been lifted.
         complete: bool,
         /// The orders by server.
-        orders: Vec<Common>,
+        orders: Vec<SharedOrder>,
     },
     /// The names of servers that the lists of other nodes have removed.
     RemovedByPeers(BTreeSet<String>),
@@ -130,7 +130,7 @@
 
     /// Applies an operator's order to a server; the answer tells whether it was accepted. The receiver is closed if the
     /// core was created without overrides or has ended.
-    pub fn apply_order(&self, ask: Ask) -> oneshot::Receiver<Result<Done, Refusal>> {
+    pub fn apply_order(&self, ask: OrderRequest) -> oneshot::Receiver<Result<AppliedOrder, Refusal>> {
         self.ask(|answer| Message::ApplyOrder(Box::new(ask), answer))
     }
 
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -2,7 +2,10 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use lilacquay_overrides::{Ask, Change, Common, Done, Held, Kept, Listed, Refusal, Steer};
+use lilacquay_overrides::{
+    ActiveOrder, AppliedOrder, ListedServer, OrderRequest, Overrides, PersistentOrder, Refusal, SharedOrder,
+    StateChange,
+};
 use paddlefold::Micros;
 
 use crate::list::{ServerEntry, ServerList, ServerState};
@@ -11,9 +14,9 @@
 #[derive(Debug, Clone)]
 pub struct OrdersInForce {
     /// The orders by server name.
-    pub orders: Vec<(String, Held)>,
+    pub orders: Vec<(String, ActiveOrder)>,
     /// The orders among them that persist over a restart.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<PersistentOrder>,
     /// The current time, on the clock of the orders' expiry times.
     pub now: Micros,
 }
@@ -36,21 +39,21 @@
     /// This node's idle connections to the server.
     pub idle_connections: usize,
     /// The order in force on the server.
-    pub order: Option<Held>,
+    pub order: Option<ActiveOrder>,
 }
 
 /// The list as its source reports it, with operators' orders applied.
-pub(crate) struct Overrides {
-    steer: Steer,
+pub(crate) struct OverriddenList {
+    overrides: Overrides,
     entries: HashMap<String, ServerEntry>,
 }
 
-impl Overrides {
+impl OverriddenList {
     /// Creates an empty list with the orders that persisted over a restart.
-    pub fn new(now: Micros, kept: Vec<Kept>) -> Self {
-        let mut steer = Steer::new();
-        steer.restore(now, kept);
-        Overrides { steer, entries: HashMap::new() }
+    pub fn new(now: Micros, kept: Vec<PersistentOrder>) -> Self {
+        let mut overrides = Overrides::new();
+        overrides.restore(now, kept);
+        OverriddenList { overrides, entries: HashMap::new() }
     }
 
     /// Applies a list from its source and returns it as modified by the orders.
@@ -61,7 +64,7 @@
         is_origin: impl Fn(&str) -> bool,
     ) -> ServerList {
         let ServerList { full, servers } = list;
-        let to_listed = |entry: &ServerEntry| Listed {
+        let to_listed = |entry: &ServerEntry| ListedServer {
             name: entry.id.clone(),
             state: match entry.state {
                 ServerState::Serving => Some(lilacquay_overrides::State::Serving),
@@ -70,7 +73,7 @@
             },
             origin: is_origin(&entry.kind),
         };
-        let changes = self.steer.list(now, full, servers.iter().map(to_listed).collect());
+        let changes = self.overrides.apply_list(now, full, servers.iter().map(to_listed).collect());
         if full {
             self.entries.clear();
         }
@@ -88,8 +91,12 @@
     }
 
     /// Applies an order or refuses it; also returns the servers that change.
-    pub fn apply_order(&mut self, now: Micros, ask: &Ask) -> (Result<Done, Refusal>, ServerList) {
-        let (done, changes) = self.steer.ask(now, ask);
+    pub fn apply_order(
+        &mut self,
+        now: Micros,
+        ask: &OrderRequest,
+    ) -> (Result<AppliedOrder, Refusal>, ServerList) {
+        let (done, changes) = self.overrides.apply_order(now, ask);
         (done, ServerList { full: false, servers: self.changed_entries(changes) })
     }
 
@@ -98,27 +105,27 @@
         &mut self,
         now: Micros,
         complete: bool,
-        orders: Vec<Common>,
+        orders: Vec<SharedOrder>,
     ) -> ServerList {
-        let changes = self.steer.common(now, complete, orders);
+        let changes = self.overrides.apply_shared_orders(now, complete, orders);
         ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
     /// Excludes the servers that the lists of other nodes have removed; returns the servers that change.
     pub fn set_removed_by_peers(&mut self, now: Micros, servers: BTreeSet<String>) -> ServerList {
-        let changes = self.steer.hearsay(now, servers);
+        let changes = self.overrides.set_peer_exclusions(now, servers);
         ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
     /// The orders in force.
     pub fn orders_in_force(&self, now: Micros) -> OrdersInForce {
-        let orders = self.steer.orders().map(|(server, held)| (server.to_owned(), held)).collect();
-        OrdersInForce { orders, kept: self.steer.kept(), now }
+        let orders = self.overrides.active_orders().map(|(server, held)| (server.to_owned(), held)).collect();
+        OrdersInForce { orders, kept: self.overrides.persistent_orders(), now }
     }
 
     /// Lifts orders that have expired; returns the servers that change.
     pub fn expire_orders(&mut self, now: Micros) -> ServerList {
-        let changes = self.steer.tick(now);
+        let changes = self.overrides.tick(now);
         ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
@@ -135,7 +142,7 @@
                 effective_state: if is_serving { ServerState::Serving } else { ServerState::Draining },
                 attempts_in_flight,
                 idle_connections,
-                order: self.steer.held(&entry.id),
+                order: self.overrides.active_order(&entry.id),
             }
         };
         let mut servers: Vec<ServerStatus> = self.entries.values().map(to_status).collect();
@@ -144,8 +151,8 @@
     }
 
     /// The entries of the servers that change, with their new states.
-    fn changed_entries(&self, changes: Vec<Change>) -> Vec<ServerEntry> {
-        let to_entry = |change: Change| {
+    fn changed_entries(&self, changes: Vec<StateChange>) -> Vec<ServerEntry> {
+        let to_entry = |change: StateChange| {
             let state = match change.state {
                 lilacquay_overrides::State::Serving => ServerState::Serving,
                 lilacquay_overrides::State::Draining => ServerState::Draining,
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -10,7 +10,7 @@
     Options, Outcome, PendingAnswer, Reply, Requests, ResourceShare, ServerEntry, ServerList, ServerState,
     Target, Upstream,
 };
-use lilacquay_overrides::{Ask, Done, Kept, Order, Refusal};
+use lilacquay_overrides::{AppliedOrder, Order, OrderRequest, PersistentOrder, Refusal};
 use paddlefold::setup::{RawSettings, Setup};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
@@ -62,7 +62,7 @@
 impl TestCore {
     /// A core with two caches, `s1` at port 1 and `s2` at port 2. Operators' orders are accepted if there are
     /// `persisted_orders`.
-    fn new(persisted_orders: Option<Vec<Kept>>) -> TestCore {
+    fn new(persisted_orders: Option<Vec<PersistentOrder>>) -> TestCore {
         let settings = r#"{"Classes":[{"Name":"read","Aim":300.0,"HardLimit":60000.0,"Effect":"safe"}],
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
@@ -116,8 +116,8 @@
         reads
     }
 
-    async fn order(&self, server: &str, order: Order) -> Result<Done, Refusal> {
-        let ask = Ask { server: server.into(), order, lasting: false, force: false, seen: None };
+    async fn order(&self, server: &str, order: Order) -> Result<AppliedOrder, Refusal> {
+        let ask = OrderRequest { server: server.into(), order, lasting: false, force: false, seen: None };
         self.handle.apply_order(ask).await.expect("a core that accepts orders")
     }
 }
@@ -154,16 +154,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_server_that_is_left_out_for_a_time_comes_back_by_itself() {
     let mut core = TestCore::new(Some(Vec::new()));
-    core.order("s1", Order::LeaveOut(1_000)).await.unwrap();
+    core.order("s1", Order::Exclude(1_000)).await.unwrap();
     let back = async { while core.serve_fifty_reads().await[0] == 0 {} };
     timeout(TEST_TIMEOUT, back).await.expect("back in time");
 }
 
 #[tokio::test(start_paused = true)]
 async fn persisted_orders_apply_from_the_first_list_on_and_a_core_without_overrides_accepts_none() {
-    let mut core = TestCore::new(Some(vec![Kept { server: "s2".into(), left: None, mark: None }]));
+    let mut core =
+        TestCore::new(Some(vec![PersistentOrder { server: "s2".into(), remaining: None, mark: None }]));
     assert_eq!(core.serve_fifty_reads().await, [50, 0]);
     let core = TestCore::new(None);
-    let ask = Ask { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
+    let ask =
+        OrderRequest { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
     assert!(core.handle.apply_order(ask).await.is_err());
 }
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -10,8 +10,8 @@
 use lilacquay_core::{Gauges, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::ClientLimits;
-use lilacquay_inherit::{PassedError, number};
-use lilacquay_members::discovery::Told;
+use lilacquay_inherit::{InheritedSocketError, parse_descriptor};
+use lilacquay_members::discovery::DiscoveryResponse;
 use paddlefold::setup::{RawSettings, Setup};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -83,7 +83,7 @@
     pub seed: u64,
     pub sockets: usize,
     pub memory_mb: usize,
-    pub known: Told,
+    pub known: DiscoveryResponse,
     /// Whether what is known is all there is: no source tells the list, but a reload.
     pub fixed: bool,
     pub log: Log,
@@ -110,7 +110,8 @@
     /// # Errors
     /// If the descriptor is no such socket.
     pub fn listener(&self, told: SocketAddr) -> io::Result<TcpListener> {
-        lilacquay_inherit::listener(self.0, told).map_err(|why| io::Error::other(format!("{PASSED}: {why}")))
+        lilacquay_inherit::inherited_listener(self.0, told)
+            .map_err(|why| io::Error::other(format!("{PASSED}: {why}")))
     }
 }
 
@@ -122,7 +123,7 @@
     /// The second address is the first.
     SameAddress(SocketAddr),
     /// A variable that names no descriptor.
-    Passed(PassedError),
+    Passed(InheritedSocketError),
     /// An environment variable that is no address.
     Address(&'static str, String),
     /// Mistakes in a file of this source.
@@ -155,7 +156,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Told,
+    known: DiscoveryResponse,
     settings: RawSettings,
 }
 
@@ -172,7 +173,7 @@
     admin: Option<SocketAddr>,
     seed: u64,
     limits: Limits,
-    known: Told,
+    known: DiscoveryResponse,
     setup: Setup,
     siblings: Option<Site>,
 }
@@ -356,7 +357,7 @@
             Source::Platform => variable(PASSED)?,
             Source::Options(_) | Source::Appliance(_) => None,
         };
-        let passed = passed.map(|text| number(&text)).transpose().map_err(ConfigError::Passed)?;
+        let passed = passed.map(|text| parse_descriptor(&text)).transpose().map_err(ConfigError::Passed)?;
         Ok(Config {
             listen,
             passed: passed.map(Passed),
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -1,5 +1,5 @@
 //! The I/O of a hand-over: a socket and a lock in the folder that the processes of a node share, through which the one
-//! that runs and the one that is started beside it meet. Who may use what, the [`Tie`] decides.
+//! that runs and the one that is started beside it meet. Who may use what, the [`ResourceSplit`] decides.
 //!
 //! The lock tells whether any other process of the node lives: each holds it shared, and only one that is alone gets
 //! it whole. The kernel lets go of it whatever way a process ends. The socket is of the process that has no elder.
@@ -13,10 +13,10 @@
 use bytes::BytesMut;
 use lilacquay_control::SiblingsAsk;
 use lilacquay_core::{CoreHandle, HandoverState, Learned, ResourceShare, ServerList, ServerState};
-use lilacquay_handover::messages::{self, Come, Message};
-use lilacquay_handover::resource_split::{Above, Action, Event, Tie};
+use lilacquay_handover::messages::{self, Decoded, Message};
+use lilacquay_handover::resource_split::{Action, Event, PredecessorState, ResourceSplit};
 use lilacquay_lifecycle::ServiceMode;
-use lilacquay_members::discovery::Told;
+use lilacquay_members::discovery::DiscoveryResponse;
 use rustix::fs::{FlockOperation, flock};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -76,7 +76,7 @@
 /// A process's side of the tie.
 pub struct Succession {
     place: Place,
-    tie: Tie,
+    tie: ResourceSplit,
     portion: ResourceShare,
     /// Held as long as the process lives.
     lock: File,
@@ -104,16 +104,16 @@
 
     async fn say(&mut self, message: &Message) -> io::Result<()> {
         let mut text = BytesMut::new();
-        messages::put(message, &mut text);
+        messages::encode(message, &mut text);
         timeout(ANSWER, self.stream.write_all(&text)).await?
     }
 
     /// The next message; what is declined is passed over, and said.
     async fn hear(&mut self) -> io::Result<Message> {
         loop {
-            match messages::next(&mut self.buffer) {
-                Ok(Some(Come::Said(message))) => return Ok(message),
-                Ok(Some(Come::Declined(why))) => warn!("a part of the hand-over is declined: {why}"),
+            match messages::decode(&mut self.buffer) {
+                Ok(Some(Decoded::Message(message))) => return Ok(message),
+                Ok(Some(Decoded::Declined(why))) => warn!("a part of the hand-over is declined: {why}"),
                 Ok(None) => {
                     if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -145,7 +145,7 @@
         let (until, mut received) = (Instant::now() + PATIENCE, Received::default());
         loop {
             if this.is_alone() {
-                this.on(Event::Alone).await;
+                this.on(Event::NoPredecessor).await;
                 break;
             }
             let asked = timeout(ANSWER, this.ask(&mut received)).await;
@@ -160,7 +160,7 @@
                         "another process of this node lives and hands nothing over: served with what is kept for that"
                     );
                     this.elder.iter_mut().for_each(|elder| elder.ended = true); // its death is looked for
-                    this.on(Event::Unanswered).await;
+                    this.on(Event::PredecessorUnresponsive).await;
                     break;
                 }
             }
@@ -180,31 +180,34 @@
     async fn ask(&mut self, received: &mut Received) -> io::Result<bool> {
         let mut peer = Peer::new(UnixStream::connect(&self.place.socket).await?)?;
         let build = env!("CARGO_PKG_VERSION").to_owned();
-        peer.say(&Message::Asks { pid: std::process::id(), build }).await?;
-        let Message::Taken { build, .. } = peer.hear().await? else { return Ok(false) };
+        peer.say(&Message::TakeoverRequest { pid: std::process::id(), build }).await?;
+        let Message::Accepted { build, .. } = peer.hear().await? else { return Ok(false) };
         info!("process {} of build {build} hands over", peer.pid);
         // From here on it has an heir, whatever becomes of the words between the two.
         self.elder = Some(peer);
-        self.on(Event::Tied).await;
+        self.on(Event::PredecessorAccepted).await;
         loop {
             match hear(&mut self.elder).await? {
-                Message::Part { name, version, body } => received.take(&name, version, body),
+                Message::StatePart { name, version, body } => received.take(&name, version, body),
                 Message::Grant(all) => self.on(Event::Granted(all)).await,
                 // With nothing granted it could serve nobody: the elder lets go of something first.
-                Message::Whole if self.tie.limit() > 0 => return Ok(true),
-                Message::Whole | Message::Wait | Message::Taken { .. } | Message::Asks { .. } => {}
+                Message::StateComplete if self.tie.limit() > 0 => return Ok(true),
+                Message::StateComplete
+                | Message::Wait
+                | Message::Accepted { .. }
+                | Message::TakeoverRequest { .. } => {}
             }
         }
     }
 
     async fn on(&mut self, event: Event) {
-        for action in self.tie.on(event) {
+        for action in self.tie.on_event(event) {
             if let (Action::Grant(all), Some(heir)) = (action, &mut self.heir) {
                 // One that is gone is found dead later; its part comes back then.
                 let _ = heir.say(&Message::Grant(all)).await;
             }
         }
-        self.portion.set(self.tie.limit(), self.tie.in_company());
+        self.portion.set(self.tie.limit(), self.tie.has_live_peer());
     }
 
     /// Keeps the tie for as long as the process runs; ends only with it. `holds` tells what it holds, in thousandths.
@@ -219,12 +222,12 @@
         looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let listens = self.listener.is_some() || stopping || Instant::now() < self.listens_at;
-            if self.tie.above() == Above::Nobody && !listens {
+            if self.tie.predecessor() == PredecessorState::Absent && !listens {
                 self.listen();
             }
             tokio::select! {
                 _ = looks.tick() => {
-                    self.on(Event::Holds(holds())).await;
+                    self.on(Event::InUse(holds())).await;
                     self.look().await;
                 }
                 Ok(stream) = accept(&self.listener) => self.asked(stream, &orders, copy.as_ref()).await,
@@ -255,15 +258,15 @@
         if self.heir.as_ref().is_some_and(|heir| heir.ended && heir.is_dead()) {
             info!("the process that was to follow has ended");
             self.heir = None;
-            self.on(Event::HeirDied).await;
+            self.on(Event::SuccessorDied).await;
         }
         if self.elder.as_ref().is_some_and(|elder| elder.ended && elder.is_dead()) {
             info!("the process before has ended: all is this one's");
             self.elder = None;
-            self.on(Event::Alone).await;
+            self.on(Event::NoPredecessor).await;
         }
-        if self.tie.above() == Above::Untied && self.is_alone() {
-            self.on(Event::Alone).await;
+        if self.tie.predecessor() == PredecessorState::Unresponsive && self.is_alone() {
+            self.on(Event::NoPredecessor).await;
         }
     }
 
@@ -289,13 +292,13 @@
     async fn asked(&mut self, stream: UnixStream, orders: &CoreHandle, copy: Option<&Holder>) {
         let Ok(mut peer) = Peer::new(stream) else { return };
         match timeout(ANSWER, peer.hear()).await {
-            Ok(Ok(Message::Asks { build, .. })) => {
+            Ok(Ok(Message::TakeoverRequest { build, .. })) => {
                 info!("process {} of build {build} asks to follow", peer.pid)
             }
             _ => return, // one that says nothing of use
         }
-        let actions = self.tie.on(Event::HeirAsks);
-        if !actions.contains(&Action::Take) {
+        let actions = self.tie.on_event(Event::SuccessorRequests);
+        if !actions.contains(&Action::AcceptSuccessor) {
             let _ = peer.say(&Message::Wait).await; // it asks again, or has gone
             return;
         }
@@ -304,7 +307,7 @@
             warn!("handing over: {error}");
         }
         self.heir = Some(peer); // whatever it has understood: what it was granted comes back once it is dead
-        self.portion.set(self.tie.limit(), self.tie.in_company());
+        self.portion.set(self.tie.limit(), self.tie.has_live_peer());
     }
 
     async fn hand_over(
@@ -315,7 +318,7 @@
         copy: Option<&Holder>,
     ) -> io::Result<()> {
         let build = env!("CARGO_PKG_VERSION").to_owned();
-        heir.say(&Message::Taken { pid: std::process::id(), build }).await?;
+        heir.say(&Message::Accepted { pid: std::process::id(), build }).await?;
         for action in actions {
             if let Action::Grant(all) = action {
                 heir.say(&Message::Grant(*all)).await?;
@@ -323,28 +326,30 @@
         }
         if let Ok(Ok(heritage)) = timeout(ANSWER, orders.handover_state()).await {
             for (name, version, body) in parts(&heritage) {
-                heir.say(&Message::Part { name: name.into(), version, body }).await?;
+                heir.say(&Message::StatePart { name: name.into(), version, body }).await?;
             }
         }
         if let Some(copy) = copy
             && let Ok(Some(records)) = timeout(ANSWER, held(copy)).await
         {
             let body = serde_json::to_value(records).unwrap_or_default(); // text and numbers alone
-            heir.say(&Message::Part { name: "copy".into(), version: COPY, body }).await?;
+            heir.say(&Message::StatePart { name: "copy".into(), version: COPY, body }).await?;
         }
-        heir.say(&Message::Whole).await
+        heir.say(&Message::StateComplete).await
     }
 }
 
 impl Received {
     fn take(&mut self, name: &str, version: u32, body: Value) {
         let taken = match name {
-            "list" => messages::part::<Told>(version, LIST, body.clone()).map(|told| {
+            "list" => messages::decode_part::<DiscoveryResponse>(version, LIST, body.clone()).map(|told| {
                 let known = body["version"].as_u64();
                 self.list = Some((ServerList { full: true, ..told.list }, known));
             }),
-            "copy" => messages::part(version, COPY, body).map(|copy| self.copy = copy),
-            "learned" => messages::part(version, LEARNED, body).map(|learned| self.learned = Some(learned)),
+            "copy" => messages::decode_part(version, COPY, body).map(|copy| self.copy = copy),
+            "learned" => {
+                messages::decode_part(version, LEARNED, body).map(|learned| self.learned = Some(learned))
+            }
             _ => Err("not known here".into()),
         };
         if let Err(why) = taken {
--- a/crates/lilacquay/src/members.rs
+++ b/crates/lilacquay/src/members.rs
@@ -6,8 +6,8 @@
 
 use lilacquay_core::{ServerEntry, ServerState};
 use lilacquay_etcd::Settings;
-use lilacquay_members::etcd::list_cache::Kept;
-use lilacquay_members::etcd::registry::{Listed, Registry, RegistryError};
+use lilacquay_members::etcd::list_cache::CachedList;
+use lilacquay_members::etcd::registry::{Registry, RegistryEntry, RegistryError};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
@@ -120,28 +120,28 @@
         Err(error) => error,
     };
     let Some(folder) = &etcd.keep else { return Err(error.into()) };
-    let Some(kept) = Kept::read(folder)? else { return Err(error.into()) };
+    let Some(kept) = CachedList::read(folder)? else { return Err(error.into()) };
     writeln!(io::stderr(), "lilacquay: {error}; this is the kept list")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let age = now.saturating_sub(Duration::from_micros(kept.as_of)).as_secs();
-    let listed = |(entry, revision): (ServerEntry, i64)| Listed {
+    let listed = |(entry, revision): (ServerEntry, i64)| RegistryEntry {
         id: entry.id.clone(),
         entry: Ok(entry),
         revision,
         lease: 0,
     };
-    let listed: Vec<Listed> = kept.servers.into_iter().map(listed).collect();
+    let listed: Vec<RegistryEntry> = kept.servers.into_iter().map(listed).collect();
     print(kept.revision, &format!("{age} s old"), &folder.display().to_string(), &listed)
 }
 
-fn print(revision: i64, age: &str, source: &str, listed: &[Listed]) -> Done {
+fn print(revision: i64, age: &str, source: &str, listed: &[RegistryEntry]) -> Done {
     let mut out = io::BufWriter::new(io::stdout().lock());
     writeln!(out, "revision {revision}, {age}, from {source}: {} servers", listed.len())?;
     let longest = listed.iter().map(|one| one.id.chars().count()).max().unwrap_or(0).max(2);
     let head = ("ADDRESS", "ZONE", "KIND", "STATE", "WEIGHT", "STARTED", "REVISION", "LEASE");
     let (a, z, k, s, w, t, r, l) = head;
     writeln!(out, "{:longest$}  {a:<21}  {z:<8}  {k:<10}  {s:<8}  {w:>6}  {t:>13}  {r:>8}  {l:>5}", "ID")?;
-    for Listed { id, entry, revision, lease } in listed {
+    for RegistryEntry { id, entry, revision, lease } in listed {
         match entry {
             Ok(ServerEntry { addr, zone, kind, state, weight, started_ms, .. }) => {
                 let state = if *state == ServerState::Serving { "serving" } else { "draining" };
@@ -164,7 +164,7 @@
 async fn hold(etcd: &Etcd, settings: &Settings, entry: &ServerEntry, seconds: i64) -> Done {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let registry = connect(etcd, settings).await?;
-    let mut held = Some((registry.grant(seconds).await?, registry));
+    let mut held = Some((registry.grant_lease(seconds).await?, registry));
     if let Some((lease, registry)) = &held {
         said(&entry.id, "is listed while this runs", registry.put(entry, *lease).await?)?;
     }
@@ -177,7 +177,7 @@
             _ = beat.tick() => {}
         }
         let renewed = match &held {
-            Some((lease, registry)) => registry.renew(*lease).await,
+            Some((lease, registry)) => registry.renew_lease(*lease).await,
             None => Ok(false),
         };
         match renewed {
@@ -195,7 +195,7 @@
         }
     }
     match held {
-        Some((lease, registry)) => Ok(registry.revoke(lease).await?),
+        Some((lease, registry)) => Ok(registry.revoke_lease(lease).await?),
         None => Ok(()), // its lease runs out
     }
 }
@@ -208,7 +208,7 @@
 ) -> Option<(i64, Registry)> {
     let put = async {
         let registry = connect(etcd, settings).await?;
-        let lease = registry.grant(seconds).await?;
+        let lease = registry.grant_lease(seconds).await?;
         registry.put(entry, lease).await?;
         Ok::<_, RegistryError>((lease, registry))
     };
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -326,8 +326,9 @@
         let discovery = config.discovery.map(|at| {
             let (to, address) = watch::channel(at);
             let members = members.clone().with_source("discovery");
-            let follow =
-                move || discovery::Watch::new(members.clone(), known, nodes.clone()).run(address.clone());
+            let follow = move || {
+                discovery::DiscoveryWatcher::new(members.clone(), known, nodes.clone()).run(address.clone())
+            };
             (to, parts.spawn(keep("discovery", follow)))
         });
         let (discovery, rival) = discovery.unzip();
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -8,7 +8,7 @@
 use lilacquay_control::{Command, CommonOrder, CopyNow, HeldBy, KindNow, OrderHeld, PeerCopy, RecordNow};
 use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
 use lilacquay_observe::CommonNow;
-use lilacquay_overrides::{Ask, Hold, Kept, Order as Asked};
+use lilacquay_overrides::{Order as Asked, OrderEffect, OrderRequest, PersistentOrder};
 use lilacquay_replica::endpoint_reports::{self, LocalServerList, ServerEntry, WithdrawnServer};
 use lilacquay_replica::orders::{Action, EffectiveOrder, Order, TOMBSTONE_RETENTION_US};
 use lilacquay_replica::{OutgoingDatagram, Replica, Setup, SyncState, evidence, kind};
@@ -96,9 +96,9 @@
 
 impl KeptRecord {
     /// Of an order that lasted, if it is one in common.
-    pub fn of(kept: &Kept) -> Option<KeptRecord> {
+    pub fn of(kept: &PersistentOrder) -> Option<KeptRecord> {
         let record = of_mark(kept.mark.as_deref()?)?;
-        Some(KeptRecord { record, left: kept.left.map(|left| left + TOMBSTONE_RETENTION_US) })
+        Some(KeptRecord { record, left: kept.remaining.map(|left| left + TOMBSTONE_RETENTION_US) })
     }
 
     /// Of what a process before has handed over.
@@ -277,9 +277,9 @@
         answer: oneshot::Sender<Option<HeldBy>>,
     ) {
         let (subject, action, life) = match order {
-            CommonOrder::Server(Ask { server, order, .. }) => match order {
+            CommonOrder::Server(OrderRequest { server, order, .. }) => match order {
                 Asked::Drain => (server.as_bytes(), Action::Drain, None),
-                Asked::LeaveOut(time) => (server.as_bytes(), Action::LeaveOut, Some(*time)),
+                Asked::Exclude(time) => (server.as_bytes(), Action::LeaveOut, Some(*time)),
                 Asked::Undrain => (server.as_bytes(), Action::Undrain, None),
             },
             CommonOrder::Level(level) => {
@@ -383,7 +383,7 @@
             let Some(hold) = hold(standing.order, now, left) else { continue };
             let Ok(server) = String::from_utf8(standing.subject.to_vec()) else { continue };
             let Some(held) = self.replica.record(standing.id) else { continue };
-            orders.push(lilacquay_overrides::Common { server, hold, mark: mark(&held.record) });
+            orders.push(lilacquay_overrides::SharedOrder { server, effect: hold, mark: mark(&held.record) });
         }
         for subject in conflicts.difference(&self.conflicts) {
             warn!(
@@ -481,11 +481,13 @@
 }
 
 /// How an order holds its server, if it does.
-fn hold(order: &Order, now: Micros, left: Option<Micros>) -> Option<Hold> {
+fn hold(order: &Order, now: Micros, left: Option<Micros>) -> Option<OrderEffect> {
     match order.action {
         _ if order.is_tombstone(left) => None,
-        Action::Drain => Some(Hold::Drain),
-        Action::LeaveOut => Some(Hold::LeftOut(now + left?.saturating_sub(TOMBSTONE_RETENTION_US))),
+        Action::Drain => Some(OrderEffect::Drain),
+        Action::LeaveOut => {
+            Some(OrderEffect::ExcludedUntil(now + left?.saturating_sub(TOMBSTONE_RETENTION_US)))
+        }
         Action::Undrain | Action::LogLevel(_) => None,
     }
 }
--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -10,7 +10,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lilacquay_core::{Entry, List, Members, State};
+use lilacquay_core::{MembershipHandle, ServerEntry, ServerList, ServerState};
 use lilacquay_stream::Stream;
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -44,7 +44,7 @@
     /// Version of the list, from which a watch continues.
     pub version: u64,
     /// The full list, or the changes to it.
-    pub list: List,
+    pub list: ServerList,
     /// Number of entries that could not be parsed.
     pub skipped: usize,
 }
@@ -78,7 +78,7 @@
     kind: String,
     #[serde(default)]
     cell: u32,
-    state: ServerState,
+    state: ReportedState,
     #[serde(default)]
     weight: Option<f64>,
     #[serde(default)]
@@ -87,7 +87,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-enum ServerState {
+enum ReportedState {
     Serving,
     Draining,
     Deleted,
@@ -97,30 +97,30 @@
     fn from(body: ResponseBody) -> DiscoveryResponse {
         let listed = body.servers.len();
         let well_formed = body.servers.into_iter().filter_map(|entry| match entry {
-            ListedEntry::Server(server) => Some(Entry::from(server)),
+            ListedEntry::Server(server) => Some(ServerEntry::from(server)),
             ListedEntry::Malformed(_) => None,
         });
-        let servers: Vec<Entry> = well_formed.collect();
+        let servers: Vec<ServerEntry> = well_formed.collect();
         let skipped = listed - servers.len();
-        DiscoveryResponse { version: body.version, list: List { full: body.full, servers }, skipped }
+        DiscoveryResponse { version: body.version, list: ServerList { full: body.full, servers }, skipped }
     }
 }
 
-impl From<Server> for Entry {
-    fn from(server: Server) -> Entry {
+impl From<Server> for ServerEntry {
+    fn from(server: Server) -> ServerEntry {
         let Server { id, addr, zone, kind, cell, state, weight, started_ms } = server;
         let state = match state {
-            ServerState::Serving => State::Serving,
-            ServerState::Draining => State::Draining,
-            ServerState::Deleted => State::Deleted,
+            ReportedState::Serving => ServerState::Serving,
+            ReportedState::Draining => ServerState::Draining,
+            ReportedState::Deleted => ServerState::Deleted,
         };
-        Entry { id, addr, zone, kind, cell, state, weight, started_ms }
+        ServerEntry { id, addr, zone, kind, cell, state, weight, started_ms }
     }
 }
 
 /// Follows the list of a discovery service and reports it to the core.
 pub struct DiscoveryWatcher {
-    members: Members,
+    members: MembershipHandle,
     /// Version of the list that is known.
     known_version: u64,
     connection: Option<Connection>,
@@ -148,8 +148,8 @@
 impl DiscoveryWatcher {
     /// Creates a watcher. `known_version` is the version of the list that the core has, if any; `nodes` is the current
     /// number of nodes that poll the service.
-    pub fn new(members: Members, known_version: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
-        let is_shared_service = members.asked().is_some();
+    pub fn new(members: MembershipHandle, known_version: Option<u64>, nodes: watch::Receiver<usize>) -> Self {
+        let is_shared_service = members.subscribe_signal().is_some();
         DiscoveryWatcher {
             needs_full_list: known_version.is_none(),
             known_version: known_version.unwrap_or(0),
@@ -181,8 +181,8 @@
                 result = self.call(current_address) => result,
             };
             let core_is_running = match result {
-                Some(list) => self.members.list_at(list, self.known_version),
-                None => self.members.failed(),
+                Some(list) => self.members.update_list_at_version(list, self.known_version),
+                None => self.members.report_failure(),
             };
             if !core_is_running {
                 return;
@@ -191,8 +191,8 @@
     }
 
     /// Makes the next call when it is due; `None` if it failed. If cancelled, it leaves no call open.
-    async fn call(&mut self, address: SocketAddr) -> Option<List> {
-        match self.members.asked() {
+    async fn call(&mut self, address: SocketAddr) -> Option<ServerList> {
+        match self.members.subscribe_signal() {
             Some(subscribe) if self.is_next_call_delayed => subscribe.notified().await,
             None if self.is_next_call_delayed => sleep(RETRY_DELAY).await,
             _ => {}
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use lilacquay_core::{Entry, List, Micros, State};
+use lilacquay_core::{Micros, ServerEntry, ServerList, ServerState};
 use lilacquay_etcd::api::event::EventType;
 use lilacquay_etcd::api::{
     self, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchCreateRequest, WatchResponse,
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListUpdate {
     /// The full list or the changes.
-    pub list: List,
+    pub list: ServerList,
     /// Revision that the list reaches with this update.
     pub revision: i64,
     /// Number of the store's history, incremented each time the store is replaced by one with another history.
@@ -198,7 +198,7 @@
     /// Revision of its last change.
     revision: i64,
     /// The latest entry that could be parsed, if any.
-    entry: Option<Entry>,
+    entry: Option<ServerEntry>,
     /// Why its latest value can't be parsed.
     malformed: Option<String>,
 }
@@ -271,7 +271,7 @@
     /// Whether the core has received a list.
     published: bool,
     /// Servers with changes that are not published yet, each with its last published entry.
-    unpublished: BTreeMap<String, Option<Entry>>,
+    unpublished: BTreeMap<String, Option<ServerEntry>>,
     published_at: Micros,
     phase: Phase,
     call: u64,
@@ -609,7 +609,7 @@
         self.unpublished.clear();
         let items = self.known.iter().flat_map(|known| known.items.values());
         let servers = items.filter_map(|item| item.entry.clone()).collect();
-        self.push_update(List { full: true, servers }, out);
+        self.push_update(ServerList { full: true, servers }, out);
     }
 
     /// Publishes all unpublished changes as one update.
@@ -620,16 +620,16 @@
         let changed = unpublished.filter_map(|(id, published)| match current(&id) {
             entry if entry == published => None,
             Some(entry) => Some(entry),
-            None => published.map(|published| Entry { state: State::Deleted, ..published }),
+            None => published.map(|published| ServerEntry { state: ServerState::Deleted, ..published }),
         });
-        let servers: Vec<Entry> = changed.collect();
+        let servers: Vec<ServerEntry> = changed.collect();
         if !servers.is_empty() {
             self.published_at = now;
-            self.push_update(List { full: false, servers }, out);
+            self.push_update(ServerList { full: false, servers }, out);
         }
     }
 
-    fn push_update(&self, list: List, out: &mut Vec<Action>) {
+    fn push_update(&self, list: ServerList, out: &mut Vec<Action>) {
         let revision = self.known.as_ref().map_or(0, |known| known.revision);
         out.push(Action::Publish(ListUpdate { list, revision, history_number: self.history_number }));
     }
@@ -844,7 +844,7 @@
 impl From<CachedList> for StoreState {
     fn from(cached: CachedList) -> Self {
         let CachedList { cluster, revision, as_of, servers, .. } = cached;
-        let item = |(entry, revision): (Entry, i64)| {
+        let item = |(entry, revision): (ServerEntry, i64)| {
             (entry.id.clone(), KeyState { revision, entry: Some(entry), malformed: None })
         };
         StoreState { cluster, revision, as_of, items: servers.into_iter().map(item).collect() }
@@ -853,10 +853,10 @@
 
 /// Records that a server's new entry is unpublished, with the entry that was published last.
 fn record_unpublished(
-    unpublished: &mut BTreeMap<String, Option<Entry>>,
+    unpublished: &mut BTreeMap<String, Option<ServerEntry>>,
     id: &str,
     old: Option<KeyState>,
-    new: Option<&Entry>,
+    new: Option<&ServerEntry>,
 ) {
     let old = old.and_then(|old| old.entry);
     if old.as_ref() != new && !unpublished.contains_key(id) {
--- a/crates/members/src/etcd/follower_tests.rs
+++ b/crates/members/src/etcd/follower_tests.rs
@@ -112,7 +112,7 @@
                 Action::CloseCall => {}
                 Action::Publish(ListUpdate { list, revision, .. }) => {
                     let describe =
-                        |entry: &Entry| format!("{} {} {:?}", entry.id, entry.addr.port(), entry.state);
+                        |entry: &ServerEntry| format!("{} {} {:?}", entry.id, entry.addr.port(), entry.state);
                     let mut entries: Vec<_> = list.servers.iter().map(describe).collect();
                     entries.extend(list.full.then(|| "full".to_owned()));
                     self.updates.push((revision, entries));
--- a/crates/members/src/etcd/layout.rs
+++ b/crates/members/src/etcd/layout.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use serde::{Deserialize, Serialize};
 
 /// Maximum length of an id in bytes.
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// The first problem, with the name of its field.
-pub fn parse_value(id: &str, bytes: &[u8]) -> Result<Entry, Malformed> {
+pub fn parse_value(id: &str, bytes: &[u8]) -> Result<ServerEntry, Malformed> {
     if bytes.len() > MAX_VALUE_BYTES {
         return Err(Malformed(format!(
             "the value has {} bytes; the maximum is {MAX_VALUE_BYTES}",
@@ -99,19 +99,19 @@
         return Err(Malformed("started_ms: must be Unix time in milliseconds, or 0".into()));
     }
     let state = match state {
-        ListedState::Serving => State::Serving,
-        ListedState::Draining => State::Draining,
+        ListedState::Serving => ServerState::Serving,
+        ListedState::Draining => ServerState::Draining,
     };
-    Ok(Entry { id: id.to_owned(), addr, zone, kind, cell, state, weight, started_ms })
+    Ok(ServerEntry { id: id.to_owned(), addr, zone, kind, cell, state, weight, started_ms })
 }
 
 /// Encodes a value. There is no value for a removed server; it is encoded as draining.
-pub fn encode_value(entry: &Entry) -> Vec<u8> {
-    let Entry { addr, cell, weight, started_ms, .. } = *entry;
+pub fn encode_value(entry: &ServerEntry) -> Vec<u8> {
+    let ServerEntry { addr, cell, weight, started_ms, .. } = *entry;
     let (zone, kind) = (entry.zone.clone(), entry.kind.clone());
     let state = match entry.state {
-        State::Serving => ListedState::Serving,
-        State::Draining | State::Deleted => ListedState::Draining,
+        ServerState::Serving => ListedState::Serving,
+        ServerState::Draining | ServerState::Deleted => ListedState::Draining,
     };
     let value = Value { addr, zone, kind, cell, state, weight, started_ms };
     serde_json::to_vec(&value).expect("numbers and strings always serialize")
@@ -126,10 +126,10 @@
     #[test]
     fn a_value_survives_parsing_and_encoding() {
         let parsed = parse_value("box-1", VALID_VALUE.as_bytes()).unwrap();
-        assert_eq!((parsed.state, parsed.weight, parsed.cell), (State::Draining, Some(2.0), 3));
+        assert_eq!((parsed.state, parsed.weight, parsed.cell), (ServerState::Draining, Some(2.0), 3));
         assert_eq!(parse_value("box-1", &encode_value(&parsed)).unwrap(), parsed);
         let minimal = parse_value("b", br#"{"addr":"[::1]:1","state":"SERVING","unknown":{}}"#).unwrap();
-        assert_eq!((minimal.state, minimal.weight, minimal.started_ms), (State::Serving, None, 0.0));
+        assert_eq!((minimal.state, minimal.weight, minimal.started_ms), (ServerState::Serving, None, 0.0));
         assert_eq!(parse_value("b", &encode_value(&minimal)).unwrap(), minimal);
     }
 
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-use lilacquay_core::{Entry, Micros};
+use lilacquay_core::{Micros, ServerEntry};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use xxhash_rust::xxh3::xxh3_64;
@@ -31,7 +31,7 @@
     /// When the list was last known to be current, as Unix time in microseconds.
     pub as_of: Micros,
     /// The servers, each with the revision of its last change.
-    pub servers: Vec<(Entry, i64)>,
+    pub servers: Vec<(ServerEntry, i64)>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     }
 
     fn body(&self) -> Vec<u8> {
-        let record = |(entry, revision): &(Entry, i64)| {
+        let record = |(entry, revision): &(ServerEntry, i64)| {
             let value = String::from_utf8(layout::encode_value(entry)).expect("JSON is UTF-8");
             let value = RawValue::from_string(value).expect("an encoded value is JSON");
             ServerRecord { id: entry.id.clone(), revision: *revision, value }
--- a/crates/members/src/etcd/registry.rs
+++ b/crates/members/src/etcd/registry.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use lilacquay_etcd::api::compare::{CompareResult, CompareTarget, TargetUnion};
 use lilacquay_etcd::api::request_op::Request;
 use lilacquay_etcd::api::{
@@ -73,7 +73,7 @@
     /// Id of the server.
     pub id: String,
     /// The parsed value.
-    pub entry: Result<Entry, Malformed>,
+    pub entry: Result<ServerEntry, Malformed>,
     /// Revision of its last change.
     pub revision: i64,
     /// Id of its lease; 0 for none.
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// If nodes would reject the id or the entry, or the call fails.
-    pub async fn put(&self, entry: &Entry, lease: i64) -> Result<i64, RegistryError> {
+    pub async fn put(&self, entry: &ServerEntry, lease: i64) -> Result<i64, RegistryError> {
         let (key, value) = (self.key(&entry.id)?, layout::encode_value(entry));
         layout::parse_value(&entry.id, &value)
             .map_err(|reason| RegistryError::Malformed(entry.id.clone(), reason))?;
@@ -172,7 +172,7 @@
     ///
     /// # Errors
     /// If the server is not listed or malformed, concurrent changes make all attempts fail, or a call fails.
-    pub async fn set_state(&self, id: &str, state: State) -> Result<i64, RegistryError> {
+    pub async fn set_state(&self, id: &str, state: ServerState) -> Result<i64, RegistryError> {
         let key = self.key(id)?;
         for _ in 0..MAX_ATTEMPTS {
             let (limit, revision, range_end) = (1, 0, Vec::new());
@@ -181,7 +181,7 @@
             let kv = found.ok_or_else(|| RegistryError::NotListed(id.to_owned()))?;
             let entry = layout::parse_value(id, &kv.value);
             let entry = entry.map_err(|reason| RegistryError::Malformed(id.to_owned(), reason))?;
-            let value = layout::encode_value(&Entry { state, ..entry });
+            let value = layout::encode_value(&ServerEntry { state, ..entry });
             // The write applies only if the key has not changed since it was read.
             let unchanged = Compare {
                 result: CompareResult::Equal.into(),
--- a/crates/members/src/etcd/source.rs
+++ b/crates/members/src/etcd/source.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use lilacquay_core::{Clock, Members};
+use lilacquay_core::{Clock, MembershipHandle};
 use lilacquay_etcd::api::{RangeRequest, WatchCreateRequest};
 use lilacquay_etcd::{Client, Error, ProgressRequester, Settings};
 use tokio::sync::{mpsc, watch};
@@ -21,7 +21,7 @@
 
 /// Follows the list in etcd and sends it to the core.
 pub struct Source {
-    members: Members,
+    members: MembershipHandle,
     follower: Follower,
     settings: Settings,
     clock: Clock,
@@ -48,7 +48,7 @@
     /// Creates a source. With a folder, the list is cached there, and a cached list is used until the store answers. The
     /// first list stops `superseded_source`, if there is one.
     pub fn new(
-        members: Members,
+        members: MembershipHandle,
         settings: Settings,
         prefix: &str,
         seed: u64,
@@ -126,7 +126,7 @@
                     superseded_source.abort();
                     info!(source = "etcd", "etcd goes before discovery from here on");
                 }
-                return self.members.list(update.list);
+                return self.members.update_list(update.list);
             }
             Action::SaveCache => self.save_cache(),
             Action::Log(notice) => self.log(&notice),
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lilacquay_core::{Entry, Micros, State};
+use lilacquay_core::{Micros, ServerEntry, ServerState};
 use lilacquay_etcd::ErrorKind;
 use lilacquay_etcd::api::{WatchCreateRequest, WatchResponse};
 use lilacquay_fleet::etcd::Store;
@@ -78,7 +78,7 @@
     Options { prefix: PREFIX.into(), endpoints, seed, limits, saves_cache: true }
 }
 
-fn describe(entry: &Entry) -> String {
+fn describe(entry: &ServerEntry) -> String {
     format!("{} {:?}", entry.addr, entry.state)
 }
 
@@ -393,7 +393,7 @@
         }
         for entry in update.list.servers {
             match entry.state {
-                State::Deleted => {
+                ServerState::Deleted => {
                     assert!(self.core.remove(&entry.id).is_some(), "{} was not listed", entry.id)
                 }
                 _ => drop(self.core.insert(entry.id.clone(), describe(&entry))),
--- a/crates/members/tests/registry.rs
+++ b/crates/members/tests/registry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacquay_core::{Entry, State};
+use lilacquay_core::{ServerEntry, ServerState};
 use lilacquay_etcd::api::{RangeRequest, WatchCreateRequest};
 use lilacquay_etcd::{Client, ErrorKind, Settings, Tls, User};
 use lilacquay_fleet::Clock;
@@ -33,14 +33,14 @@
     Registry::connect(&settings(etcd, "http"), PREFIX).await.unwrap()
 }
 
-fn entry(id: &str) -> Entry {
-    Entry {
+fn entry(id: &str) -> ServerEntry {
+    ServerEntry {
         id: id.into(),
         addr: ([127, 0, 0, 1], 7001).into(),
         zone: "a".into(),
         kind: "m".into(),
         cell: 0,
-        state: State::Serving,
+        state: ServerState::Serving,
         weight: Some(2.0),
         started_ms: 0.0,
     }
@@ -52,21 +52,26 @@
     let registry = registry(&etcd).await;
     let lease = registry.grant_lease(60).await.unwrap();
     assert_eq!(registry.put(&entry("box-1"), lease).await.unwrap(), 2);
-    assert_eq!(registry.set_state("box-1", State::Draining).await.unwrap(), 3);
+    assert_eq!(registry.set_state("box-1", ServerState::Draining).await.unwrap(), 3);
     let (revision, listed) = registry.list().await.unwrap();
     assert_eq!((revision, listed.len(), listed[0].revision, listed[0].lease), (3, 1, 3, lease));
-    assert_eq!(listed[0].entry, Ok(Entry { state: State::Draining, ..entry("box-1") }));
+    assert_eq!(listed[0].entry, Ok(ServerEntry { state: ServerState::Draining, ..entry("box-1") }));
     registry.revoke_lease(lease).await.unwrap();
     assert_eq!(registry.list().await.unwrap().1, []);
     registry.put(&entry("box-2"), 0).await.unwrap();
     registry.remove("box-2").await.unwrap();
-    for error in [registry.remove("box-2").await, registry.set_state("box-2", State::Draining).await] {
+    for error in [registry.remove("box-2").await, registry.set_state("box-2", ServerState::Draining).await] {
         assert!(matches!(error, Err(RegistryError::NotListed(id)) if id == "box-2"));
     }
     etcd.put("junk", "{}");
-    assert!(matches!(registry.set_state("junk", State::Draining).await, Err(RegistryError::Malformed(..))));
+    assert!(matches!(
+        registry.set_state("junk", ServerState::Draining).await,
+        Err(RegistryError::Malformed(..))
+    ));
     assert!(registry.list().await.unwrap().1[0].entry.is_err());
-    for bad in [Entry { weight: Some(-1.0), ..entry("b") }, Entry { id: "a b".into(), ..entry("b") }] {
+    for bad in
+        [ServerEntry { weight: Some(-1.0), ..entry("b") }, ServerEntry { id: "a b".into(), ..entry("b") }]
+    {
         assert!(matches!(registry.put(&bad, 0).await, Err(RegistryError::Malformed(..))));
     }
 }
@@ -83,10 +88,10 @@
         tokio::time::sleep(Duration::from_millis(150)).await;
         other_writer.put("box-1", r#"{"addr":"127.0.0.1:2","state":"serving"}"#);
     });
-    registry.set_state("box-1", State::Draining).await.unwrap();
+    registry.set_state("box-1", ServerState::Draining).await.unwrap();
     changed.await.unwrap();
     let listed = registry.list().await.unwrap().1.remove(0).entry.unwrap();
-    assert_eq!((listed.addr.port(), listed.state), (2, State::Draining));
+    assert_eq!((listed.addr.port(), listed.state), (2, ServerState::Draining));
 }
 
 #[tokio::test]
