--- a/crates/control/src/words.rs
+++ b/crates/control/src/messages.rs
@@ -1,8 +1,8 @@
 //! What is said over the control socket: a question and its answer are a line of JSON each.
 
-use lilacquay_core::{ServerNow, State};
+use lilacquay_core::{ServerState, ServerStatus};
 use lilacquay_observe::{Snapshot, Told};
-use lilacquay_steer::{Ask, Held, Hold, Micros, Order};
+use lilacquay_overrides::{ActiveOrder, Micros, Order, OrderEffect, OrderRequest};
 use serde::{Deserialize, Serialize};
 
 /// The version of these words. A node answers questions of this version and of all before it, in words that those know.
@@ -412,9 +412,18 @@
 
 impl Server {
     /// In words.
-    pub fn new(now: ServerNow) -> Self {
-        let ServerNow { name, zone, kind, listed, state, out, idle, held } = now;
-        let (listed, serves) = (listed == State::Serving, state == State::Serving);
+    pub fn new(now: ServerStatus) -> Self {
+        let ServerStatus {
+            name,
+            zone,
+            kind,
+            listed_state: listed,
+            effective_state: state,
+            attempts_in_flight: out,
+            idle_connections: idle,
+            order: held,
+        } = now;
+        let (listed, serves) = (listed == ServerState::Serving, state == ServerState::Serving);
         let order = held.map(|held| held.number);
         Server { server: name, zone, kind, listed, serves, out, idle, order }
     }
@@ -422,10 +431,10 @@
 
 impl Standing {
     /// In words, at a time.
-    pub fn new(server: &str, held: Held, now: Micros) -> Self {
-        let seconds_left = match held.hold {
-            Hold::Drain => None,
-            Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
+    pub fn new(server: &str, held: ActiveOrder, now: Micros) -> Self {
+        let seconds_left = match held.effect {
+            OrderEffect::Drain => None,
+            OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
         Standing { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
     }
@@ -441,7 +450,7 @@
     }
 
     /// The order on a server that it gives, if it is one.
-    pub fn order(&self) -> Option<Ask> {
+    pub fn order(&self) -> Option<OrderRequest> {
         match self.clone() {
             Verb::Orders | Verb::Servers | Verb::Look | Verb::Watch { .. } | Verb::Events { .. } => None,
             Verb::Siblings | Verb::Replica => None,
@@ -449,11 +458,11 @@
                 None
             }
             Verb::Drain { server, seconds, lasting, force, seen, .. } => {
-                let time = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
-                Some(Ask { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
+                let time = |seconds: u64| Order::Exclude(seconds.saturating_mul(1_000_000));
+                Some(OrderRequest { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
             }
             Verb::Undrain { server, seen, .. } => {
-                Some(Ask { server, order: Order::Undrain, lasting: false, force: false, seen })
+                Some(OrderRequest { server, order: Order::Undrain, lasting: false, force: false, seen })
             }
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,49 +1,56 @@
-//! The core of a node: open requests, attempts, timers and servers round the decision module.
+//! The core of a node: manages open requests, attempts, timers and servers around the load balancer.
 //!
-//! It knows no protocol. Three kinds of parts plug into it:
+//! It is independent of any protocol. Three kinds of components plug into it:
 //!
-//! - a *front* hands in a [`Call`] with [`Requests::open`] and gets exactly one [`Answer`] from the
-//!   [`Pending`] that it holds; dropping that says that the client has gone;
-//! - an [`Upstream`] carries out one attempt at one server and tells how it ended, as an [`Outcome`] of the
-//!   protocol's table;
-//! - a *source of members* hands in [`List`]s by its [`Members`].
+//! - a protocol front end submits a [`Call`] with [`Requests::open`] and receives exactly one [`Answer`] from the
+//!   [`PendingAnswer`] that it holds; dropping the [`PendingAnswer`] reports that the client has disconnected;
+//! - an [`Upstream`] executes one attempt at one server and reports how it ended, as an [`Outcome`] of the
+//!   protocol's outcome table;
+//! - a membership source submits [`ServerList`]s through its [`MembershipHandle`].
 //!
-//! What is sent where, tried again or refused is decided by [`paddlefold::Balancer`] alone: [`Driver`] tells
-//! it what happens and carries out what it asks for.
+//! [`paddlefold::Balancer`] alone decides where requests are sent and which are retried or refused. [`Driver`]
+//! passes events to it and executes the actions that it returns.
 
 mod admission;
 mod attempt;
+mod buffer_budget;
 mod call;
 mod clock;
 mod directory;
 mod driver;
-mod flow;
-mod governor;
-pub mod hold_up;
 mod list;
 mod members;
 mod message;
+mod overrides;
 mod permit;
-mod portion;
+mod request_log;
 mod requests;
+mod resource_exhaustion;
+mod resource_share;
 pub mod reuse;
-mod shortage;
-mod steering;
+pub mod stall;
 pub mod time_left;
 mod upstream;
-mod watched;
+mod value_stream;
 
 pub use admission::Admission;
-pub use call::{Answer, Call, CallError, Made, Terms, VALUE_LIMIT, Verb, WRITE_LIMIT};
+pub use call::{
+    Answer, Call, CallError, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult, StoreOptions,
+    Verb,
+};
 pub use clock::Clock;
 pub use driver::{Driver, Gauges, Handles, Options};
-pub use flow::{FLOW_LIMIT, Feeder, Flow, Piece, Room, Unwanted};
-pub use list::{Entry, List, State};
-pub use members::Members;
-pub use message::{Fellows, Heritage, InCommon, ListTold, Orders, Watching};
+pub use list::{ServerEntry, ServerList, ServerState};
+pub use members::MembershipHandle;
+pub use message::{
+    CoreHandle, HandoverState, ListUpdate, MembershipSummary, ObserverGuard, ReplicatedUpdate,
+};
+pub use overrides::{OrdersInForce, ServerStatus};
 pub use paddlefold::{Learned, Micros, Outcome};
-pub use portion::Portion;
-pub use requests::{InUse, Pending, Requests};
-pub use shortage::is_own_shortage;
-pub use steering::{Holding, ServerNow};
+pub use requests::{DuplicateRequestId, PendingAnswer, Requests};
+pub use resource_exhaustion::is_local_resource_exhaustion;
+pub use resource_share::ResourceShare;
 pub use upstream::{Connection, IdleState, Reply, Target, Upstream};
+pub use value_stream::{
+    BufferReservation, MAX_STREAMED_VALUE_BYTES, ReceiverClosed, ValueChunk, ValueSender, ValueStream,
+};
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -1,23 +1,23 @@
-//! What clients speak.
+//! Client-facing protocols and connections.
 //!
-//! A [`Protocol`] turns bytes into calls and answers into bytes, without I/O. All else is alike for every
-//! front: the [`Acceptor`] takes connections of any number of listeners and bounds them together, and a session
-//! for each connection reads, opens requests at the core, writes the answers in order and knows when to part.
+//! A [`Protocol`] parses bytes into calls and formats answers as bytes, without I/O. Everything else is common to all
+//! frontends: the [`Acceptor`] accepts connections on any number of listeners under common limits, and a session per
+//! connection reads commands, opens requests at the core, writes the answers in order and decides when to close.
 
 pub mod accept_policy;
 mod acceptor;
 pub mod close_policy;
 pub mod close_reason;
-pub mod door;
+pub mod connection_limiter;
+mod idle_connections;
 pub mod memcache;
 mod protocol;
 pub mod resp;
 mod responses;
-mod seats;
 mod session;
 mod shared;
 mod socket;
 
 pub use acceptor::Acceptor;
-pub use protocol::{Input, Malformed, Parting, Protocol, Refusal};
-pub use shared::Bounds;
+pub use protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
+pub use shared::ClientLimits;
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -7,20 +7,20 @@
 use std::sync::Arc;
 use std::{fmt, fs, io};
 
-use lilacquay_core::{Gauges, List, Portion};
+use lilacquay_core::{Gauges, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
-use lilacquay_fronts::Bounds;
-use lilacquay_inherit::{PassedError, number};
-use lilacquay_members::discovery::Told;
-use paddlefold::setup::{Setup, Stated};
+use lilacquay_fronts::ClientLimits;
+use lilacquay_inherit::{InheritedSocketError, parse_descriptor};
+use lilacquay_members::discovery::DiscoveryResponse;
+use paddlefold::setup::{RawSettings, Setup};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
 use crate::appliance::Appliance;
+use crate::config_error::{Mistake, Mistakes, one_line, unreadable};
 use crate::etcd::Etcd;
 use crate::logging::Log;
 use crate::memcached::{Memcached, Ready};
-use crate::mistake::{Mistake, Mistakes, one_line, unreadable};
 use crate::options::Options;
 use crate::quota::Quota;
 use crate::siblings::Site;
@@ -29,7 +29,7 @@
 /// listener, discovery, the runtime's own, and one to spare for a connection that is turned away.
 const RESERVED: usize = 24;
 /// Descriptors of a second address: its listener and its callers.
-const ADMIN: usize = lilacquay_admin::SEATS + 1;
+const ADMIN: usize = lilacquay_admin::MAX_CONNECTIONS + 1;
 /// Names the descriptor of the listening socket, where the platform holds that.
 const PASSED: &str = "EDGE_PASSED_SOCKET";
 /// Where the configuration sets no limit.
@@ -83,7 +83,7 @@
     pub seed: u64,
     pub sockets: usize,
     pub memory_mb: usize,
-    pub known: Told,
+    pub known: DiscoveryResponse,
     /// Whether what is known is all there is: no source tells the list, but a reload.
     pub fixed: bool,
     pub log: Log,
@@ -93,7 +93,7 @@
 /// What a reload looks at: where the list of servers comes from, and what changes only with a restart.
 pub struct Sources {
     /// The list, where no source tells it.
-    pub fixed: Option<List>,
+    pub fixed: Option<ServerList>,
     pub discovery: Option<SocketAddr>,
     pub etcd: Option<(Etcd, Settings)>,
     pub memcached: Option<Memcached>,
@@ -110,7 +110,8 @@
     /// # Errors
     /// If the descriptor is no such socket.
     pub fn listener(&self, told: SocketAddr) -> io::Result<TcpListener> {
-        lilacquay_inherit::listener(self.0, told).map_err(|why| io::Error::other(format!("{PASSED}: {why}")))
+        lilacquay_inherit::inherited_listener(self.0, told)
+            .map_err(|why| io::Error::other(format!("{PASSED}: {why}")))
     }
 }
 
@@ -122,7 +123,7 @@
     /// The second address is the first.
     SameAddress(SocketAddr),
     /// A variable that names no descriptor.
-    Passed(PassedError),
+    Passed(InheritedSocketError),
     /// An environment variable that is no address.
     Address(&'static str, String),
     /// Mistakes in a file of this source.
@@ -155,8 +156,8 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Told,
-    settings: Stated,
+    known: DiscoveryResponse,
+    settings: RawSettings,
 }
 
 #[derive(Deserialize, Default)]
@@ -172,7 +173,7 @@
     admin: Option<SocketAddr>,
     seed: u64,
     limits: Limits,
-    known: Told,
+    known: DiscoveryResponse,
     setup: Setup,
     siblings: Option<Site>,
 }
@@ -235,7 +236,7 @@
         });
         let (seed, setup) = (seed.ok()?, setup.ok()?);
         let site = setup.names.all_classes().join(",");
-        let siblings = Site::of_platform(setup.peers, peer_listen, peers, setup.me, site);
+        let siblings = Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site);
         let (limits, known) = (file.limits, file.known);
         Some(Read { listen, discovery, admin, seed, limits, known, setup, siblings })
     }
@@ -356,7 +357,7 @@
             Source::Platform => variable(PASSED)?,
             Source::Options(_) | Source::Appliance(_) => None,
         };
-        let passed = passed.map(|text| number(&text)).transpose().map_err(ConfigError::Passed)?;
+        let passed = passed.map(|text| parse_descriptor(&text)).transpose().map_err(ConfigError::Passed)?;
         Ok(Config {
             listen,
             passed: passed.map(Passed),
@@ -405,7 +406,7 @@
             Source::Options(_) | Source::Appliance(_) => {
                 let Config { discovery, etcd, memcached, quota, known, fixed, siblings, .. } =
                     Config::read(source)?;
-                let fixed = fixed.then_some(List { full: true, ..known.list });
+                let fixed = fixed.then_some(ServerList { full: true, ..known.list });
                 let memcached = memcached.map(|(file, _)| file);
                 Ok(Sources { fixed, discovery, etcd, memcached, quota, siblings })
             }
@@ -445,10 +446,16 @@
 
     /// What clients may hold: a third of the descriptors, and more while servers need fewer, with some left
     /// for those to come.
-    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: Portion) -> Bounds {
+    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> ClientLimits {
         let with_servers = (self.sockets - self.sockets / 8).saturating_sub(self.reserved());
         let memory = self.request_memory();
-        Bounds { connections: self.sockets / 3, with_servers, gauges, memory, portion }
+        ClientLimits {
+            connections: self.sockets / 3,
+            total_connections: with_servers,
+            gauges,
+            buffer_bytes: memory,
+            portion,
+        }
     }
 
     /// Bytes that open requests may hold: an eighth of the memory, as buffers may that are not small.
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -7,16 +7,16 @@
 
 use lilacquay_admin::Admin;
 use lilacquay_control::{Command, Control, Folder, Host, Outcome};
-use lilacquay_core::{Driver, Handles, List, Members, Options, Orders, Portion};
+use lilacquay_core::{CoreHandle, Driver, Handles, MembershipHandle, Options, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
-use lilacquay_figures::Book;
 use lilacquay_fronts::Acceptor;
-use lilacquay_fronts::accept_policy::BACKLOG;
-use lilacquay_fronts::resp::Resp;
-use lilacquay_life::Event;
+use lilacquay_fronts::accept_policy::ACCEPT_BACKLOG;
+use lilacquay_fronts::resp::RespProtocol;
+use lilacquay_lifecycle::Event;
 use lilacquay_members::{discovery, etcd};
-use lilacquay_replica::words::OwnList;
-use lilacquay_upstreams::Servers;
+use lilacquay_metrics::Book;
+use lilacquay_replica::endpoint_reports::LocalServerList;
+use lilacquay_upstreams::ServerConnector;
 use paddlefold::setup::Names;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -27,16 +27,16 @@
 use tracing::{info, warn};
 
 use crate::admin::Desk;
-use crate::common::KeptRecord;
 use crate::config::{Config, Source};
 use crate::etcd::Etcd;
 use crate::handover::{self, Place};
-use crate::keeper::Keeper;
+use crate::lifecycle::Keeper;
 use crate::logging::Logging;
 use crate::memcached::Memcached;
 use crate::quota::Quota;
-use crate::restart::keep;
+use crate::replicated_state::KeptRecord;
 use crate::siblings::{self, Site, Ties};
+use crate::supervisor::keep;
 
 /// A core that has failed has answered all as failed; its connections have so long to say so.
 const LAST_WRITES: Duration = Duration::from_millis(600);
@@ -95,7 +95,7 @@
         parts.spawn(Admin::new(second, Desk { keeper, book, prometheus, audit: state.clone() }).run());
     }
     let (connections, memory) = (config.server_connections(), config.request_memory());
-    let portion = Portion::default();
+    let portion = ResourceShare::default();
     let place = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
     let place = place.map(|folder| Place::new(folder, config.listen.port()));
     let (succession, received) = handover::begin(place, &portion).await;
@@ -116,21 +116,21 @@
     let options = Options {
         setup: config.setup.clone(),
         seed: config.seed,
-        known,
-        connections,
-        memory,
+        initial_list: known,
+        max_connections: connections,
+        request_memory_bytes: memory,
         quotas,
-        book,
-        version,
+        metrics: book,
+        list_version: version,
         learned: received.learned,
-        portion: portion.clone(),
-        steered,
-        lists: in_common.then_some(to_lists),
+        resource_share: portion.clone(),
+        persisted_orders: steered,
+        list_updates: in_common.then_some(to_lists),
     };
     let names = config.setup.names.clone();
     let kinds = config.memcached.as_ref().map(|(_, ready)| ready.kinds.clone());
-    let servers = Servers::new(kinds.unwrap_or_default());
-    let (driver, Handles { requests, members, orders }) = Driver::new(options, servers);
+    let servers = ServerConnector::new(kinds.unwrap_or_default());
+    let (driver, Handles { requests, members, core: orders }) = Driver::new(options, servers);
     let gauges = driver.gauges();
     let acceptor = Acceptor::new(requests, config.client_bounds(gauges.clone(), portion), keeper.bearing());
     let mut fronts = Vec::new();
@@ -144,7 +144,7 @@
     let kin = config.siblings.clone().map(|site| {
         let (to, site) = watch::channel(site);
         let (orders, nodes, keeper) = (orders.clone(), nodes.clone(), keeper.clone());
-        let (commands, own, seed) = (to_node.clone(), OwnList::default(), config.seed);
+        let (commands, own, seed) = (to_node.clone(), LocalServerList::default(), config.seed);
         parts.spawn(Ties { orders, nodes, keeper, asks, site, seed, lists, commands, kept, own }.run());
         to
     });
@@ -174,7 +174,7 @@
     info!("listening on {}", listener.local_addr()?);
     if let Some(succession) = succession {
         let (acceptor, gauges, most) = (acceptor.clone(), gauges.clone(), config.connections());
-        let holds = move || ((acceptor.guests() + gauges.connections()) * 1000 / most) as u32;
+        let holds = move || ((acceptor.connection_count() + gauges.connections()) * 1000 / most) as u32;
         let copy = kin.is_some().then(|| to_siblings.clone());
         parts.spawn(succession.keep(orders.clone(), copy, holds, keeper.bearing()));
     }
@@ -184,7 +184,7 @@
     let told = told.follow(followed, reload, source);
     tokio::pin!(told);
     let mut accepting = JoinSet::new();
-    accepting.spawn(acceptor.clone().accept(listener, move || Resp::new(names.clone())));
+    accepting.spawn(acceptor.clone().accept(listener, move || RespProtocol::new(names.clone())));
     let nonce = nonce(config.seed);
     for (bound, listener) in fronts {
         info!("memcached {:?} is listening on {}", listener.name, bound.local_addr()?);
@@ -196,34 +196,34 @@
     let mut told_end = false;
     let ended = loop {
         if let Some(at) = keeper.ends().filter(|_| !told_end) {
-            to_core.end_at(at);
+            to_core.shut_down_at(at);
             told_end = true;
         }
         // Whoever is accepted by then is counted before the acceptor can be seen to be empty.
-        let taking = bearing.borrow_and_update().accepts;
+        let taking = bearing.borrow_and_update().accepts_connections;
         tokio::select! {
             _ = stop.recv() => keeper.stop(),
             () = &mut told => {}
             () = keeper.follow() => break Ok(()),
             ended = &mut driver => break Err(format!("{ended:?}")),
-            Some(ended) = accepting.join_next() => if keeper.bearing().borrow().accepts {
+            Some(ended) = accepting.join_next() => if keeper.bearing().borrow().accepts_connections {
                 break Err(format!("a listener ended: {ended:?}"));
             },
             Ok(()) = bearing.changed() => {}
-            () = acceptor.emptied(), if !taking && accepting.is_empty() => {
-                let _ = keeper.tell(Event::Empty); // never refused
+            () = acceptor.wait_until_empty(), if !taking && accepting.is_empty() => {
+                let _ = keeper.tell(Event::ConnectionsClosed); // never refused
             }
         }
     };
     if let Err(what) = ended {
-        let _ = keeper.tell(Event::Fail); // never refused
+        let _ = keeper.tell(Event::Failed); // never refused
         accepting.shutdown().await;
-        let _ = timeout_at(Instant::now() + LAST_WRITES, acceptor.emptied()).await; // what is owed fails with the core
+        let _ = timeout_at(Instant::now() + LAST_WRITES, acceptor.wait_until_empty()).await; // what is owed fails with the core
         return Err(Failure::Core(what));
     }
     // A process that was held up may come here before the core has given its last answers.
-    to_core.end_at(Instant::now());
-    let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.emptied()).await; // killed soon after
+    to_core.shut_down_at(Instant::now());
+    let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.wait_until_empty()).await; // killed soon after
     Ok(())
 }
 
@@ -247,7 +247,7 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
 
 /// A number that no other process has, as good as surely: another node's seed is another, and so is the time of
@@ -305,9 +305,9 @@
     /// Where another list of nodes is told.
     siblings: Option<watch::Sender<Site>>,
     /// Where other quotas are told, with the names that they are read by.
-    quotas: Option<(Orders, Arc<Names>)>,
+    quotas: Option<(CoreHandle, Arc<Names>)>,
     /// Where the list is told, if the configuration has all of it.
-    fixed: Option<Members>,
+    fixed: Option<MembershipHandle>,
 }
 
 impl Followed {
@@ -315,8 +315,8 @@
     ///
     /// `known`: the version of the list that the core has.
     fn start(
-        members: Members,
-        orders: Orders,
+        members: MembershipHandle,
+        orders: CoreHandle,
         known: Option<u64>,
         config: &Config,
         nodes: watch::Receiver<usize>,
@@ -325,9 +325,10 @@
     ) -> Followed {
         let discovery = config.discovery.map(|at| {
             let (to, address) = watch::channel(at);
-            let members = members.clone().of("discovery");
-            let follow =
-                move || discovery::Watch::new(members.clone(), known, nodes.clone()).run(address.clone());
+            let members = members.clone().with_source("discovery");
+            let follow = move || {
+                discovery::DiscoveryWatcher::new(members.clone(), known, nodes.clone()).run(address.clone())
+            };
             (to, parts.spawn(keep("discovery", follow)))
         });
         let (discovery, rival) = discovery.unzip();
@@ -335,7 +336,7 @@
         let etcd = config.etcd.clone().map(|(etcd, settings)| {
             let (to, followed) = watch::channel(settings.clone());
             let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.keep.clone(), config.seed);
-            let members = members.of("etcd");
+            let members = members.with_source("etcd");
             parts.spawn(keep("etcd", move || {
                 let (members, settings) = (members.clone(), followed.borrow().clone());
                 let (folder, rival) = (folder.clone(), rival.clone());
@@ -366,9 +367,9 @@
         Ok("the configuration is read again: sources of members, boxes of a fixed list, quotas".into())
     }
 
-    fn list_changed(&self, new: Option<List>) {
+    fn list_changed(&self, new: Option<ServerList>) {
         match (&self.fixed, new) {
-            (Some(members), Some(list)) => _ = members.list(list), // nobody goes by it once the core has ended
+            (Some(members), Some(list)) => _ = members.update_list(list), // nobody goes by it once the core has ended
             (None, None) => {}
             _ => warn!("a source of members comes or goes only with a restart; kept as it was"),
         }
@@ -402,7 +403,7 @@
 
     fn quotas_changed(&self, new: Option<Quota>) {
         match (&self.quotas, new) {
-            (Some((orders, names)), Some(new)) => orders.quotas(new.admission(names)),
+            (Some((orders, names)), Some(new)) => orders.set_quotas(new.admission(names)),
             (None, None) => {}
             _ => warn!("quotas come or go only with a restart; kept as they were"),
         }
--- a/crates/lilacquay/src/quota.rs
+++ b/crates/lilacquay/src/quota.rs
@@ -8,7 +8,7 @@
 use lilacquay_quota::{Bounds, Dimension, Measure, Plan, PlanError, Share};
 use paddlefold::setup::Names;
 
-use crate::mistake::{Mistake, Mistakes, unreadable};
+use crate::config_error::{Mistake, Mistakes, unreadable};
 use crate::section::{self, Section};
 
 /// The time in which half of a debt is forgotten, if the file does not say, in milliseconds.
@@ -319,11 +319,11 @@
         (place.max(shares[n].name.place), format!("share[{n}].{name}"))
     };
     match error {
-        PlanError::Ceiling(share, measure) => {
+        PlanError::CeilingBelowGuarantee(share, measure) => {
             let (place, field) = at(share, measure);
             mistakes.at(place, &field, "a ceiling under the guarantee", "raise the one or lower the other");
         }
-        PlanError::Children(share, measure) => {
+        PlanError::ChildGuaranteesExceedParent(share, measure) => {
             let (place, field) = at(share, measure);
             let what = "the guarantees of its children are together over its own";
             mistakes.at(
@@ -333,19 +333,22 @@
                 "lower theirs, or raise its guarantee (of the first share: its ceiling)",
             );
         }
-        PlanError::Deep(share) => {
+        PlanError::TooDeep(share) => {
             let name = &shares[order[share].0].name;
-            let mend = format!("put no more than {} above one another", lilacquay_quota::DEPTH);
+            let mend = format!("put no more than {} above one another", lilacquay_quota::MAX_DEPTH);
             mistakes.at(name.place, &name.field, "too deep a tree", mend);
         }
         // Reading the file makes no such plan, or has told why.
-        PlanError::Root(_) | PlanError::Order(_) | PlanError::Measures(_) | PlanError::Window(_) => {}
+        PlanError::RootPosition(_)
+        | PlanError::ParentOrder(_)
+        | PlanError::BoundsCount(_)
+        | PlanError::WindowTooShort(_) => {}
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use paddlefold::setup::{Setup, Stated};
+    use paddlefold::setup::{RawSettings, Setup};
 
     use super::*;
 
@@ -353,7 +356,7 @@
         let settings = r#"{"Classes":[{"Name":"lookup","Aim":300.0,"Effect":"safe"},
             {"Name":"reminder-signup","Aim":800.0,"Effect":"keyed","Window":2500.0}],
             "Tenants":[{"Name":"acme","Share":0.5},{"Name":"wyre","Share":0.5}]}"#;
-        let setup = Setup::try_from(serde_json::from_str::<Stated>(settings).unwrap()).unwrap();
+        let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("quota.toml");
         fs::write(&file, text).unwrap();
--- a/crates/siblings/src/lib.rs
+++ b/crates/siblings/src/lib.rs
@@ -1,30 +1,32 @@
-//! Membership among the nodes of a site: who is here, who is gone, who is not known, and whose part is whose.
+//! Membership among the nodes of a site: which nodes are here, gone or unknown, and which share of the common resources
+//! each may use.
 //!
-//! Each node is watched by four others and confirmed by them. It may use its part of what all share for a lease's time
-//! from when it sent a beat that enough of them have heard; when enough of them have heard nothing new of it, by any way
-//! round, for longer than that by the slowest clock, it is gone. Any that confirm and any that end have one in common, and
-//! who has ended an incarnation never confirms it again: so nobody is held to be gone who still uses its part.
+//! Each node is watched by up to four others, which acknowledge its heartbeats. It may use its share for one lease
+//! duration, counted from when it sent a heartbeat that a quorum of its watchers has acknowledged. It is gone when a
+//! quorum of them has heard nothing new of it, directly or relayed, for longer than a lease lasts by the slowest clock.
+//! Any confirmation quorum and any expiry quorum have a watcher in common, and a watcher that has expired an incarnation
+//! never confirms it again, so no node is held to be gone while it still uses its share.
 //! `docs/design/siblings.md` has the reasons and the bounds.
 //!
-//! No I/O, no clock, no thread: [`Siblings::heard`] and [`Siblings::tick`] are told both clocks and say what is to be
-//! sent.
+//! Does no I/O, reads no clock and starts no thread: [`Membership::handle_datagram`] and [`Membership::tick`] are given
+//! the time of both clocks and return the datagrams to send.
 
-mod own;
-mod part;
-mod pulse;
+mod gossip_queue;
+mod parameters;
+mod pause_detector;
+mod peer_monitor;
 mod ring;
+mod self_state;
+mod share;
 mod siblings;
-mod spread;
-mod terms;
+pub mod simulation;
 mod view;
-mod watch;
-pub mod world;
 
-pub use part::{Part, WHOLE};
+pub use parameters::Parameters;
 pub use ring::Ring;
-pub use siblings::{Change, Counts, Fellow, Out, Setup, Siblings, Way};
-pub use terms::Terms;
-pub use view::{State, Why};
+pub use share::{FULL_SHARE, ResourceShare};
+pub use siblings::{Counters, LinkState, Membership, MembershipEvent, OutgoingDatagram, PeerStatus, Setup};
+pub use view::{NodeState, StateReason};
 
-/// A time, or a length of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
