--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -60,8 +60,8 @@
 const CACHES_PER_COUNT_INTERVAL: u32 = 1000;
 /// A cache that the balancer excludes counts as avoided once nothing has been sent to it for this long.
 const AVOIDED_AFTER: Duration = Duration::from_millis(500);
-/// A timer that fires this late shows that the process was stalled.
-const STALL_THRESHOLD: Duration = Duration::from_millis(30);
+/// A timer that fires this late shows that the process was stalled, which is logged.
+const LOGGED_STALL_THRESHOLD: Duration = Duration::from_millis(30);
 /// The maximum number of list changes that are logged one by one. Of more, only the counts are logged.
 const MAX_LOGGED_CHANGES: usize = 12;
 /// How long the slowness that other nodes have observed is used unless they report it again.
@@ -162,7 +162,8 @@
     pub learned: Option<Learned>,
     /// This process's share of all limits.
     pub resource_share: ResourceShare,
-    /// If operators may override the state of servers: the orders that persisted over a restart.
+    /// If the state of servers may be overridden, by operators or by replicated state: the operators' orders that
+    /// persisted over a restart, which may be none. If absent, nothing overrides it.
     pub persisted_orders: Option<Vec<Kept>>,
     /// Receives each list that the node's own source reports.
     pub list_updates: Option<UnboundedSender<ListUpdate>>,
@@ -190,9 +191,10 @@
     request_log: RequestLog,
     /// The state of the other nodes, if the nodes communicate with one another.
     membership_summary: Option<MembershipSummary>,
-    /// The size of the state that the nodes replicate.
+    /// Statistics on the state that the nodes replicate: its records and conflicts, whether this node is behind, and
+    /// the servers left out.
     replication_statistics: Option<CommonNow>,
-    book: Book,
+    metrics: Book,
     /// The version of the list, if its source has one.
     list_version: Option<u64>,
     /// This process's share of all limits.
@@ -238,7 +240,7 @@
                 settings.nodes,
                 options.metrics.tries(),
             ),
-            book: options.metrics,
+            metrics: options.metrics,
             list_version: options.list_version,
             resource_share: options.resource_share.clone(),
             balancer: Balancer::new(settings, options.seed, clock.now()),
@@ -283,7 +285,7 @@
                 sender.clone(),
                 options.request_memory_bytes,
                 options.resource_share,
-                driver.book.clone(),
+                driver.metrics.clone(),
                 driver.shutting_down.clone(),
             ),
             CoreHandle(sender.clone()),
@@ -378,7 +380,7 @@
         self.events
             .push_back(Event::CapacityShare { share: f64::from(status.share_thousandths) / 1e3, until });
         self.directory.set_nodes(status.node_count());
-        self.book.siblings(status.peer_counts);
+        self.metrics.siblings(status.peer_counts);
         self.membership_summary = Some(status);
     }
 
@@ -420,7 +422,7 @@
             let recently_used = last_sent.is_some_and(|last_sent| now < last_sent + AVOIDED_AFTER);
             avoided += usize::from(!is_serving || !recently_used && is_excluded());
         }
-        self.book.caches(known, avoided);
+        self.metrics.caches(known, avoided);
         known
     }
 
@@ -480,7 +482,7 @@
             (ReplicatedUpdate::PeerSlowness(slowness), _) => self.set_peer_slowness(now, &slowness),
             (ReplicatedUpdate::Statistics(statistics), _) => {
                 let behind = usize::from(statistics.behind);
-                self.book.common([statistics.records, statistics.conflicts, behind]);
+                self.metrics.common([statistics.records, statistics.conflicts, behind]);
                 self.replication_statistics = Some(statistics);
             }
             (_, None) => {}
@@ -552,7 +554,7 @@
 
     fn open_request(&mut self, new_request: NewRequest) {
         let NewRequest { id, call, received_at, answer } = new_request;
-        self.book.taken();
+        self.metrics.taken();
         debug!(
             request = id.0,
             id = %String::from_utf8_lossy(&call.id),
@@ -560,7 +562,7 @@
             "request received"
         );
         if self.shutting_down.load(Ordering::Relaxed) {
-            self.book.ended(call.class, Some(End::Dropped));
+            self.metrics.ended(call.class, Some(End::Dropped));
             return drop(answer.send(Answer::Busy(0))); // the client may have disconnected
         }
         let quota_ticket = match &mut self.quotas {
@@ -570,7 +572,7 @@
                 // Over its share: refused at once, like requests that the balancer refuses.
                 Err(retry_after) => {
                     self.request_log.refused_over_share(call.tenant);
-                    self.book.ended(call.class, Some(End::Dropped));
+                    self.metrics.ended(call.class, Some(End::Dropped));
                     let retry_after = retry_after.min(self.setup.settings.max_retry_after);
                     return drop(answer.send(Answer::Busy(retry_after))); // the client may have disconnected
                 }
@@ -611,7 +613,7 @@
             debug!(request = id.0, attempts = request.attempts.len(), "client disconnected");
             if request.answer.take().is_some() {
                 self.request_log.request_answered(id, Kind::Gone, || &request.call.key);
-                self.book.ended(request.call.class, None);
+                self.metrics.ended(request.call.class, None);
             }
             self.events.push_back(Event::ClientGone(id));
             self.close_if_done(id);
@@ -638,7 +640,7 @@
             let kind = answer_kind(&answer);
             debug!(request = id.0, attempts = request.attempts.len(), answer = ?kind, "request answered");
             self.request_log.request_answered(id, kind, || &request.call.key);
-            self.book.ended(request.call.class, Some(answer_end(&answer)));
+            self.metrics.ended(request.call.class, Some(answer_end(&answer)));
             let _ = sender.send(answer); // the client may have disconnected
         }
         self.close_if_done(id);
@@ -671,7 +673,7 @@
 fn log_stall(due: Instant, stalled_until: &mut Instant) {
     let now = Instant::now();
     let late = now.saturating_duration_since(due);
-    if late >= STALL_THRESHOLD && due > *stalled_until {
+    if late >= LOGGED_STALL_THRESHOLD && due > *stalled_until {
         warn!(late_ms = late.as_millis() as u64, "the process was stalled: a timer fired late");
         *stalled_until = now;
     }
--- a/crates/core/src/driver/attempts.rs
+++ b/crates/core/src/driver/attempts.rs
@@ -19,8 +19,9 @@
 use crate::value_stream::{StreamStart, StreamStarter};
 
 impl<U: Upstream> Driver<U> {
-    /// Starts an attempt at a server. It ends at once as ignored if the server is not listed or the connection limit
-    /// has been reached.
+    /// Starts an attempt at a server. It ends at once as ignored if the server is not listed, or if no pooled
+    /// connection can be used and the running attempts alone reach the connection limit. If the limit is reached only
+    /// together with idle connections, the least recently used one is closed and the attempt proceeds.
     pub(super) fn start_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let now = Instant::now();
         let Some(request) = self.open_requests.get_mut(&id) else { return };
@@ -28,7 +29,7 @@
         let (sender, budget) = (self.stream_start_sender.clone(), self.buffer_budget.clone());
         let stream_starter = StreamStarter { id, attempt, sender, budget };
         let (deadline, client_left) = (request.deadline, request.client_left.clone());
-        let context = AttemptContext { deadline, client_left, violations: self.book.violations() };
+        let context = AttemptContext { deadline, client_left, violations: self.metrics.violations() };
         let checked_out = self.directory.check_out(server, now, stream_starter, context);
         let checked_out = checked_out.filter(|(_, pooled)| {
             let connections = self.running_attempts + self.directory.idle_count();
@@ -104,7 +105,7 @@
             Ok(_) => Some(Permit { deadline, granted_at: Instant::now() }),
             Err(reason) => {
                 debug!(request = id.0, attempt, "attempt not permitted to start: {reason}");
-                self.book.withheld();
+                self.metrics.withheld();
                 None
             }
         }
@@ -122,8 +123,8 @@
         let Some(running) = self.take_attempt(id, attempt) else { return };
         running.task.abort();
         // Without a permit nothing was written, so the server never received the request.
-        let never_connected = outcome == Outcome::TimedOut && !running.has_permit;
-        let outcome = if never_connected { Outcome::ConnectError } else { outcome };
+        let never_started = outcome == Outcome::TimedOut && !running.has_permit;
+        let outcome = if never_started { Outcome::ConnectError } else { outcome };
         if let Some(timer) = running.timeout.filter(|_| outcome == Outcome::Canceled) {
             self.timers.try_remove(&timer);
         }
@@ -162,7 +163,7 @@
             && let Some(sender) = request.answer.take()
         {
             self.request_log.request_answered(id, Kind::Served, || &request.call.key);
-            self.book.ended(request.call.class, Some(End::Passed));
+            self.metrics.ended(request.call.class, Some(End::Passed));
             let _ = sender.send(Answer::Served(reply.result)); // the client may have disconnected
         }
         self.report_attempt_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
@@ -196,7 +197,7 @@
             _ => (Kind::Failed, Some(End::Failed)),
         };
         self.request_log.request_answered(id, kind, || &request.call.key);
-        self.book.ended(request.call.class, end);
+        self.metrics.ended(request.call.class, end);
     }
 
     /// Reports the end of an attempt to the balancer.
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -51,7 +51,7 @@
             },
             ..Snapshot::default()
         };
-        let totals = self.book.totals();
+        let totals = self.metrics.totals();
         let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
         snapshot.since_start = Answers { served, busy, failed, gone: 0 };
         snapshot.tries = totals.tries;
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -54,7 +54,7 @@
     RemovedByPeers(BTreeSet<String>),
     /// How much slower than others servers are, as observed by other nodes, by server name.
     PeerSlowness(BTreeMap<String, f64>),
-    /// The size of the replicated state, for operators.
+    /// Statistics on the replicated state, for operators.
     Statistics(CommonNow),
 }
 
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -21,7 +21,7 @@
     /// The source of the last list of servers.
     pub(crate) list_source: &'static str,
     pub(crate) list_received_at: Micros,
-    /// Failed attempts to fetch the list since it was last received.
+    /// Failed reads of the list and broken subscriptions to it, since it was last received.
     pub(crate) list_failures: u64,
 }
 
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -31,7 +31,7 @@
     reserved_bytes: Arc<AtomicUsize>,
     memory_limit_bytes: usize,
     resource_share: ResourceShare,
-    book: Book,
+    metrics: Book,
     /// Set once no more requests are accepted.
     shutting_down: Arc<AtomicBool>,
 }
@@ -45,7 +45,7 @@
         driver: UnboundedSender<Message>,
         memory_limit_bytes: usize,
         resource_share: ResourceShare,
-        book: Book,
+        metrics: Book,
         shutting_down: Arc<AtomicBool>,
     ) -> Self {
         let (next_id, open_ids, reserved_bytes) = Default::default();
@@ -56,7 +56,7 @@
             reserved_bytes,
             memory_limit_bytes,
             resource_share,
-            book,
+            metrics,
             shutting_down,
         }
     }
@@ -85,8 +85,8 @@
 
     /// Counts a request that was answered as failed before it was opened.
     pub fn record_failed_before_open(&self, class: Option<usize>) {
-        self.book.taken();
-        self.book.ended(class, Some(End::Failed));
+        self.metrics.taken();
+        self.metrics.ended(class, Some(End::Failed));
     }
 
     /// Counts and logs a request whose connection is closed without an answer although its client has not
@@ -97,7 +97,7 @@
             id = %String::from_utf8_lossy(&pending.open_id.id),
             "connection closed without answering the request"
         );
-        self.book.violations().count(Rule::ClosedUnanswered, pending.id.0);
+        self.metrics.violations().count(Rule::ClosedUnanswered, pending.id.0);
     }
 
     /// Whether the process is about to end. Requests that a front end reads from now on could not be answered.
--- a/crates/core/src/resource_share.rs
+++ b/crates/core/src/resource_share.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct ShareState {
     thousandths: AtomicU32,
-    is_shared: AtomicBool,
+    has_other_process: AtomicBool,
 }
 
 impl Default for ResourceShare {
@@ -20,21 +20,21 @@
     fn default() -> Self {
         ResourceShare(Arc::new(ShareState {
             thousandths: AtomicU32::new(FULL_SHARE_THOUSANDTHS),
-            is_shared: AtomicBool::new(false),
+            has_other_process: AtomicBool::new(false),
         }))
     }
 }
 
 impl ResourceShare {
-    /// Sets the share in thousandths. `is_shared`: another process uses the rest and accepts connections too.
-    pub fn set(&self, thousandths: u32, is_shared: bool) {
+    /// Sets the share in thousandths. `has_other_process`: another process uses the rest and accepts connections too.
+    pub fn set(&self, thousandths: u32, has_other_process: bool) {
         self.0.thousandths.store(thousandths.min(FULL_SHARE_THOUSANDTHS), Ordering::Relaxed);
-        self.0.is_shared.store(is_shared, Ordering::Relaxed);
+        self.0.has_other_process.store(has_other_process, Ordering::Relaxed);
     }
 
     /// Whether another process uses the rest of the limits and accepts connections too.
-    pub fn is_shared(&self) -> bool {
-        self.0.is_shared.load(Ordering::Relaxed)
+    pub fn has_other_process(&self) -> bool {
+        self.0.has_other_process.load(Ordering::Relaxed)
     }
 
     /// This process's share of a limit; at least 1.
--- a/crates/core/src/reuse.rs
+++ b/crates/core/src/reuse.rs
@@ -1,10 +1,11 @@
 //! Decides when an idle connection to a server may be reused and how long it is kept. No I/O, no clock: times are
 //! passed in.
 //!
-//! The protocols do not say which request an answer belongs to. A server that answers twice sends the second answer
-//! some milliseconds late; on a connection that is reused at once, it would be taken for the answer to the next
+//! In RESP and HTTP nothing says which request an answer belongs to. A server that answers twice sends the second
+//! answer some milliseconds late; on a connection that is reused at once, it would be taken for the answer to the next
 //! request and shift all later answers. So a connection is left idle for a delay first, and data that arrives during
-//! the delay reveals the duplicate.
+//! the delay reveals the duplicate. Connections to memcached are reused by the same rules but do not rely on them: an
+//! answer carries the `opaque` of its request, which is checked.
 
 use std::time::Duration;
 
--- a/crates/core/src/stall.rs
+++ b/crates/core/src/stall.rs
@@ -2,8 +2,8 @@
 //! reads arrived.
 //!
 //! The kernel does not report arrival times. After a stall, a thread finds everything that arrived meanwhile at once.
-//! Its arrival is taken to be the start of the stall, so that servers are not given more time than the clients have
-//! left.
+//! Its arrival is taken to be the start of the stall, so that clients are not promised, and servers not given,
+//! more time than the clients have left.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/core/src/time_left.rs
+++ b/crates/core/src/time_left.rs
@@ -9,8 +9,7 @@
 /// after 1 s.
 const RETRANSMITTED_HANDSHAKE: Duration = Duration::from_millis(900);
 /// A peer whose packets are lost may lose the first bytes of the request too, which are retransmitted 0.2 s later. On
-/// such a connection the deadline that is sent is earlier by the part of that delay that exceeds the slack of 0.15 s,
-/// but by no more than half of the time that is left.
+/// such a connection the deadline that is sent is earlier by this, but by no more than half of the time that is left.
 const RETRANSMISSION_ALLOWANCE: Duration = Duration::from_millis(80);
 /// A server that sends no byte of a value for this long has stalled, however much time its client has left.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -67,21 +67,20 @@
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
-        let known = ServerList { full: true, servers };
+        let initial_list = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
-        let book = lilacquay_metrics::Book::new(Vec::new());
-        let portion = ResourceShare::default();
+        let metrics = lilacquay_metrics::Book::new(Vec::new());
         let options = Options {
             setup,
             seed: 1,
-            initial_list: known,
+            initial_list,
             max_connections: connections,
             request_memory_bytes: memory,
             quotas: None,
-            metrics: book,
+            metrics,
             list_version: None,
             learned: None,
-            resource_share: portion,
+            resource_share: ResourceShare::default(),
             persisted_orders,
             list_updates: None,
         };
--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -118,8 +118,8 @@
         let (start, limits) = (Instant::now(), &self.0.limits);
         while self.0.sessions.len() >= limits.connection_limit() {
             let waited = start.elapsed().as_micros() as Micros;
-            let evicted = self.evict_one(eviction_scope(limits.portion.is_shared(), waited)).await;
-            if evicted && limits.portion.is_shared() {
+            let evicted = self.evict_one(eviction_scope(limits.portion.has_other_process(), waited)).await;
+            if evicted && limits.portion.has_other_process() {
                 return;
             }
         }
