--- a/crates/replica/src/endpoint_reports.rs
+++ b/crates/replica/src/endpoint_reports.rs
@@ -152,7 +152,8 @@
     }
 }
 
-/// How many of `servers` may be excluded on the reports of `observers` nodes: 5 %, 20 % or half of them.
+/// How many of `servers` may be excluded on the reports of `observers` nodes. One node: 5 %, two: 20 %,
+/// each at least one server; three or more: half.
 fn max_excluded(observers: usize, servers: usize) -> usize {
     match observers {
         0 => 0,
--- a/crates/replica/src/evidence.rs
+++ b/crates/replica/src/evidence.rs
@@ -1,8 +1,8 @@
 //! Evidence of slow servers: what each node has observed of servers by its own requests.
 //!
-//! A node publishes only its own observations, never what it received, so that no rumour feeds itself. The slowness that is
-//! believed of a server is the second worst that any other node has observed, so that one node that is ill, cut off or
-//! lies has no effect.
+//! A node publishes only its own observations, never what it received, so that an observation never counts as
+//! confirmed by copies of itself. The slowness that is believed of a server is the second worst that any other node has
+//! observed, so that one node that is ill, cut off or lies has no effect.
 
 use std::collections::BTreeMap;
 
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -15,8 +15,8 @@
 
 /// The interval between two requests of a borrower.
 const REQUEST_INTERVAL_US: Micros = 1_000_000;
-/// How many lenders are asked at a time.
-const LENDERS_PER_REQUEST: usize = 3;
+/// Most lenders that are asked at a time, or as many as the ledger has in `borrowed`, if these are more.
+const LENDERS_PER_ROUND: usize = 3;
 /// The part of its share that a node keeps for future demand, in thousandths.
 const RESERVE_PERMILLE: u32 = 250;
 /// The least amount that is worth a datagram, in thousandths.
@@ -92,8 +92,8 @@
 impl LeaseLedger {
     /// The ledger of a process that starts. `first_request_number` must be above those of earlier processes of this node.
     pub fn new(limits: LeaseLimits, now: Micros, first_request_number: u32) -> LeaseLedger {
-        // A process that restarts has forgotten what it lent. Waiting for the longest lease prevents that it uses a share
-        // together with the borrower.
+        // A process that restarts has forgotten what it lent. Waiting for the longest lease keeps it from using a
+        // share together with the borrower.
         let unknown_loans_until =
             now + limits.max_duration * (1_000 + 2 * limits.max_drift_permille) / 1_000 + 10_000;
         let (lent, borrowed) = Default::default();
@@ -124,7 +124,7 @@
         if now < until && now >= self.unknown_loans_until { own } else { 0 }
     }
 
-    /// The time until which at least that much may be used: the first end of a borrowed share.
+    /// When the first borrowed share ends; until then what `usable` counts as borrowed does not shrink by expiry.
     pub fn until(&self, now: Micros) -> Micros {
         let ends = self.borrowed.values().map(|borrowed| borrowed.until).filter(|&until| until > now);
         ends.min().unwrap_or(Micros::MAX)
@@ -178,8 +178,8 @@
         self.requested_at = now;
         let mut lenders: Vec<usize> =
             self.borrowed.keys().copied().filter(|lender| reachable.contains(lender)).collect();
-        for _ in 0..4 * LENDERS_PER_REQUEST {
-            if lenders.len() >= LENDERS_PER_REQUEST.max(self.borrowed.len()) || reachable.is_empty() {
+        for _ in 0..4 * LENDERS_PER_ROUND {
+            if lenders.len() >= LENDERS_PER_ROUND.max(self.borrowed.len()) || reachable.is_empty() {
                 break;
             }
             let lender = reachable[choose(reachable.len())];
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -16,11 +16,11 @@
 const TICK_INTERVAL_US: Micros = 250_000;
 /// Random nodes to which each tick sends a datagram.
 const PEERS_PER_TICK: usize = 2;
-/// Random nodes to which an urgent change is relayed at once.
-const URGENT_RELAY_FANOUT: usize = 4;
+/// Random nodes to which a new or newer record, other than evidence, is relayed at once.
+const RELAY_FANOUT: usize = 4;
 /// A branch of the checksum tree with at most this many records is listed record by record.
 const MAX_LISTED_RECORDS: usize = 12;
-/// Most datagrams in reply to one.
+/// Full datagrams of one reply, after which at most one more is sent.
 const MAX_REPLY_DATAGRAMS: usize = 6;
 /// Most records that a reply sends for one list of wanted or held ids.
 const MAX_RECORDS_PER_REPLY: usize = 40;
@@ -69,7 +69,8 @@
 pub enum SyncState {
     /// It may lack what others hold, since this time.
     Behind(Micros),
-    /// It has held the same as a node that was up to date, at this time first.
+    /// It has counted as up to date since this time: its replica equalled that of an up-to-date node, or it had heard
+    /// of none for `BEHIND_ALONE_TIMEOUT_US`.
     UpToDate(Micros),
 }
 
@@ -460,7 +461,8 @@
         }
     }
 
-    /// Merges a received record, relays it if it is new, and acknowledges it if it is an order.
+    /// Merges a received record, relays it if it is new or newer and not evidence, and acknowledges it if it is an
+    /// order.
     fn handle_record(
         &mut self,
         now: Micros,
@@ -571,7 +573,7 @@
 
     /// Relays a changed record at once, without waiting for the next tick.
     fn relay(&mut self, now: Micros, id: u64, from: usize, out: &mut Vec<OutgoingDatagram>) {
-        for _ in 0..URGENT_RELAY_FANOUT {
+        for _ in 0..RELAY_FANOUT {
             let Some(to) = self
                 .random_peer(Some(from))
                 .filter(|_| self.rate_limiter.try_take(TOKENS_RESERVED_FOR_REPLIES))
--- a/crates/replica/src/simulation.rs
+++ b/crates/replica/src/simulation.rs
@@ -1,6 +1,6 @@
-//! A simulation of many replicas in virtual time, for tests and measurements: links that lose, delay, duplicate and drop
-//! datagrams, and nodes that pause, crash and restart. Which nodes are here is reported with a lag, as membership does.
-//! Runs with the same seed are identical. Times are in microseconds.
+//! A simulation of many replicas in virtual time, for tests and measurements: links that lose, delay and duplicate
+//! datagrams and can be cut, and nodes that pause, crash and restart. Which nodes are here is reported with a lag, as
+//! membership does. Runs with the same seed are identical. Times are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,7 +56,7 @@
     queue: BTreeMap<(Micros, u64), SimulationEvent>,
     /// By time of observation, the reachable nodes of each node.
     observed: BTreeMap<Micros, Vec<Vec<usize>>>,
-    next_event_number: u64,
+    last_event_number: u64,
 }
 
 impl Simulation {
@@ -75,7 +75,7 @@
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
             observed: BTreeMap::new(),
-            next_event_number: 0,
+            last_event_number: 0,
         };
         (0..node_count).for_each(|node| simulation.start(node));
         simulation.observe_reachability();
@@ -84,8 +84,8 @@
     }
 
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
-        self.next_event_number += 1;
-        self.queue.insert((at, self.next_event_number), event);
+        self.last_event_number += 1;
+        self.queue.insert((at, self.last_event_number), event);
     }
 
     /// The time of a node's clock.
--- a/crates/replica/tests/orders.rs
+++ b/crates/replica/tests/orders.rs
@@ -205,7 +205,7 @@
             Property::always("all replicas converge", |_, state: &ModelState| {
                 state.steps_left > 1 || state.converges()
             }),
-            Property::sometimes("a drain is superseded", |_, state: &ModelState| {
+            Property::sometimes("a drain is lifted", |_, state: &ModelState| {
                 state.issued.iter().any(|order| !order.is_drain && !order.seen.is_empty())
                     && !state.has_drain(0)
             }),
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -79,7 +79,7 @@
         (0..6).all(|node| effective_action(&sim, node, "box") == Some((Action::Drain, true))),
         "shown as a conflict"
     );
-    // The order that resolves the conflict was issued with both in sight.
+    // The order that resolves the conflict is issued at a node that had received both.
     issue_order(&mut sim, 5, "box", Action::Undrain);
     sim.run_until(3 * SEC, |sim| all_hold(sim, "box", None));
     sim.run(5 * SEC);
@@ -347,8 +347,9 @@
     assert!(evidence::corroborated(sim.replica(1), 1).is_empty());
 }
 
-/// Two different records of one origin, name and version must not stay apart. A node must be able to replace a record that an
-/// earlier process of it has written under a higher incarnation, as happens when its clock was put back.
+/// Two different records of one origin, name and version must converge to one of them. A node must be able to
+/// replace a record that an earlier process of it has written under a higher incarnation, as happens when its clock was
+/// put back.
 #[test]
 fn conflicting_records_of_one_version_converge_and_a_clock_put_back_is_overcome() {
     let mut sim = new_simulation(4, 9);
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -99,7 +99,7 @@
 
     /// Resets what a watcher has reported, because it has started a new incarnation or is heard of for the first time.
     ///
-    /// This prevents that a watcher which held us to be gone, has restarted and so forgotten it, confirms us.
+    /// Without this, a watcher that held us to be gone, and forgot it in a restart, could confirm us.
     pub fn reset_watcher(&mut self, watcher: usize, now: Micros) {
         self.reports[watcher] = WatcherReport { first_heard_at: Some(now), ..WatcherReport::default() };
     }
@@ -129,7 +129,7 @@
     }
 
     /// Until when this watcher confirms it; 0 if it does not.
-    pub fn confirmed_by_until(&self, watcher: usize) -> Micros {
+    pub fn watcher_confirms_until(&self, watcher: usize) -> Micros {
         self.confirmation_ends_at(&self.reports[watcher])
     }
 
@@ -187,13 +187,13 @@
                 report.acked_sent_at.is_some_and(|sent_at| now < sent_at + self.lease_duration / 2);
             report.reports_expired || acks_lately && !self.is_eligible(report)
         };
-        let is_useful = self.reports.iter().any(cannot_confirm);
+        let any_cannot_confirm = self.reports.iter().any(cannot_confirm);
         let interval = if self.lacks_spare_confirmation(now) {
             self.incarnation_backoff
         } else {
             MIN_INCARNATION_INTERVAL_US
         };
-        is_useful && now >= self.incarnation_started_at + interval
+        any_cannot_confirm && now >= self.incarnation_started_at + interval
     }
 
     /// Starts an incarnation that is newer than the present one and than `other`. It has no confirmation yet.
--- a/crates/siblings/src/share.rs
+++ b/crates/siblings/src/share.rs
@@ -4,7 +4,7 @@
 
 /// A node's own share, in thousandths.
 pub const FULL_SHARE: u32 = 1_000;
-/// What each of the two ring neighbours of a gone node may take over of its share, and has to give back on its return.
+/// What each of the two nodes adjacent to a gone node may take over of its share, and has to give back on its return.
 pub(crate) const HALF_SHARE: u32 = FULL_SHARE / 2;
 
 /// How much a node may use, and until when by its own clock. At any time the shares of all nodes add up to at most one
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -16,7 +16,8 @@
 use crate::share::{FULL_SHARE, HALF_SHARE, ResourceShare};
 use crate::view::{MergeOutcome, NodeRecord, NodeState, StateReason, View};
 
-/// Nodes that are not neighbours on the ring to which each tick sends a datagram. Through these, news spreads everywhere.
+/// Nodes that are not neighbours on the ring to which each tick sends a datagram. Rows sent to them in rotation
+/// bring news of every node to all nodes.
 const DISTANT_PEERS_PER_TICK: usize = 3;
 /// While changes are queued, one more such node per this many changes gets a datagram, which holds about as many brief rows.
 const CHANGES_PER_EXTRA_PEER: usize = 6;
@@ -39,7 +40,8 @@
 const ESTABLISHED_AFTER_US: Micros = 30_000_000;
 /// Events that are kept until they are fetched; further ones are dropped.
 const MAX_PENDING_EVENTS: usize = 4096;
-/// A heartbeat that is so far behind the newest one known is of a process that ran earlier, not a late datagram.
+/// If a node's heartbeat is more than this far below the newest known one, it is not a late datagram: the known one is
+/// of an earlier process that had the same incarnation by chance.
 const EARLIER_PROCESS_HEARTBEAT_GAP: u32 = 64;
 /// By how much each point of the health penalty extends the expiry timeout, in thousandths of it.
 const EXTENSION_PER_PENALTY_POINT_PERMILLE: u64 = 125;
@@ -392,7 +394,8 @@
             let mut nodes: Vec<usize> = self.view.bucket_nodes(bucket).filter(|&node| node != to).collect();
             self.rng.0.shuffle(&mut nodes);
             for record in nodes.into_iter().filter_map(|node| self.view.get(node)) {
-                // An expired node is gone by the full rows of its watchers, which brief rows cannot show.
+                // That a node's lease has expired is shown only by the full rows of its watchers, so these are sent
+                // too; brief rows cannot show it.
                 let reported_by = match &record.gone {
                     Some((_, StateReason::LeaseExpired { reported_by })) if record.is_gone() => {
                         reported_by.as_slice()
@@ -507,7 +510,7 @@
         } else {
             let confirmations = adjacent
                 .clone()
-                .map(|index| self.self_state.confirmed_by_until(index))
+                .map(|index| self.self_state.watcher_confirms_until(index))
                 .filter(|&until| now < until);
             confirmations.fold(ResourceShare::NONE, |share, until| share.plus(HALF_SHARE, until))
         };
@@ -896,7 +899,7 @@
         self.view.merge(now, row, false, self.setup.own_index, Micros::MAX / 2);
     }
 
-    /// Sends one datagram outside the regular ticks, if the token bucket allows it.
+    /// Sends one datagram beyond the regular ones of each tick, if the token bucket allows it.
     fn send_extra(
         &mut self,
         now: Micros,
--- a/crates/siblings/src/simulation.rs
+++ b/crates/siblings/src/simulation.rs
@@ -1,6 +1,6 @@
-//! A simulation of many nodes in virtual time, for tests and measurements: links that lose, delay, duplicate and drop
-//! datagrams, and processes that pause, crash and restart. Runs with the same seed are identical. Times are in
-//! microseconds.
+//! A simulation of many nodes in virtual time, for tests and measurements: links that lose, delay and duplicate
+//! datagrams and can be cut, and processes that pause, crash and restart. Runs with the same seed are identical. Times
+//! are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -67,7 +67,7 @@
     pub default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
     queue: BTreeMap<(Micros, u64), SimulationEvent>,
-    next_event_number: u64,
+    last_event_number: u64,
     parameters: Parameters,
     /// The events of all nodes: when, at which node, and what.
     pub events: Vec<(Micros, usize, MembershipEvent)>,
@@ -95,7 +95,7 @@
             default_link: Link::default(),
             links: BTreeMap::new(),
             queue: BTreeMap::new(),
-            next_event_number: 0,
+            last_event_number: 0,
             parameters: Parameters::default(),
             events: Vec::new(),
             checks_invariants: true,
@@ -121,8 +121,8 @@
     }
 
     fn schedule(&mut self, at: Micros, event: SimulationEvent) {
-        self.next_event_number += 1;
-        self.queue.insert((at, self.next_event_number), event);
+        self.last_event_number += 1;
+        self.queue.insert((at, self.last_event_number), event);
     }
 
     /// Schedules the start of a node's process, which knows nothing yet.
@@ -192,7 +192,7 @@
                 SimulationEvent::Delivery { from, to, datagram } => self.receive(from, to, &datagram),
             }
             // Up to seven nodes are checked after each event, more nodes after about every sixteenth, to save time.
-            if self.checks_invariants && (self.nodes.len() <= 7 || self.next_event_number.is_multiple_of(16))
+            if self.checks_invariants && (self.nodes.len() <= 7 || self.last_event_number.is_multiple_of(16))
             {
                 self.check();
             }
--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -104,7 +104,7 @@
     Unchanged,
     /// It is newer, and changes nothing in who is here and who hears whom.
     HeartbeatOnly,
-    /// The node's own state has changed.
+    /// The node's own state has changed, or the known row was stale.
     Changed,
     /// It reports an expired lease of another node, or asks for help; to be relayed at once.
     Urgent,
