--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Starts to serve a connection. If that reaches the limit, the connection that has waited longest for its call is
-    /// closed, so that callers who send nothing cannot keep others out.
+    /// Starts to serve a connection. If that reaches the limit, the oldest connection not yet told to close is told to;
+    /// it closes unless it has sent its call. Callers who send nothing hence cannot keep others out.
     fn spawn(&mut self, stream: TcpStream) {
         self.eviction_queue.last_number += 1;
         let number = self.eviction_queue.last_number;
--- a/crates/fronts/src/accept_policy.rs
+++ b/crates/fronts/src/accept_policy.rs
@@ -11,7 +11,7 @@
 use lilacquay_core::is_local_resource_exhaustion;
 use tokio::time::Instant;
 
-use crate::connection_limiter::{EvictionScope, Micros, eviction_scope};
+use crate::eviction_queue::{EvictionScope, Micros, eviction_scope};
 
 /// The listen backlog: the most connections that wait to be accepted.
 pub const ACCEPT_BACKLOG: u32 = 1024;
@@ -44,7 +44,7 @@
 pub enum AcceptStep {
     /// Accept again.
     AcceptAgain,
-    /// Close one connection of this scope, then accept again.
+    /// Evict one connection of this scope, then accept again.
     EvictThenAccept(EvictionScope),
     /// Close the listener.
     CloseListener,
@@ -53,7 +53,7 @@
 /// Tracks the outcomes of one listener's accepts.
 #[derive(Debug, Default)]
 pub struct AcceptPolicy {
-    /// Start of the resource shortage that now lasts.
+    /// Start of the current resource shortage; `None` without one.
     shortage_since: Option<Instant>,
     /// For a closing listener: when it began to close, and the connections accepted since.
     closing: Option<(Instant, usize)>,
@@ -84,6 +84,7 @@
             AcceptFailure::ResourceShortage => {
                 let since = *self.shortage_since.get_or_insert(now);
                 let waited = now.saturating_duration_since(since).as_micros() as Micros;
+                // As for a shared address: a brief shortage evicts no connection that may be about to send a request.
                 self.step_unless_drained(now, AcceptStep::EvictThenAccept(eviction_scope(true, waited)))
             }
         }
--- a/crates/fronts/src/acceptor.rs
+++ b/crates/fronts/src/acceptor.rs
@@ -13,13 +13,13 @@
 use tracing::warn;
 
 use crate::accept_policy::{AcceptFailure, AcceptPolicy, AcceptStep};
-use crate::connection_limiter::{EvictionScope, Micros, eviction_scope};
+use crate::eviction_queue::{EvictionScope, Micros, eviction_scope};
 use crate::protocol::Protocol;
 use crate::session::Session;
 use crate::shared::{ClientLimits, SharedState};
 
-/// How long to wait for an evicted connection to end before the next accept, for example after one that failed for want
-/// of descriptors.
+/// The longest wait for some session to end before the next accept is tried, for example after an accept failed for
+/// want of descriptors; also the retry delay if no connection could be evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(5);
 
 /// Accepts connections for all frontends and holds the state that their sessions share. Cheap to clone.
@@ -47,6 +47,7 @@
         }
         // Connections that the kernel has completed would be reset, with their requests, if the listener closed without
         // accepting them. If another process accepts at the same address, they are left to that process.
+        // Once a node accepts no more, `PING` succeeds only if another process serves at its address.
         let address_shared = service_mode.borrow().ping_succeeds;
         if !address_shared {
             self.accept_backlog(listener, &protocol).await;
@@ -88,9 +89,10 @@
     async fn accept_loop<P: Protocol>(&self, listener: &TcpListener, protocol: &impl Fn() -> P) {
         let mut policy = AcceptPolicy::default();
         loop {
-            // The limit keeps clients from using up the descriptors that connections to servers need. Beyond it each new
-            // connection replaces another, so that many silent connections cannot lock out active clients. Descriptors
-            // that servers leave free are available to clients, many of which ask once and stay connected.
+            // The limit keeps clients from using up the descriptors that connections to servers need. Beyond it each
+            // new connection replaces another, so that many silent connections cannot lock out active clients.
+            // Descriptors that connections to servers do not use are available to clients, many of which ask once and
+            // stay connected.
             self.wait_for_capacity().await;
             match listener.accept().await {
                 Ok((stream, _)) => {
@@ -140,7 +142,7 @@
     /// [`EVICTION_WAIT`]. Returns whether a connection was evicted.
     async fn evict_one(&self, scope: EvictionScope) -> bool {
         let session_ended = self.0.session_ended.notified();
-        let evicted = self.0.idle_connections.evict_one(Instant::now(), scope);
+        let evicted = self.0.evictable_connections.evict_one(Instant::now(), scope);
         let _ = timeout(EVICTION_WAIT, session_ended).await; // the caller checks again in either case
         evicted
     }
--- a/crates/fronts/src/close_policy.rs
+++ b/crates/fronts/src/close_policy.rs
@@ -8,7 +8,8 @@
 
 use crate::close_reason::CloseReason;
 
-/// A connection is closed after this long without progress: if it has sent no valid command, or only part of one.
+/// A connection that has never sent a valid command, or has sent only part of its current one, is closed after this
+/// long without progress.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
 /// After this long, anything in transit on a new connection has arrived.
 pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(300);
@@ -29,7 +30,8 @@
     pub now: Instant,
     /// When the client connected.
     pub connected_at: Instant,
-    /// The last progress: the connection's start, its last answer, or the first byte of a command.
+    /// The last progress: the connection's start, its last answer, the last command that was read completely or, once
+    /// the client has sent a valid command, the first byte of the next.
     pub last_progress_at: Instant,
     /// When something was last read.
     pub last_read_at: Instant,
@@ -39,8 +41,8 @@
     pub in_command: bool,
     /// Whether the client has ever sent a valid command.
     pub has_sent_valid_command: bool,
-    /// Whether the client has ever sent a request.
-    pub has_sent_request: bool,
+    /// Whether a request of this client was ever opened at the core.
+    pub has_opened_request: bool,
     /// Whether an answer has just been written.
     pub just_answered: bool,
     /// When malformed input arrived.
@@ -80,7 +82,7 @@
 /// Decides when one connection is closed.
 #[derive(Debug, Clone, Default)]
 pub struct ClosePolicy {
-    /// Since when the node has been closing connections without a request.
+    /// Since when the node has been in `CloseMode::WhenIdle`.
     closing_idle_since: Option<Instant>,
 }
 
@@ -105,7 +107,7 @@
         }
         match mode.close_mode {
             CloseMode::KeepOpen => CloseDecision::KeepOpen,
-            CloseMode::AfterAnswer if state.just_answered && state.has_sent_request => {
+            CloseMode::AfterAnswer if state.just_answered && state.has_opened_request => {
                 CloseDecision::CloseIfNothingToRead
             }
             CloseMode::AfterAnswer => CloseDecision::KeepOpen,
--- a/crates/fronts/src/close_reason.rs
+++ b/crates/fronts/src/close_reason.rs
@@ -34,7 +34,8 @@
 }
 
 impl From<io::Error> for CloseReason {
-    /// Classifies a failed read or write on the client's socket.
+    /// Classifies a failed read or write on the client's socket; `UnexpectedEof` stands for a large value that ended
+    /// early.
     fn from(error: io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::TimedOut => CloseReason::ClientNotReading,
--- a/crates/fronts/src/idle_connections.rs
+++ b/crates/fronts/src/evictable_connections.rs
@@ -7,20 +7,23 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-pub use crate::connection_limiter::Activity;
-use crate::connection_limiter::{EvictionKey, EvictionQueue, EvictionScope, Micros};
+pub use crate::eviction_queue::Activity;
+use crate::eviction_queue::{EvictionKey, EvictionQueue, EvictionScope, Micros};
 
-/// All idle connections of the process.
-pub struct IdleConnections {
+/// All evictable connections of the process.
+pub struct EvictableConnections {
     /// A connection is told to close by dropping its sender.
     queue: Mutex<EvictionQueue<oneshot::Sender<()>>>,
     start: Instant,
 }
 
-impl IdleConnections {
+impl EvictableConnections {
     /// Allows at most this many connections to rest between requests.
     pub fn new(max_between_requests: usize) -> Self {
-        IdleConnections { queue: Mutex::new(EvictionQueue::new(max_between_requests)), start: Instant::now() }
+        EvictableConnections {
+            queue: Mutex::new(EvictionQueue::new(max_between_requests)),
+            start: Instant::now(),
+        }
     }
 
     fn queue(&self) -> MutexGuard<'_, EvictionQueue<oneshot::Sender<()>>> {
@@ -31,12 +34,12 @@
         at.saturating_duration_since(self.start).as_micros() as Micros
     }
 
-    /// Registers an idle connection until the returned guard is dropped. If that exceeds the maximum, another connection
-    /// is evicted.
-    pub fn register(self: &Arc<Self>, activity: Activity, since: Instant) -> IdleConnection {
+    /// Registers an evictable connection until the returned guard is dropped. If more than the maximum then rest
+    /// between requests, the one that has rested longest is evicted.
+    pub fn register(self: &Arc<Self>, activity: Activity, since: Instant) -> EvictableConnection {
         let (sender, evicted) = oneshot::channel();
         let (key, _evicted_sender) = self.queue().insert(activity, self.micros(since), sender);
-        IdleConnection { key, evicted, connections: self.clone() }
+        EvictableConnection { key, evicted, connections: self.clone() }
     }
 
     /// Evicts one connection of this scope. Returns whether there was one.
@@ -45,20 +48,20 @@
     }
 }
 
-/// Keeps a connection registered as idle; dropping it removes the registration.
-pub struct IdleConnection {
+/// Keeps a connection registered as evictable; dropping it removes the registration.
+pub struct EvictableConnection {
     key: EvictionKey,
     evicted: oneshot::Receiver<()>,
-    connections: Arc<IdleConnections>,
+    connections: Arc<EvictableConnections>,
 }
 
-impl IdleConnection {
+impl EvictableConnection {
     pub fn activity(&self) -> Activity {
         self.key.activity()
     }
 
     /// Waits until the connection is evicted; for ever if it is not registered.
-    pub async fn evicted(registration: &mut Option<IdleConnection>) {
+    pub async fn evicted(registration: &mut Option<EvictableConnection>) {
         match registration {
             Some(registration) => _ = (&mut registration.evicted).await,
             None => pending().await,
@@ -66,7 +69,7 @@
     }
 }
 
-impl Drop for IdleConnection {
+impl Drop for EvictableConnection {
     fn drop(&mut self) {
         self.connections.queue().remove(self.key);
     }
--- a/crates/fronts/src/connection_limiter.rs
+++ b/crates/fronts/src/eviction_queue.rs
@@ -1,20 +1,27 @@
 //! Decides which client connection is evicted to make room for another. No I/O and no clock: the caller passes times in,
 //! in microseconds from any fixed start.
 //!
-//! A connection with a pending response is not registered here and is never evicted. The others are *idle* and differ in
-//! their [`Activity`]. A connection that rests between requests is evicted at once if more than a maximum of them rest:
-//! the one that has rested longest. When room is needed, one connection is evicted, in this order of preference:
+//! A connection with a pending response is not registered here and is never evicted. The others are *evictable* and
+//! differ in their [`Activity`]. Evictable is more than idle in the sense of
+//! [`CloseMode::WhenIdle`](lilacquay_lifecycle::CloseMode::WhenIdle): a connection that has sent part of a command is
+//! evictable, but not idle.
 //!
-//! 1. one that has sent no request since it connected, once anything in transit must have arrived;
-//! 2. one that rests between requests, after a grace period since its last answer;
-//! 3. one that has sent no request, however new;
-//! 4. one that has sent part of a command: the one that has been at it longest, since commands of well-behaved clients
-//!    come to an end.
+//! If more connections rest between requests than a set maximum, the one that has rested longest is evicted at once.
+//! When room is needed, one connection is evicted, in this order of preference:
+//!
+//! 1. connections without a request so far, from 300 ms after they connected or were last answered, when anything in
+//!    transit has arrived;
+//! 2. connections that rest between requests, from 2 s after their last answer;
+//! 3. connections without a request so far, however new;
+//! 4. connections that have sent part of a command.
+//!
+//! Of a group, the connection that has been like that longest is evicted; in group 4, because the commands of
+//! well-behaved clients come to an end.
 //!
 //! While another process accepts connections at the same address, a process that has reached its portion of the limits
-//! evicts no connection that may be about to send a request (3 and 4) before the other process has had time to accept
-//! the newcomer. It then evicts one connection for each new one, since a portion that has just shrunk is no reason to
-//! close the connections it holds. [`eviction_scope`] makes that decision.
+//! evicts no connection that may be about to send a request (groups 3 and 4) before the other process has had time to
+//! accept the newcomer. It then evicts one connection for each new one, since a portion that has just shrunk is no
+//! reason to close the connections it holds. [`eviction_scope`] makes that decision.
 //!
 //! Each operation takes logarithmic time, so that one with a hundred thousand connections costs little more than with
 //! ten.
@@ -26,7 +33,8 @@
 
 /// After this long, anything in transit on a new connection has arrived.
 pub const NEW_CONNECTION_GRACE_US: Micros = 300_000;
-/// A connection that has had an answer is not evicted for this long after it.
+/// A connection that rests between requests is not evicted for this long after its last answer, unless more than the
+/// set maximum rest.
 pub const RECENT_USE_GRACE_US: Micros = 2_000_000;
 
 /// Another process at the same address accepts a new connection within this time, if it has room.
@@ -35,10 +43,10 @@
 /// Which connections may be evicted for a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvictionScope {
-    /// Only those that have sent no request, or have rested, for longer than the grace period.
+    /// Only groups 1 and 2 of the order of preference.
     LongIdle,
-    /// Any idle connection, by the order of preference.
-    AnyIdle,
+    /// All four groups.
+    AllGroups,
 }
 
 /// Which connections may be evicted for one that has waited this long.
@@ -46,14 +54,14 @@
     if address_shared && waited < SHARED_ADDRESS_GRACE_US {
         EvictionScope::LongIdle
     } else {
-        EvictionScope::AnyIdle
+        EvictionScope::AllGroups
     }
 }
 
-/// What an idle connection has done last.
+/// What a connection without a pending response is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Activity {
-    /// It has sent no request yet.
+    /// No request of it has been opened at the core yet.
     NoRequestYet,
     /// It rests between requests.
     BetweenRequests,
@@ -76,7 +84,7 @@
     }
 }
 
-/// The idle connections, each with a handle `T` through which it is told to close.
+/// The evictable connections, each with a handle `T` through which it is told to close.
 #[derive(Debug)]
 pub struct EvictionQueue<T> {
     no_request_yet: BTreeMap<(Micros, u64), T>,
@@ -101,7 +109,7 @@
         }
     }
 
-    /// Registers an idle connection. Returns its key, and the handle of the connection evicted for it, if any.
+    /// Registers an evictable connection. Returns its key, and the handle of the connection evicted for it, if any.
     ///
     /// Without the maximum, clients that send one request on each connection and keep it open, such as connection pools
     /// that never shrink, would take up all connections until no more could be opened. The cost falls on clients that
@@ -125,12 +133,12 @@
 
     /// Evicts the next connection of this scope and returns its handle; `None` if there is no such connection.
     pub fn evict(&mut self, now: Micros, scope: EvictionScope) -> Option<T> {
-        let oldest_exceeds = |connections: &BTreeMap<(Micros, u64), T>, grace: Micros| {
+        let oldest_is_past = |connections: &BTreeMap<(Micros, u64), T>, grace: Micros| {
             connections.first_key_value().is_some_and(|((since, _), _)| now >= since.saturating_add(grace))
         };
-        let activity = if oldest_exceeds(&self.no_request_yet, NEW_CONNECTION_GRACE_US) {
+        let activity = if oldest_is_past(&self.no_request_yet, NEW_CONNECTION_GRACE_US) {
             Activity::NoRequestYet
-        } else if oldest_exceeds(&self.between_requests, RECENT_USE_GRACE_US) {
+        } else if oldest_is_past(&self.between_requests, RECENT_USE_GRACE_US) {
             Activity::BetweenRequests
         } else if scope == EvictionScope::LongIdle {
             return None;
@@ -169,8 +177,8 @@
                         Some(handle)
                     }
                     1 => {
-                        let scope = [EvictionScope::LongIdle, EvictionScope::AnyIdle][rng.usize(0..2)];
-                        let any_idle = scope == EvictionScope::AnyIdle;
+                        let scope = [EvictionScope::LongIdle, EvictionScope::AllGroups][rng.usize(0..2)];
+                        let all_groups = scope == EvictionScope::AllGroups;
                         let since = |handle| {
                             model.iter().find(|entry| entry.1 == handle).map_or(0, |entry| entry.0.since)
                         };
@@ -181,8 +189,8 @@
                         let expected = no_request
                             .filter(|&handle| now >= since(handle) + NEW_CONNECTION_GRACE_US)
                             .or(resting.filter(|&handle| now >= since(handle) + RECENT_USE_GRACE_US))
-                            .or(no_request.filter(|_| any_idle))
-                            .or(oldest(&model, Activity::InCommand).filter(|_| any_idle));
+                            .or(no_request.filter(|_| all_groups))
+                            .or(oldest(&model, Activity::InCommand).filter(|_| all_groups));
                         let evicted = queue.evict(now, scope);
                         assert_eq!(evicted, expected, "seed {seed}");
                         evicted
@@ -212,7 +220,7 @@
         let scopes = [eviction_scope(true, 0), eviction_scope(true, SHARED_ADDRESS_GRACE_US - 1)];
         assert_eq!(scopes, [EvictionScope::LongIdle; 2]);
         let scopes = [eviction_scope(true, SHARED_ADDRESS_GRACE_US), eviction_scope(false, 0)];
-        assert_eq!(scopes, [EvictionScope::AnyIdle; 2]);
+        assert_eq!(scopes, [EvictionScope::AllGroups; 2]);
     }
 
     #[test]
@@ -225,7 +233,7 @@
                 queue.remove(key);
             }
         }
-        while queue.evict(u64::MAX, EvictionScope::AnyIdle).is_some() {}
+        while queue.evict(u64::MAX, EvictionScope::AllGroups).is_some() {}
         // With a scan of all connections in each operation this took minutes.
         assert!(start.elapsed() < std::time::Duration::from_secs(10), "{:?}", start.elapsed());
     }
--- a/crates/fronts/src/memcache/command_rules.rs
+++ b/crates/fronts/src/memcache/command_rules.rs
@@ -1,7 +1,7 @@
 //! Rules that give a memcached command what its protocol does not state: class, tenant, client timeout and idempotency
 //! key. No I/O and no clock.
 //!
-//! The first rule that matches applies, so only the order of the rules matters.
+//! The rules are tried in order, and the first that matches applies.
 
 use std::str;
 
@@ -17,10 +17,10 @@
     pub index: usize,
 }
 
-/// Where a widget marks a write as a repeat of an earlier one.
+/// Where a client marks a write as a repeat of an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RepeatMarker {
-    /// Nowhere: a write of a keyed class counts as unsafe to repeat.
+    /// Nowhere: a write of a class with the effect `keyed` counts as unsafe to repeat.
     Unmarked,
     /// In the key, after the last occurrence of this text; servers get the part before it as the key.
     Suffix(String),
@@ -45,7 +45,7 @@
     pub tenant: Option<NamedIndex>,
     /// How long the client waits, in microseconds.
     pub client_timeout_us: Micros,
-    /// Where the widget marks repeats.
+    /// Where the client marks repeats.
     pub repeats: RepeatMarker,
 }
 
@@ -97,7 +97,7 @@
         key: &'a str,
         cas: u64,
         is_write: bool,
-        terms: StoreOptions,
+        store_options: StoreOptions,
     ) -> Result<CommandFacts<'a>, UnsupportedCas> {
         if cas != 0 && self.repeats != RepeatMarker::Cas {
             return Err(UnsupportedCas);
@@ -124,7 +124,7 @@
         if let Some(key) = &idempotency_key {
             text += &format!(",k={key}");
         }
-        for (name, value) in [("flags", terms.flags), ("expiry", terms.expiry)] {
+        for (name, value) in [("flags", store_options.flags), ("expiry", store_options.expiry)] {
             if value != 0 {
                 text += &format!(",{name}={value}");
             }
@@ -135,7 +135,7 @@
 
 /// The idempotency key of a write with this repeat marker.
 ///
-/// The hash covers the user and the key as well: with the marker alone, of two widgets that both count from 1, one's
+/// The hash covers the user and the key as well: with the marker alone, of two clients that both count from 1, one's
 /// writes would be dropped as repeats of the other's. Being hexadecimal, it contains no comma.
 fn hash_idempotency_key(user: Option<&str>, key: &str, marker: &[u8]) -> String {
     let mut hash = Xxh3::new();
@@ -199,9 +199,9 @@
             assert_eq!((facts.key, facts.idempotency_key), (unmarked, None));
         }
         assert_eq!(rule.command_facts(None, "a", 7, true, StoreOptions::default()), Err(UnsupportedCas));
-        let terms = StoreOptions { flags: 3, expiry: 60 };
+        let store_options = StoreOptions { flags: 3, expiry: 60 };
         let rule = CommandRule { repeats: RepeatMarker::Unmarked, ..rule };
-        let facts = rule.command_facts(None, "a", 0, true, terms).unwrap().text;
+        let facts = rule.command_facts(None, "a", 0, true, store_options).unwrap().text;
         assert_eq!(facts, "c=signup,t=acme,d=481,flags=3,expiry=60");
         let rule = CommandRule { read_class: None, client_timeout_us: 1, ..rule };
         assert_eq!(
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -51,7 +51,8 @@
     started_at: Instant,
     /// Part of all request ids; differs between processes.
     nonce: u64,
-    connection_count: AtomicU64,
+    /// Connections accepted so far.
+    total_connections: AtomicU64,
 }
 
 impl Frontend {
@@ -64,13 +65,13 @@
         gauges: Arc<Gauges>,
         nonce: u64,
     ) -> Arc<Frontend> {
-        let (started_at, connection_count) = (Instant::now(), AtomicU64::new(0));
-        Arc::new(Frontend { name, rules, users, capabilities, gauges, started_at, nonce, connection_count })
+        let (started_at, total_connections) = (Instant::now(), AtomicU64::new(0));
+        Arc::new(Frontend { name, rules, users, capabilities, gauges, started_at, nonce, total_connections })
     }
 
     /// Creates the protocol of a new connection.
     pub fn connection(self: &Arc<Self>) -> MemcacheProtocol {
-        let number = self.connection_count.fetch_add(1, Ordering::Relaxed);
+        let number = self.total_connections.fetch_add(1, Ordering::Relaxed);
         let id_prefix = format!("{:016x}-{number:x}", self.nonce);
         let (user, malformed) = Default::default();
         MemcacheProtocol {
@@ -254,14 +255,14 @@
         }
         let key = str::from_utf8(&packet.key)
             .map_err(|_| CommandError(Status::INVALID_ARGUMENTS, "a key is UTF-8"))?;
-        let terms = self.terms(verb, &packet.extras)?;
+        let store_options = self.store_options(verb, &packet.extras)?;
         let user = self.user.as_deref();
         let rule = self
             .frontend
             .rules
             .find(&self.frontend.name, user, key)
             .ok_or(CommandError(Status::INVALID_ARGUMENTS, "no row of the table fits this key"))?;
-        let facts = rule.command_facts(user, key, packet.cas, is_write, terms)?;
+        let facts = rule.command_facts(user, key, packet.cas, is_write, store_options)?;
         let id = format!("{}-{:x}-{:08x}", self.id_prefix, self.command_count, packet.opaque);
         let value = has_value.then(|| packet.value.clone());
         let class = if is_write { &rule.write_class } else { &rule.read_class };
@@ -270,7 +271,7 @@
         call.class = class.as_ref().map(|class| class.index);
         call.tenant = rule.tenant.as_ref().map(|tenant| tenant.index);
         call.idempotency_key = facts.idempotency_key.map(Bytes::from);
-        (call.verb, call.store_options) = (verb, terms);
+        (call.verb, call.store_options) = (verb, store_options);
         let key = match opcode {
             Opcode::GetK | Opcode::GetKQ => Bytes::copy_from_slice(&packet.key),
             _ => Bytes::new(),
@@ -279,21 +280,21 @@
     }
 
     /// The flags and expiry of a write; an error if the servers do not support what the command asks for.
-    fn terms(&self, verb: Verb, extras: &[u8]) -> Result<StoreOptions, CommandError> {
+    fn store_options(&self, verb: Verb, extras: &[u8]) -> Result<StoreOptions, CommandError> {
         let capabilities = self.frontend.capabilities;
         if matches!(verb, Verb::Add | Verb::Replace | Verb::Delete) && !capabilities.conditions {
             return Err(CommandError(Status::NOT_SUPPORTED, "who takes writes here knows no conditions"));
         }
         let field = |at: usize| extras.get(at..at + 4).and_then(|b| <[u8; 4]>::try_from(b).ok());
         let number = |at: usize| field(at).map_or(0, u32::from_be_bytes);
-        let terms = StoreOptions { flags: number(0), expiry: number(4) };
-        if terms.flags != 0 && !capabilities.flags {
+        let store_options = StoreOptions { flags: number(0), expiry: number(4) };
+        if store_options.flags != 0 && !capabilities.flags {
             return Err(CommandError(Status::NOT_SUPPORTED, "flags are not kept here; send 0"));
         }
-        if terms.expiry != 0 && !capabilities.expiry {
+        if store_options.expiry != 0 && !capabilities.expiry {
             return Err(CommandError(Status::NOT_SUPPORTED, "an expiry is not kept here; send 0"));
         }
-        Ok(terms)
+        Ok(store_options)
     }
 
     /// Statistics of the node: under memcached's names where it has the same ones, otherwise with the prefix
@@ -308,7 +309,7 @@
             ("uptime", self.frontend.started_at.elapsed().as_secs().to_string()),
             ("time", unix_time.to_string()),
             ("version", env!("CARGO_PKG_VERSION").to_owned()),
-            ("total_connections", self.frontend.connection_count.load(Ordering::Relaxed).to_string()),
+            ("total_connections", self.frontend.total_connections.load(Ordering::Relaxed).to_string()),
             ("lilacquay_requests_open", self.frontend.gauges.open_requests().to_string()),
             ("lilacquay_server_connections", self.frontend.gauges.connections().to_string()),
         ];
--- a/crates/fronts/src/protocol.rs
+++ b/crates/fronts/src/protocol.rs
@@ -86,7 +86,7 @@
     TooManyRequests,
 }
 
-/// Why the server closes a connection, as told to its client.
+/// Why this node closes a connection, as told to its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseNotice {
     /// The client sent malformed input.
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -42,7 +42,7 @@
             _ => return Err(CommandError::UnknownCommand),
         };
         let key = str::from_utf8(key).map_err(|_| CommandError::WrongArguments)?;
-        // Copied, since slices would keep the whole buffer alive that was read with them.
+        // Copied, since slices would keep alive the whole buffer into which they were read.
         let (key, [id, facts]) = (key.to_owned(), [id, facts].map(|text| Bytes::copy_from_slice(text)));
         let timeout = fact(&facts, "d").and_then(parse_timeout).ok_or(CommandError::Timeout)?;
         let mut call = Call::new(key, id, facts, value, timeout)?;
--- a/crates/fronts/src/responses.rs
+++ b/crates/fronts/src/responses.rs
@@ -9,8 +9,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout};
 
-/// How long a large value ahead of other responses is buffered; from then on it is forwarded as it arrives. Its client may
-/// not wait 2 s for the rest of what the server has sent.
+/// How long a large value ahead of other responses is buffered. From then on it is forwarded as it arrives, since a
+/// client may not be prepared to wait 2 s for the rest of the value from the server.
 const VALUE_BUFFERING_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often buffering checks whether the process is about to end.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -37,7 +37,7 @@
 /// A large value, as far as it has arrived.
 pub(crate) struct LargeValue<R> {
     pub context: R,
-    pub flow: ValueStream,
+    pub value_stream: ValueStream,
     /// The bytes that have arrived and are not forwarded yet.
     pub buffered: BytesMut,
 }
@@ -54,21 +54,26 @@
 
 impl<R> BufferedValue<R> {
     /// Starts to buffer a value under these permits.
-    pub fn new(pending: PendingAnswer, context: R, flow: ValueStream, permits: OwnedSemaphorePermit) -> Self {
-        let value = LargeValue { context, flow, buffered: BytesMut::new() };
+    pub fn new(
+        pending: PendingAnswer,
+        context: R,
+        value_stream: ValueStream,
+        permits: OwnedSemaphorePermit,
+    ) -> Self {
+        let value = LargeValue { context, value_stream, buffered: BytesMut::new() };
         BufferedValue { pending, value, until: Instant::now() + VALUE_BUFFERING_TIMEOUT, _permits: permits }
     }
 
     /// Waits until the value is to be forwarded or has failed. Cancel safe.
     async fn fill(&mut self, requests: &Requests) -> BufferingResult {
-        let LargeValue { flow, buffered, .. } = &mut self.value;
-        while buffered.len() < flow.length() {
-            match timeout(SHUTDOWN_CHECK_INTERVAL, flow.next()).await {
+        let LargeValue { value_stream, buffered, .. } = &mut self.value;
+        while buffered.len() < value_stream.length() {
+            match timeout(SHUTDOWN_CHECK_INTERVAL, value_stream.next()).await {
                 Ok(Some(piece)) => buffered.extend_from_slice(&piece.bytes),
                 Ok(None) => return BufferingResult::Truncated,
-                // The responses behind it have no more time than the process has.
+                // The process is about to end: the value is given up so that the responses behind it are still written.
                 Err(_) if requests.is_shutting_down() => return BufferingResult::Truncated,
-                // A value that has stalled fails in time by itself; until then nothing of it is forwarded.
+                // A stalled value fails by its own stall timeout; until then nothing of it is forwarded.
                 Err(_) => continue,
             }
             if Instant::now() >= self.until {
--- a/crates/fronts/src/session.rs
+++ b/crates/fronts/src/session.rs
@@ -16,7 +16,7 @@
 
 use crate::close_policy::{CloseDecision, ClosePolicy, ConnectionState, LongCommand, may_read, times_out_at};
 use crate::close_reason::CloseReason;
-use crate::idle_connections::{Activity, IdleConnection};
+use crate::evictable_connections::{Activity, EvictableConnection};
 use crate::protocol::{CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 use crate::responses::{BufferedValue, LargeValue, NextResponse, Response, Responses, WaitingRequest};
 use crate::shared::{BYTES_PER_PERMIT, SharedState};
@@ -26,7 +26,8 @@
 const MAX_PENDING_RESPONSES: usize = 1024;
 /// The most commands started before other tasks get to run.
 const COMMANDS_PER_TURN: usize = 32;
-/// The most bytes of answers written before other tasks get to run.
+/// Once this many bytes of answers are collected, they are written and other tasks get to run; the last answer may
+/// exceed it.
 const ANSWER_BYTES_PER_TURN: usize = 16 << 10;
 /// Any connection may have a buffer of up to this size; larger ones need permits, of which there are few.
 const SMALL_BUFFER_BYTES: usize = 8 << 10;
@@ -48,21 +49,22 @@
     /// The length of the arriving command in bytes, as far as it is known; 0 while the buffer is small.
     expected_length: usize,
     last_read_at: Instant,
-    /// When the bytes read last arrived.
+    /// When the most recently read bytes arrived at the socket.
     arrived_at: Instant,
     responses: Responses<P::ReplyContext>,
     /// The number of requests among the pending responses.
     open_requests: usize,
     /// Whether the client has ever sent a valid command.
     has_sent_valid_command: bool,
-    /// Whether the client has ever sent a request. Many clients that only ask whether the node is in service, and stay
-    /// connected, must not count as clients that rest between requests.
-    has_sent_request: bool,
+    /// Whether a request of this client was ever opened at the core. Many clients that only ask whether the node is in
+    /// service, and stay connected, must not count as clients that rest between requests.
+    has_opened_request: bool,
     connected_at: Instant,
     close_policy: ClosePolicy,
-    /// The last progress: the connection's start, its last answer, or the first byte of a command.
+    /// The last progress: the connection's start, its last answer, the last command taken from the buffer or, once the
+    /// client has sent a valid command, the first byte of the next.
     last_progress_at: Instant,
-    /// Whether the buffer may hold another complete command.
+    /// Whether the last turn ended only at [`COMMANDS_PER_TURN`], so that the buffer may hold another complete command.
     may_have_command: bool,
     /// When malformed input arrived; nothing more is read after it.
     malformed_at: Option<Instant>,
@@ -91,7 +93,7 @@
             responses: Responses::new(),
             open_requests: 0,
             has_sent_valid_command: false,
-            has_sent_request: false,
+            has_opened_request: false,
             connected_at: now,
             close_policy: ClosePolicy::default(),
             last_progress_at: now,
@@ -108,7 +110,7 @@
         let (owed, unread) = (self.responses.len(), self.buffer.len());
         debug!(?peer, owed, unread, "client connection closed: {reason}");
         if reason.is_client_side() {
-            self.responses.clear(); // the client has given up these answers itself
+            self.responses.clear(); // the client has given up these answers itself: `drop` does not report them
         }
         drop(stream);
         self.shared.session_ended.notify_waiters();
@@ -121,13 +123,14 @@
         let (mut reader, mut writer) = (stream.clone(), stream.clone());
         let (mut service_mode, buffer_permits) =
             (self.shared.service_mode.clone(), self.shared.buffer_permits.clone());
-        let (mut idle_registration, mut just_answered) = (None, false);
+        let (mut registration, mut just_answered) = (None, false);
         // Since when input has been waiting to be read, as far as that is known.
         let mut unread_since = None;
         loop {
             let nothing_pending = self.responses.is_empty();
             let mode = *service_mode.borrow_and_update();
             let permits_needed = self.permits_needed();
+            // Whether more may be read into the buffer without further permits.
             let may_grow = self.buffer.len() < SMALL_BUFFER_BYTES || self.permits_held() >= permits_needed;
             if !may_grow {
                 self.buffer_permits = None; // never hold some permits while waiting for more
@@ -139,9 +142,10 @@
             }
             just_answered = false;
             let activity = nothing_pending.then(|| self.activity());
-            if activity != idle_registration.as_ref().map(IdleConnection::activity) {
-                idle_registration = activity
-                    .map(|activity| self.shared.idle_connections.register(activity, self.last_progress_at));
+            if activity != registration.as_ref().map(EvictableConnection::activity) {
+                registration = activity.map(|activity| {
+                    self.shared.evictable_connections.register(activity, self.last_progress_at)
+                });
             }
             let reading = self.may_start_command() && !self.may_have_command && may_read(mode, &state);
             let permits_wanted = (!may_grow).then_some(permits_needed);
@@ -155,7 +159,7 @@
                         Received::Permits(acquired, readable_since) => {
                             self.buffer_permits = Some(acquired);
                             unread_since.get_or_insert(readable_since);
-                            self.last_read_at = Instant::now(); // the pause limit counts from here
+                            self.last_read_at = Instant::now(); // `MAX_LONG_COMMAND_PAUSE` counts from here
                         }
                     }
                 }
@@ -183,7 +187,7 @@
                     write_all(&mut writer, &text).await?;
                     return writer.shutdown().await.map(|()| self.timeout_reason());
                 }
-                () = IdleConnection::evicted(&mut idle_registration) => return writer.shutdown().await.map(|()| CloseReason::Evicted),
+                () = EvictableConnection::evicted(&mut registration) => return writer.shutdown().await.map(|()| CloseReason::Evicted),
             }
             self.start_commands();
         }
@@ -203,7 +207,7 @@
             has_pending_response: !self.responses.is_empty(),
             in_command: !self.buffer.is_empty(),
             has_sent_valid_command: self.has_sent_valid_command,
-            has_sent_request: self.has_sent_request,
+            has_opened_request: self.has_opened_request,
             just_answered,
             malformed_at: self.malformed_at,
             quit_requested: self.quit_requested,
@@ -252,13 +256,13 @@
         mut text: BytesMut,
         large_value: Option<LargeValue<P::ReplyContext>>,
     ) -> io::Result<()> {
-        let Some(LargeValue { context, flow, buffered }) = large_value else {
+        let Some(LargeValue { context, value_stream, buffered }) = large_value else {
             return write_all(writer, &text).await;
         };
-        self.protocol.write_value_header(context, flow.length(), flow.flags(), &mut text);
+        self.protocol.write_value_header(context, value_stream.length(), value_stream.flags(), &mut text);
         write_all(writer, &text).await?;
         write_all(writer, &buffered).await?;
-        self.forward_value(writer, flow, buffered.len()).await
+        self.forward_value(writer, value_stream, buffered.len()).await
     }
 
     /// The number of permits that the arriving command needs.
@@ -278,7 +282,7 @@
     }
 
     fn activity(&self) -> Activity {
-        match (self.buffer.is_empty(), self.has_sent_request) {
+        match (self.buffer.is_empty(), self.has_opened_request) {
             (false, _) => Activity::InCommand,
             (true, true) => Activity::BetweenRequests,
             (true, false) => Activity::NoRequestYet,
@@ -289,13 +293,13 @@
     async fn forward_value(
         &mut self,
         writer: &mut Stream,
-        mut flow: ValueStream,
+        mut value_stream: ValueStream,
         written: usize,
     ) -> io::Result<()> {
-        let mut left = flow.length().saturating_sub(written);
+        let mut left = value_stream.length().saturating_sub(written);
         while left > 0 {
             // An incomplete value must not look complete: the client sees the connection end.
-            let piece = flow.next().await.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let piece = value_stream.next().await.ok_or(io::ErrorKind::UnexpectedEof)?;
             write_all(writer, &piece.bytes).await?;
             left = left.saturating_sub(piece.bytes.len());
         }
@@ -314,8 +318,8 @@
             match response {
                 NextResponse::Ready(ready) if text.is_empty() => text = ready,
                 NextResponse::Ready(ready) => text.extend_from_slice(&ready),
-                NextResponse::Answer(request, Answer::Streaming(flow)) => {
-                    match self.start_large_value(request, flow, &mut text) {
+                NextResponse::Answer(request, Answer::Streaming(value_stream)) => {
+                    match self.start_large_value(request, value_stream, &mut text) {
                         LargeValueStart::Forward(value) => return (text, Some(value)),
                         LargeValueStart::Buffer => return (text, None),
                         LargeValueStart::Failed => {}
@@ -347,20 +351,20 @@
     fn start_large_value(
         &mut self,
         request: WaitingRequest<P::ReplyContext>,
-        flow: ValueStream,
+        value_stream: ValueStream,
         text: &mut BytesMut,
     ) -> LargeValueStart<P::ReplyContext> {
         let WaitingRequest { pending, context, .. } = request;
         if self.responses.is_empty() && self.buffer.is_empty() {
             self.open_requests -= 1;
-            return LargeValueStart::Forward(LargeValue { context, flow, buffered: BytesMut::new() });
+            return LargeValueStart::Forward(LargeValue { context, value_stream, buffered: BytesMut::new() });
         }
-        let permits = u32::try_from(flow.length().div_ceil(BYTES_PER_PERMIT)).unwrap_or(u32::MAX);
+        let permits = u32::try_from(value_stream.length().div_ceil(BYTES_PER_PERMIT)).unwrap_or(u32::MAX);
         let Ok(permits) = self.shared.buffer_permits.clone().try_acquire_many_owned(permits) else {
             self.write_answer(context, Answer::Failed, text);
             return LargeValueStart::Failed;
         };
-        let value = BufferedValue::new(pending, context, flow, permits);
+        let value = BufferedValue::new(pending, context, value_stream, permits);
         self.responses.push_front(Response::Buffering(value));
         LargeValueStart::Buffer
     }
@@ -377,7 +381,7 @@
     /// Starts the complete commands in the buffer, up to [`COMMANDS_PER_TURN`].
     fn start_commands(&mut self) {
         let before = self.buffer.len();
-        self.may_have_command = self.start_some();
+        self.may_have_command = self.start_up_to_limit();
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new(); // frees a buffer that has grown
         }
@@ -389,8 +393,8 @@
         }
     }
 
-    /// Returns whether the buffer may hold further complete commands.
-    fn start_some(&mut self) -> bool {
+    /// Returns whether it ended only at [`COMMANDS_PER_TURN`].
+    fn start_up_to_limit(&mut self) -> bool {
         for _ in 0..COMMANDS_PER_TURN {
             if !self.may_start_command() {
                 return false;
@@ -443,7 +447,7 @@
         match opened {
             Ok(pending) => {
                 self.open_requests += 1;
-                (self.has_sent_request, self.has_sent_valid_command) = (true, true);
+                (self.has_opened_request, self.has_sent_valid_command) = (true, true);
                 let permits = if length > BYTES_PER_PERMIT { self.buffer_permits.take() } else { None };
                 Response::Waiting(WaitingRequest { pending, context, _permits: permits })
             }
--- a/crates/fronts/src/shared.rs
+++ b/crates/fronts/src/shared.rs
@@ -1,4 +1,5 @@
-//! State that the connections of all frontends share: limits, idle connections, buffer permits and the service mode.
+//! State that the connections of all frontends share: limits, evictable connections, buffer permits and the service
+//! mode.
 
 use std::sync::Arc;
 
@@ -7,7 +8,7 @@
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio_util::task::TaskTracker;
 
-use crate::idle_connections::IdleConnections;
+use crate::evictable_connections::EvictableConnections;
 
 /// Bytes of large buffers that one permit stands for: most commands that need a large buffer need one permit.
 pub(crate) const BYTES_PER_PERMIT: usize = 2 * MAX_BUFFERED_VALUE_BYTES;
@@ -39,7 +40,7 @@
     pub(crate) requests: Requests,
     pub(crate) limits: ClientLimits,
     /// Connections without pending responses, which may be evicted.
-    pub(crate) idle_connections: Arc<IdleConnections>,
+    pub(crate) evictable_connections: Arc<EvictableConnections>,
     /// Notified whenever a session has ended.
     pub(crate) session_ended: Notify,
     /// Permits for large buffers, of [`BYTES_PER_PERMIT`] bytes each.
@@ -57,12 +58,12 @@
         let buffer_permits = Arc::new(Semaphore::new(total_permits as usize));
         // Clients may hold a third of the descriptors. A quarter of that is kept free of connections that rest between
         // requests, so that clients can open further ones.
-        let idle_connections = Arc::new(IdleConnections::new((limits.connections * 3 / 4).max(1)));
+        let evictable_connections = Arc::new(EvictableConnections::new((limits.connections * 3 / 4).max(1)));
         let (session_ended, sessions) = Default::default();
         SharedState {
             requests,
             limits,
-            idle_connections,
+            evictable_connections,
             session_ended,
             buffer_permits,
             total_permits,
--- a/crates/fronts/src/socket.rs
+++ b/crates/fronts/src/socket.rs
@@ -50,8 +50,8 @@
     Permits(OwnedSemaphorePermit, Instant),
 }
 
-/// Reads commands, or acquires the wanted buffer permits before it reads. If `may_read` is false, only waits for the
-/// client to close.
+/// Reads commands; if permits are wanted, acquires them instead, and the next call reads. If `may_read` is false, only
+/// waits for the client to close.
 pub(crate) async fn read_or_wait_for_close(
     reader: &mut Stream,
     buffer: &mut BytesMut,
--- a/crates/fronts/tests/accept_policy.rs
+++ b/crates/fronts/tests/accept_policy.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use lilacquay_fronts::accept_policy::{AcceptFailure, AcceptPolicy, AcceptStep};
-use lilacquay_fronts::connection_limiter::EvictionScope;
+use lilacquay_fronts::eviction_queue::EvictionScope;
 use tokio::time::Instant;
 
 const ONE_MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn in_service_no_failure_closes_the_listener_and_a_lasting_shortage_evicts_any_idle_connection() {
+fn in_service_no_failure_closes_the_listener_and_a_lasting_shortage_evicts_connections_of_all_groups() {
     let (start, mut policy) = (Instant::now(), AcceptPolicy::default());
     let later = start + Duration::from_secs(1);
     assert_eq!(policy.failed(AcceptFailure::ConnectionFailed, start), AcceptStep::AcceptAgain);
@@ -20,7 +20,7 @@
     assert_eq!(policy.failed(AcceptFailure::ConnectionFailed, later), AcceptStep::AcceptAgain);
     assert_eq!(
         policy.failed(AcceptFailure::ResourceShortage, later),
-        AcceptStep::EvictThenAccept(EvictionScope::AnyIdle)
+        AcceptStep::EvictThenAccept(EvictionScope::AllGroups)
     );
     assert_eq!(policy.accepted(later), AcceptStep::AcceptAgain);
     assert_eq!(
--- a/crates/fronts/tests/close_policy.rs
+++ b/crates/fronts/tests/close_policy.rs
@@ -20,7 +20,7 @@
         has_pending_response: false,
         in_command: false,
         has_sent_valid_command: true,
-        has_sent_request: true,
+        has_opened_request: true,
         just_answered: false,
         malformed_at: None,
         quit_requested: false,
@@ -80,7 +80,7 @@
     assert_eq!(decide(CloseMode::WhenIdle, false, state), CloseDecision::CloseIfNothingToRead);
     let new = ConnectionState {
         has_sent_valid_command: false,
-        has_sent_request: false,
+        has_opened_request: false,
         connected_at: state.now,
         ..state
     };
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,9 +1,9 @@
 //! The lifecycle of a node as a state machine: starting, serving, leaving service, shutting down.
 //!
-//! [`Lifecycle`] handles events, whether they come from a signal, a call on the admin address or an operator's order. The
-//! resulting [`ServiceMode`] says whether the node accepts connections, how it answers health checks, and when it closes
-//! connections. It is a level rather than a series of commands, so that a reader that misses a change loses nothing. No
-//! I/O, no clock and no thread: the caller passes times in, in microseconds.
+//! [`Lifecycle`] handles events, whether they come from a signal, a call on the admin address or an operator's order.
+//! The resulting [`ServiceMode`] says whether the node accepts connections, how it answers health checks, and when it
+//! closes connections. It states what holds now, not what has changed, so a reader that misses a change loses nothing.
+//! No I/O, no clock and no thread: the caller passes times in, in microseconds.
 //!
 //! ```text
 //!              Ready            Leave
@@ -48,7 +48,8 @@
     Serving,
     /// Leaving service since this time; it may be told to join again.
     Leaving(Micros),
-    /// Told to stop: it answers the requests it has read, then ends.
+    /// Told to stop: it serves the connections it has until they close or time is up, then ends. Unless another process
+    /// accepts connections, it still accepts some for [`PhaseTimings::accept_grace`].
     ShuttingDown {
         /// When it was told to stop.
         since: Micros,
@@ -96,7 +97,7 @@
 pub struct ServiceMode {
     /// Whether it accepts connections.
     pub accepts_connections: bool,
-    /// Whether it tells clients and load balancers that send `PING` that it is in service.
+    /// Whether it tells clients and the front-end processes that check it with `PING` that it is in service.
     pub ping_succeeds: bool,
     /// Whether it reports itself healthy on the admin address.
     pub healthy: bool,
@@ -191,7 +192,8 @@
                 healthy: true,
                 ..ServiceMode::default()
             },
-            // It keeps accepting: load balancers check whether it is in service, and it may join again.
+            // It keeps accepting: clients and front-end processes check with `PING` whether it is in service, and it
+            // may join again.
             State::Leaving(since) => {
                 let close_mode =
                     match (elapsed(since, leave_after_answer_delay), elapsed(since, leave_when_idle_delay)) {
--- a/crates/lifecycle/tests/lifecycle.rs
+++ b/crates/lifecycle/tests/lifecycle.rs
@@ -50,7 +50,10 @@
         assert_eq!(mode, in_service, "in service");
     }
     if let (Some(left_at), None, false) = (history.left_at, history.stopped_at, history.ended) {
-        assert!(!mode.ping_succeeds && mode.accepts_connections, "a load balancer that asks is told no");
+        assert!(
+            !mode.ping_succeeds && mode.accepts_connections,
+            "clients and front-end processes that check with `PING` are told no"
+        );
         // Connections that count as idle for the operators 4 s after the call to leave are closed long before that.
         assert!(now < left_at + 1_500 * MS || mode.close_mode == CloseMode::WhenIdle);
     }
--- a/crates/upstreams/src/http.rs
+++ b/crates/upstreams/src/http.rs
@@ -21,8 +21,8 @@
 use tokio::time::Instant;
 
 use crate::facts::{stated_time_left, with_time_left};
+use crate::forward::{self, ForwardError};
 use crate::idle_state;
-use crate::pass::{self, ForwardError};
 
 /// The most bytes of an answer that one connection buffers.
 const MAX_BUFFER_BYTES: usize = 32 << 10;
@@ -92,7 +92,8 @@
         let Some(request) = request(call, target.addr, left) else {
             return (Reply::from_outcome(Outcome::Ignored), Some(self));
         };
-        target.request_written(Some(left)); // nearly: it is written within the same poll of its task
+        // A moment early: hyper's connection task writes the request in the poll in which it takes it up.
+        target.request_written(Some(left));
         match self.sender.try_send_request(request).await {
             // A request that hyper hands back was never sent.
             Err(mut error) => match error.take_message() {
@@ -147,7 +148,7 @@
 ) -> Result<Reply, ForwardError> {
     while feeder.remaining() > 0 {
         let room = feeder.reserve().await?;
-        let frame = pass::read_until_timeout(deadline, async {
+        let frame = forward::read_until_timeout(deadline, async {
             body.frame().await.transpose().map_err(io::Error::other)
         })
         .await?;
--- a/crates/upstreams/src/lib.rs
+++ b/crates/upstreams/src/lib.rs
@@ -4,9 +4,9 @@
 //! neither retries nor probes.
 
 pub mod facts;
+mod forward;
 pub mod http;
 pub mod memcache;
-mod pass;
 pub mod resp;
 
 use std::collections::BTreeSet;
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -17,8 +17,8 @@
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+use crate::forward::{forward_value, read_until_timeout};
 use crate::idle_state;
-use crate::pass::{forward_value, read_until_timeout};
 
 /// The longest body of an answer in bytes: a value, its flags, and some room for a key, which no answer should have.
 const MAX_BODY_BYTES: usize = MAX_BUFFERED_VALUE_BYTES + 512;
--- a/crates/upstreams/src/resp.rs
+++ b/crates/upstreams/src/resp.rs
@@ -13,8 +13,8 @@
 use tokio::time::{Instant, timeout};
 
 use crate::facts::{estimated_write_time, stated_time_left, with_time_left};
+use crate::forward::{forward_value, read_until_timeout};
 use crate::idle_state;
-use crate::pass::{forward_value, read_until_timeout};
 
 /// The longest answer that is read as one frame, in bytes: a value of 64 KiB and what surrounds it.
 const MAX_FRAME_BYTES: usize = 66 << 10;
