--- a/crates/bench/src/bin/console.rs
+++ b/crates/bench/src/bin/console.rs
@@ -15,8 +15,8 @@
 
 use clap::Parser;
 use lilacquay_bench::Subject;
-use lilacquay_fleet::clients::{self, Load, times};
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::clients::{self, Load, latency_histogram};
+use lilacquay_fleet::{Fleet, FleetConfig};
 use lilacquay_observe::{End, Kind, Observer, Repeats, Request};
 use portable_pty::{Child, CommandBuilder, MasterPty, PtySize, native_pty_system};
 
@@ -117,13 +117,13 @@
     let args = Args::parse();
     gathering();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
-    let fleet = Fleet::start(Plan { recorded: false, ..Plan::default() })?;
+    let fleet = Fleet::start(FleetConfig { record_events: false, ..FleetConfig::default() })?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (node, state) = Subject::controlled(&args.node, &fleet.configuration(any, 512))?;
     let time = Duration::from_secs(args.seconds);
-    let load = |seed| Load::usual(node.addr, time, seed);
+    let load = |seed| Load::standard(node.addr, time, seed);
     runtime.block_on(clients::run(load(99), fleet.clock().clone(), Arc::default()));
-    let all: [_; 5] = std::array::from_fn(|_| Mutex::new((times(), Vec::new(), Vec::new(), 0.0)));
+    let all: [_; 5] = std::array::from_fn(|_| Mutex::new((latency_histogram(), Vec::new(), Vec::new(), 0.0)));
     for round in 0..args.rounds {
         for turn in 0..STATES.len() {
             let n = (turn + round as usize) % STATES.len();
@@ -141,8 +141,8 @@
             let own = (cpu(node.pid()) - own) as f64 / time.as_nanos() as f64;
             let seconds = time.as_secs_f64();
             let mut state = all[n].lock().map_err(|_| "a poisoned lock")?;
-            state.0.add(report.served())?;
-            state.1.push(report.served().value_at_quantile(0.99));
+            state.0.add(report.served_latencies())?;
+            state.1.push(report.served_latencies().value_at_quantile(0.99));
             state.2.push(own);
             if let Some((console, (cpu_before, bytes))) = consoles.last().zip(before.last()) {
                 let spent = (cpu(console.pid()) - cpu_before) as f64 / 1e9 / seconds;
@@ -186,11 +186,11 @@
     node: &Subject,
     state: &Path,
 ) -> Result<(), Failed> {
-    let load = Load::usual(node.addr, Duration::from_secs(20), 5);
+    let load = Load::standard(node.addr, Duration::from_secs(20), 5);
     let running = runtime.spawn(clients::run(load, fleet.clock().clone(), Arc::default()));
     let mut console = Console::open(&args.node, state)?;
     thread::sleep(Duration::from_millis(1500)); // until it is up
-    let mut all = times();
+    let mut all = latency_histogram();
     for n in 0..60 {
         all.record(console.key_to_screen(b'1' + n % 5)?.as_micros() as u64)?;
     }
--- a/crates/bench/src/bin/decision.rs
+++ b/crates/bench/src/bin/decision.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use lilacquay_bench::quantiles;
-use lilacquay_fleet::clients::times;
+use lilacquay_fleet::clients::latency_histogram;
 use paddlefold::{
     Action, AttemptEnd, Balancer, Class, Effect, Event, ListScope, Member, Outcome, Request, RequestId,
     ServerId, Settings,
@@ -30,7 +30,7 @@
     let mut actions = Vec::new();
     let members = (0..boxes).map(|id| Member::up(ServerId(id))).collect();
     balancer.on_event(0, Event::Members { scope: ListScope::Full, members }, &mut actions);
-    let mut times = times();
+    let mut times = latency_histogram();
     for n in 0..READS {
         let id = RequestId(n);
         let now = u64::from(n) * 3300; // 300 a second
--- a/crates/bench/src/bin/flood.rs
+++ b/crates/bench/src/bin/flood.rs
@@ -11,9 +11,9 @@
 
 use clap::Parser;
 use lilacquay_bench::Subject;
-use lilacquay_fleet::clients::{self, End, Load, Report};
+use lilacquay_fleet::clients::{self, Load, Outcome, Report};
 use lilacquay_fleet::verdict::check;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 type Failed = Box<dyn Error>;
 
@@ -52,13 +52,13 @@
 }
 
 fn flooded(args: &Args, runtime: &tokio::runtime::Runtime, seed: u64) -> Result<([f64; 4], usize), Failed> {
-    let fleet = Fleet::start(Plan { seed, ..Plan::default() })?;
+    let fleet = Fleet::start(FleetConfig { seed, ..FleetConfig::default() })?;
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let node = Subject::with_quotas(&args.node, &fleet.configuration(any, 512), &quotas(50))?;
     let clock = fleet.clock();
     let begin = |tenant: &str, rate: f64, time: Duration, seed: u64| {
-        let usual = Load::usual(node.addr, time, seed);
-        let load = Load { tenant: Some(tenant.into()), rate, kept: true, ..usual };
+        let usual = Load::standard(node.addr, time, seed);
+        let load = Load { tenant: Some(tenant.into()), rate, keep_requests: true, ..usual };
         runtime.spawn(clients::run(load, clock.clone(), Arc::default()))
     };
     let (start, begun) = (Instant::now(), clock.now());
@@ -79,15 +79,15 @@
         served(&gamma, reloaded, u64::MAX),
     ];
     let (records, dropped) = fleet.records();
-    let asks = [alpha.asks, beta.asks, gamma.asks].concat();
+    let asks = [alpha.requests, beta.requests, gamma.requests].concat();
     Ok((shares, check((&records, dropped), &asks, 0, GRACE).len()))
 }
 
 /// The part of a tenant's lookups that was served, of those sent from one time on until another.
 fn served(report: &Report, from: u64, to: u64) -> f64 {
-    let asks = report.asks.iter().filter(|ask| ask.class == 0 && (from..to).contains(&ask.sent));
-    let (served, all) =
-        asks.fold((0, 0), |(served, all), ask| (served + usize::from(ask.end == End::Served), all + 1));
+    let asks = report.requests.iter().filter(|ask| ask.class == 0 && (from..to).contains(&ask.sent));
+    let (served, all) = asks
+        .fold((0, 0), |(served, all), ask| (served + usize::from(ask.outcome == Outcome::Served), all + 1));
     served as f64 / all.max(1) as f64
 }
 
--- a/crates/bench/src/bin/membership.rs
+++ b/crates/bench/src/bin/membership.rs
@@ -12,11 +12,11 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use lilacquay_bench::{Subject, quantiles, raise_descriptors};
-use lilacquay_fleet::clients::{Load, run, times};
+use lilacquay_fleet::clients::{Load, latency_histogram, run};
 use lilacquay_fleet::etcd::{Etcd, EtcdPlan};
 use lilacquay_fleet::record::{Event, Log};
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::{Clock, Fleet, Plan};
+use lilacquay_fleet::{Clock, Fleet, FleetConfig};
 use tokio::runtime::Runtime;
 
 type Failed = Box<dyn Error>;
@@ -71,8 +71,14 @@
 /// Two boxes that work at no cost, and a list of such a length.
 fn fleet(boxes: usize, recorded: bool) -> Result<Fleet, Failed> {
     let ghosts = boxes.saturating_sub(2);
-    let mut plan = Plan { boxes: 2, etcd: 1, ghosts, recorded, ..Plan::default() };
-    plan.cache.work = Duration::ZERO;
+    let mut plan = FleetConfig {
+        boxes: 2,
+        etcd_endpoints: 1,
+        padding_servers: ghosts,
+        record_events: recorded,
+        ..FleetConfig::default()
+    };
+    plan.cache.hit_work = Duration::ZERO;
     plan.cache.miss_work = Duration::ZERO;
     Ok(Fleet::start(plan)?)
 }
@@ -93,7 +99,7 @@
     let subjects = [Subject::node(&args.node, &configuration(&fleet))?, following_etcd(args, &fleet)?];
     let time = PAUSE * args.changes as u32 + Duration::from_secs(2);
     let loads = subjects.iter().enumerate().map(|(n, subject)| {
-        let load = Load { rate: 1000.0, keys: 100, ..Load::usual(subject.addr, time, n as u64 + 1) };
+        let load = Load { rate: 1000.0, keys: 100, ..Load::standard(subject.addr, time, n as u64 + 1) };
         let reads = load.classes.iter().take(1).cloned().collect();
         runtime.spawn(run(Load { classes: reads, ..load }, fleet.clock().clone(), Arc::default()))
     });
@@ -117,7 +123,7 @@
     // Requests by their node, whose load's seed begins their ids, and by their box.
     let mut asked: HashMap<(u64, &str), Vec<u64>> = HashMap::new();
     for record in &records {
-        if let Event::Asked(request) = &record.event
+        if let Event::Received(request) = &record.event
             && let Ok(seed) = u64::from_str_radix(&request.id[..8], 16)
         {
             asked.entry((seed, &record.server)).or_default().push(record.at);
@@ -192,13 +198,13 @@
     let options = format!("endpoints = [\"http://{}\"]\nprefix = \"/m/\"\n", etcd.endpoints[0]);
     let node = Subject::following(&args.node, &configuration(&fleet), &options)?;
     sleep(Duration::from_secs(2));
-    let mut all: [Histogram<u64>; 2] = [times(), times()];
+    let mut all: [Histogram<u64>; 2] = [latency_histogram(), latency_histogram()];
     let (time, mut changes, mut cpu) = (Duration::from_secs(args.seconds), 0, [0, 0]);
     // The first turn finds the keys at nobody, and is not counted.
     for round in 0..=2 * args.rounds {
         let often = round % 2 == 1;
         let rate = if round == 0 { 2000.0 } else { 300.0 };
-        let load = Load { rate, keys: 50, skew: 0.0, ..Load::usual(node.addr, time, round as u64 + 1) };
+        let load = Load { rate, keys: 50, skew: 0.0, ..Load::standard(node.addr, time, round as u64 + 1) };
         let reads = load.classes.iter().take(1).cloned().collect();
         let load = run(Load { classes: reads, ..load }, fleet.clock().clone(), Arc::default());
         let (running, start, before) = (runtime.spawn(load), Instant::now(), node.cpu()?);
@@ -216,7 +222,7 @@
             return Err(format!("{} requests without a good answer in time", report.broken()).into());
         }
         if round > 0 {
-            all[usize::from(often)].add(report.served())?;
+            all[usize::from(often)].add(report.served_latencies())?;
             cpu[usize::from(often)] += spent / args.rounds as u64;
         }
     }
--- a/crates/bench/src/bin/memcached.rs
+++ b/crates/bench/src/bin/memcached.rs
@@ -11,9 +11,9 @@
 use clap::Parser;
 use lilacquay_bench::{Subject, Sum, Way, bind_to, quantiles, raise_descriptors};
 use lilacquay_codec::memcache::{Opcode, Packet, next_response};
-use lilacquay_fleet::cache::Speaks;
+use lilacquay_fleet::cache::CacheProtocol;
 use lilacquay_fleet::clients::{Load, run};
-use lilacquay_fleet::{Clock, Fleet, Plan};
+use lilacquay_fleet::{Clock, Fleet, FleetConfig};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -48,7 +48,7 @@
     /// Its node.
     node: usize,
     to: SocketAddr,
-    speaks: Speaks,
+    speaks: CacheProtocol,
 }
 
 const WAYS: [Way; 3] = [Way::Open(300), Way::Closed(1), Way::Closed(32)];
@@ -64,17 +64,18 @@
     let names = [["resp2 -> resp2", "memcached -> resp2"], ["resp2 -> memcached", "memcached -> memcached"]];
     for (node, [resp, memcached]) in names.into_iter().enumerate() {
         // All keys are at hand and take no work: what is measured is the way there and back.
-        let mut plan = Plan { boxes: 1, memcached: node, recorded: false, ..Plan::default() };
-        (plan.cache.work, plan.cache.miss_work) = (Duration::ZERO, Duration::ZERO);
-        (plan.cache.cores, plan.cache.slots, plan.cache.memory) = (10_000, 10_000, 64 << 20);
+        let mut plan =
+            FleetConfig { boxes: 1, memcached_boxes: node, record_events: false, ..FleetConfig::default() };
+        (plan.cache.hit_work, plan.cache.miss_work) = (Duration::ZERO, Duration::ZERO);
+        (plan.cache.cores, plan.cache.queue_capacity, plan.cache.memory_bytes) = (10_000, 10_000, 64 << 20);
         let fleet = Fleet::start(plan)?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         bind_to([args.core])?;
         let (configuration, options) = (fleet.configuration(any, 1024), fleet.memcached_options(any));
         let (subject, at) = Subject::speaking_memcached(&args.node, &configuration, &options)?;
         bind_to(others())?;
-        pairs.push(Pair { name: resp, node, to: subject.addr, speaks: Speaks::Resp });
-        pairs.push(Pair { name: memcached, node, to: at, speaks: Speaks::Memcached });
+        pairs.push(Pair { name: resp, node, to: subject.addr, speaks: CacheProtocol::Resp });
+        pairs.push(Pair { name: memcached, node, to: at, speaks: CacheProtocol::Memcached });
         fleets.push(fleet);
         nodes.push(subject);
     }
@@ -124,7 +125,7 @@
 /// Runs of quiet gets with a no-op behind, and as many gets one by one, in turns.
 async fn quiet_runs(args: &Args, nodes: &[Subject], pairs: &[Pair]) -> Result<(), Failed> {
     println!("\n{} keys of one client", args.run);
-    for pair in pairs.iter().filter(|pair| pair.speaks == Speaks::Memcached) {
+    for pair in pairs.iter().filter(|pair| pair.speaks == CacheProtocol::Memcached) {
         let mut stream = TcpStream::connect(pair.to).await?;
         stream.set_nodelay(true)?;
         let mut sums = [Sum::default(), Sum::default()];
@@ -202,7 +203,7 @@
 }
 
 fn load(pair: &Pair, time: Duration, seed: u64) -> Load {
-    let mut load = Load { keys: 500, speaks: pair.speaks, ..Load::usual(pair.to, time, seed) };
+    let mut load = Load { keys: 500, protocol: pair.speaks, ..Load::standard(pair.to, time, seed) };
     load.classes.truncate(1); // reads alone
     load
 }
--- a/crates/bench/src/bin/operation.rs
+++ b/crates/bench/src/bin/operation.rs
@@ -15,8 +15,8 @@
 
 use clap::Parser;
 use lilacquay_bench::{Subject, median, quantiles};
-use lilacquay_fleet::clients::{self, Load, times};
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::clients::{self, Load, latency_histogram};
+use lilacquay_fleet::{Fleet, FleetConfig};
 use lilacquay_metrics::{Book, End};
 
 type Failed = Box<dyn Error>;
@@ -229,15 +229,15 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let time = Duration::from_secs(6);
     for replaces in [false, true] {
-        let (mut gaps, mut broken, mut unreached, mut all) = (Vec::new(), 0, 0, times());
+        let (mut gaps, mut broken, mut unreached, mut all) = (Vec::new(), 0, 0, latency_histogram());
         for round in 0..args.rounds {
-            let fleet = Fleet::start(Plan { recorded: false, ..Plan::default() })?;
+            let fleet = Fleet::start(FleetConfig { record_events: false, ..FleetConfig::default() })?;
             let listener = TcpListener::bind("127.0.0.1:0")?;
             let passed = rustix::io::dup(&listener)?; // inherited by what is executed
             let (folder, at) = (tempfile::tempdir()?, listener.local_addr()?);
             let configuration = fleet.configuration(at, 512);
             let mut old = beside(&args.node, folder.path(), &configuration, Some(&passed))?;
-            let load = Load { kept: true, rate: 300.0, ..Load::usual(at, time, round as u64) };
+            let load = Load { keep_requests: true, rate: 300.0, ..Load::standard(at, time, round as u64) };
             let running = runtime.spawn(clients::run(load, fleet.clock().clone(), Arc::default()));
             let start = Instant::now();
             for second in [2, 4] {
@@ -257,12 +257,12 @@
                 }
             }
             let report = runtime.block_on(running)?;
-            let mut ends: Vec<u64> = report.asks.iter().map(|ask| ask.ended).collect();
+            let mut ends: Vec<u64> = report.requests.iter().map(|ask| ask.ended).collect();
             ends.sort_unstable();
             gaps.push(ends.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0) as f64 / 1e3);
             broken += report.broken();
             unreached += report.classes.iter().map(|class| class.unreached).sum::<u64>();
-            all.add(report.served())?;
+            all.add(report.served_latencies())?;
         }
         println!(
             "{}: longest time without an answer {:.0} ms (median of {} runs), {}, {broken} broken, {unreached} not let in",
@@ -279,13 +279,13 @@
 /// Calls on the second address while the node has all the load it can take, with callers who say half a call.
 fn second_address(args: &Args) -> Result<(), Failed> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let fleet = Fleet::start(Plan { recorded: false, ..Plan::default() })?;
+    let fleet = Fleet::start(FleetConfig { record_events: false, ..FleetConfig::default() })?;
     let folder = tempfile::tempdir()?;
     let configuration = fleet.configuration(SocketAddr::from(([127, 0, 0, 1], 0)), 512);
     let node = beside(&args.node, folder.path(), &configuration, None)?;
     for (name, clients) in [("idle", 0), ("64 clients that ask without a pause", 64)] {
-        let load = Load::usual(node.subject.addr, Duration::from_secs(12), 1);
-        let running = (clients > 0).then(|| runtime.spawn(clients::closed(load, clients)));
+        let load = Load::standard(node.subject.addr, Duration::from_secs(12), 1);
+        let running = (clients > 0).then(|| runtime.spawn(clients::run_closed_loop(load, clients)));
         let admin = node.admin;
         let half = thread::spawn(move || -> std::io::Result<()> {
             let mut open = Vec::new();
@@ -297,7 +297,7 @@
             }
             Ok(())
         });
-        let mut all = times();
+        let mut all = latency_histogram();
         let start = Instant::now();
         while start.elapsed() < Duration::from_secs(10) {
             let begun = Instant::now();
--- a/crates/bench/src/bin/scale.rs
+++ b/crates/bench/src/bin/scale.rs
@@ -14,7 +14,7 @@
 use lilacquay_bench::{Subject, raise_descriptors};
 use lilacquay_fleet::clients::{self, Load, Report};
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 type Failed = Box<dyn Error>;
 
@@ -65,11 +65,11 @@
 }
 
 fn measure(program: &Path, servers: usize, seconds: u64) -> Result<Used, Failed> {
-    let fleet = Fleet::start(Plan { boxes: servers, recorded: false, ..Plan::default() })?;
+    let fleet = Fleet::start(FleetConfig { boxes: servers, record_events: false, ..FleetConfig::default() })?;
     let node = Subject::node(program, &fleet.configuration(SocketAddr::from(([127, 0, 0, 1], 0)), 2048))?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let time = Duration::from_secs(seconds);
-    let load = Load { rate: RATE, keys: KEYS, ..Load::usual(node.addr, time, 1) };
+    let load = Load { rate: RATE, keys: KEYS, ..Load::standard(node.addr, time, 1) };
     let (start, before) = (Instant::now(), node.cpu()?);
     let load = runtime.spawn(clients::run(load, fleet.clock().clone(), Arc::default()));
     change(&fleet, servers, start + time)?;
@@ -97,6 +97,6 @@
 
 fn served(report: &Report) -> f64 {
     let others: u64 = report.classes.iter().map(|class| class.refused + class.failed + class.broken).sum();
-    let served = report.served().len();
+    let served = report.served_latencies().len();
     served as f64 / (served + others).max(1) as f64
 }
--- a/crates/bench/src/bin/siblings.rs
+++ b/crates/bench/src/bin/siblings.rs
@@ -197,13 +197,13 @@
         let trial = Trial::start(plan, folder.path())?;
         std::thread::sleep(Duration::from_secs(4));
         let time = Duration::from_secs(15);
-        let load = Load { kept: true, rate: 300.0, ..Load::usual(trial.listen(0), time, round) };
+        let load = Load { keep_requests: true, rate: 300.0, ..Load::standard(trial.listen(0), time, round) };
         let process = trial.process(0).unwrap_or_default();
         let before = processor_ms(process);
         let clock = trial.fleet.clock().clone();
         let report = runtime.block_on(runtime.spawn(clients::run(load, clock, Arc::default())))?;
         let cpu = (processor_ms(process) - before) / time.as_secs_f64();
-        let served = report.served();
+        let served = report.served_latencies();
         let ms = |quantile: f64| served.value_at_quantile(quantile) as f64 / 1e3;
         rows.push((siblings, [ms(0.5), ms(0.99), ms(0.999), cpu]));
     }
--- a/crates/bench/src/bin/side-by-side.rs
+++ b/crates/bench/src/bin/side-by-side.rs
@@ -12,7 +12,7 @@
 use clap::Parser;
 use lilacquay_bench::{Subject, Sum, Way, bind_to, quantiles, raise_descriptors};
 use lilacquay_fleet::clients::{Load, run};
-use lilacquay_fleet::{Clock, Fleet, Plan};
+use lilacquay_fleet::{Clock, Fleet, FleetConfig};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -52,9 +52,9 @@
     let all = std::thread::available_parallelism()?.get();
     let others = || (0..all).filter(|core| *core != args.core);
     // All keys are at hand and take no work: what is measured is the way there and back.
-    let mut plan = Plan { boxes: 1, recorded: false, ..Plan::default() };
-    (plan.cache.work, plan.cache.miss_work) = (Duration::ZERO, Duration::ZERO);
-    (plan.cache.cores, plan.cache.slots, plan.cache.memory) = (10_000, 10_000, 64 << 20);
+    let mut plan = FleetConfig { boxes: 1, record_events: false, ..FleetConfig::default() };
+    (plan.cache.hit_work, plan.cache.miss_work) = (Duration::ZERO, Duration::ZERO);
+    (plan.cache.cores, plan.cache.queue_capacity, plan.cache.memory_bytes) = (10_000, 10_000, 64 << 20);
     bind_to(others())?;
     let fleet = Fleet::start(plan)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
@@ -125,7 +125,7 @@
 }
 
 fn load(to: SocketAddr, time: Duration, seed: u64) -> Load {
-    let mut load = Load { keys: 500, ..Load::usual(to, time, seed) };
+    let mut load = Load { keys: 500, ..Load::standard(to, time, seed) };
     load.classes.truncate(1); // reads alone: a relay knows no origin
     load
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -218,9 +218,9 @@
         match self {
             Way::Open(rate) => {
                 let load = Load { rate: rate.into(), ..load };
-                clients::run(load, Clock::default(), Arc::default()).await.served()
+                clients::run(load, Clock::default(), Arc::default()).await.served_latencies()
             }
-            Way::Closed(clients) => clients::closed(load, clients).await,
+            Way::Closed(clients) => clients::run_closed_loop(load, clients).await,
         }
     }
 }
@@ -246,7 +246,7 @@
 
 impl Default for Sum {
     fn default() -> Self {
-        Sum { cpu: Vec::new(), rate: 0.0, times: clients::times() }
+        Sum { cpu: Vec::new(), rate: 0.0, times: clients::latency_histogram() }
     }
 }
 
--- a/crates/fleet/src/cache.rs
+++ b/crates/fleet/src/cache.rs
@@ -22,33 +22,33 @@
 use crate::origin::Missed;
 use crate::record::{Asked, Event, Log};
 use crate::slow_accept::FullListener;
-use crate::store::{Cold, Store, Warmth};
+use crate::store::{ColdStart, Store, Warmth};
 
 /// The longest command that a box reads.
 const LONGEST: usize = 128 << 10;
 
 /// What a box is.
 #[derive(Debug, Clone)]
-pub struct BoxPlan {
+pub struct BoxConfig {
     /// What it speaks.
-    pub speaks: Speaks,
+    pub protocol: CacheProtocol,
     /// Requests that it works on at once.
     pub cores: usize,
     /// Requests that wait for a core; those beyond are turned away.
-    pub slots: usize,
+    pub queue_capacity: usize,
     /// The work of a read that finds its key, in the time of one core.
-    pub work: Duration,
+    pub hit_work: Duration,
     /// The work of one that does not.
     pub miss_work: Duration,
     /// Bytes that it keeps.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// What it can take while it is cold.
-    pub cold: Cold,
+    pub cold_start: ColdStart,
 }
 
 /// What a box speaks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Speaks {
+pub enum CacheProtocol {
     /// RESP2, as PROTOCOL words it.
     Resp,
     /// memcached's binary protocol.
@@ -75,7 +75,7 @@
 
 pub(crate) struct Inner {
     name: Arc<str>,
-    plan: BoxPlan,
+    plan: BoxConfig,
     log: Log,
     missed: Missed,
     faults: watch::Sender<Faults>,
@@ -109,7 +109,7 @@
     pub(crate) async fn start(
         name: &str,
         at: SocketAddr,
-        plan: BoxPlan,
+        plan: BoxConfig,
         cold: bool,
         seed: u64,
         log: Log,
@@ -120,8 +120,8 @@
         let started = cold.then(|| log.clock().now());
         let inner = Arc::new(Inner {
             name: name.into(),
-            store: Mutex::new(Store::new(plan.memory)),
-            warmth: Mutex::new(Warmth::new(plan.cold.clone(), plan.cores, started)),
+            store: Mutex::new(Store::new(plan.memory_bytes)),
+            warmth: Mutex::new(Warmth::new(plan.cold_start.clone(), plan.cores, started)),
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
             cores: Semaphore::new(plan.cores),
             waiting: AtomicUsize::new(0),
@@ -135,8 +135,8 @@
         Ok(CacheBox { inner, addr })
     }
 
-    pub(crate) fn speaks(&self) -> Speaks {
-        self.inner.plan.speaks
+    pub(crate) fn speaks(&self) -> CacheProtocol {
+        self.inner.plan.protocol
     }
 
     /// Its faults from now on.
@@ -187,7 +187,7 @@
                 () = self.ended.cancelled() => return,
                 _ = faults.changed() => {}
                 () = sleep(Duration::from_millis(5)), if retried => {}
-                accepted = accept_on(listener.as_ref()) => if let Ok(stream) = accepted {
+                accepted = accept_if_listening(listener.as_ref()) => if let Ok(stream) = accepted {
                     tokio::spawn(self.clone().attend(stream));
                 },
             }
@@ -206,9 +206,9 @@
     }
 
     async fn speak(&self, stream: &mut TcpStream) -> Result<(), End> {
-        match self.plan.speaks {
-            Speaks::Resp => self.serve(stream).await,
-            Speaks::Memcached => self.serve_packets(stream).await,
+        match self.plan.protocol {
+            CacheProtocol::Resp => self.serve(stream).await,
+            CacheProtocol::Memcached => self.serve_packets(stream).await,
         }
     }
 
@@ -252,7 +252,7 @@
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
     ) -> Result<Done, End> {
-        self.note(Event::Asked(asked.clone()));
+        self.note(Event::Received(asked.clone()));
         tokio::select! {
             done = self.work(asked) => done,
             // Work stops when its request is cancelled: the connection closes.
@@ -348,7 +348,7 @@
             }
         }
         stream.write_all(text).await?;
-        self.note(Event::Repeated(asked.clone()));
+        self.note(Event::AnswerRepeated(asked.clone()));
         Ok(())
     }
 
@@ -377,7 +377,7 @@
             Done::Failed => error("ERR failed"),
             Done::Spoilt => self.spoilt(SPOILT),
             Done::Halted => {
-                self.note(Event::Halted(asked));
+                self.note(Event::AnswerHalted(asked));
                 return Ok(Written { text: halted(), then: Then::Silence });
             }
         };
@@ -391,9 +391,11 @@
             std::future::pending::<()>().await;
         }
         let found = lock(&self.store).get(&asked.key);
-        let work = if found.is_some() { self.plan.work } else { self.plan.miss_work };
+        let work = if found.is_some() { self.plan.hit_work } else { self.plan.miss_work };
         self.load(work)?;
-        if self.cores.available_permits() == 0 && self.waiting.load(Ordering::Relaxed) >= self.plan.slots {
+        if self.cores.available_permits() == 0
+            && self.waiting.load(Ordering::Relaxed) >= self.plan.queue_capacity
+        {
             return Ok(Done::Busy);
         }
         let waits = Waits::new(&self.waiting);
@@ -409,14 +411,14 @@
             self.missed.note(&asked.id, self.name.clone());
             return Ok(Done::Miss);
         };
-        self.note(Event::Ran(asked.clone()));
+        self.note(Event::Executed(asked.clone()));
         if self.happens(|faults| faults.reset_after) {
             return Err(End::Reset);
         }
         if self.happens(|faults| faults.fail) {
             return Ok(Done::Failed);
         }
-        if self.plan.speaks == Speaks::Resp && !asked.write && self.happens(|faults| faults.halt) {
+        if self.plan.protocol == CacheProtocol::Resp && !asked.write && self.happens(|faults| faults.halt) {
             return Ok(Done::Halted);
         }
         if self.happens(|faults| faults.spoil) {
@@ -442,7 +444,7 @@
     }
 
     fn note(&self, event: Event) {
-        self.log.note(&self.name, event);
+        self.log.record(&self.name, event);
     }
 }
 
@@ -467,7 +469,7 @@
     }
 }
 
-pub(crate) async fn accept_on(listener: Option<&TcpListener>) -> io::Result<TcpStream> {
+pub(crate) async fn accept_if_listening(listener: Option<&TcpListener>) -> io::Result<TcpStream> {
     match listener {
         Some(listener) => listener.accept().await.map(|(stream, _)| stream),
         None => std::future::pending().await,
--- a/crates/fleet/src/clients.rs
+++ b/crates/fleet/src/clients.rs
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::cache::{Speaks, value};
+use crate::cache::{CacheProtocol, value};
 use crate::clock::{Clock, Micros};
 use crate::memcache::{self, NO_ID};
 
@@ -35,11 +35,11 @@
     /// Its name in the settings.
     pub name: String,
     /// Its part of all requests, in comparison with the other classes.
-    pub share: f64,
+    pub weight: f64,
     /// What it does.
     pub kind: Kind,
     /// How long a client waits.
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 /// What the requests of a class do.
@@ -57,11 +57,11 @@
 #[derive(Debug, Clone)]
 pub struct Load {
     /// The node.
-    pub to: SocketAddr,
+    pub target: SocketAddr,
     /// Requests a second, on average; they come at random.
     pub rate: f64,
     /// For so long.
-    pub time: Duration,
+    pub duration: Duration,
     /// For all random choices, and part of each request's id.
     pub seed: u64,
     /// How many keys there are.
@@ -73,19 +73,19 @@
     /// The tenant whose clients they are, over RESP2.
     pub tenant: Option<String>,
     /// Whether each request is kept in the report.
-    pub kept: bool,
+    pub keep_requests: bool,
     /// The part of clients that leave before they are answered, most of them early in their time.
-    pub leaving: f64,
+    pub abandon_fraction: f64,
     /// What the clients speak. Over memcached, each key has its class before it.
-    pub speaks: Speaks,
+    pub protocol: CacheProtocol,
 }
 
 impl Load {
     /// The usual mix of a fleet's classes, of 1000 keys, at 300 requests a second.
-    pub fn usual(to: SocketAddr, time: Duration, seed: u64) -> Self {
-        let class = |name: &str, share, kind, wait| {
-            let (name, wait) = (name.to_owned(), Duration::from_millis(wait));
-            Class { name, share, kind, wait }
+    pub fn standard(target: SocketAddr, duration: Duration, seed: u64) -> Self {
+        let class = |name: &str, weight, kind, timeout_ms| {
+            let (name, timeout) = (name.to_owned(), Duration::from_millis(timeout_ms));
+            Class { name, weight, kind, timeout }
         };
         let classes = vec![
             class("lookup", 0.94, Kind::Read, 1000),
@@ -93,47 +93,47 @@
             class("post", 0.01, Kind::Unsafe, 2000),
         ];
         Load {
-            to,
+            target,
             rate: 300.0,
-            time,
+            duration,
             seed,
             keys: 1000,
             skew: 0.9,
             classes,
             tenant: None,
-            leaving: 0.0,
-            kept: false,
-            speaks: Speaks::Resp,
+            abandon_fraction: 0.0,
+            keep_requests: false,
+            protocol: CacheProtocol::Resp,
         }
     }
 }
 
 /// How a request ended at its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// With the value made for it.
     Served,
     /// With another value.
-    Foreign,
+    WrongValue,
     /// With `-BUSY`.
     Refused,
     /// With another error.
     Failed,
     /// With a close and no answer.
-    Lost,
+    ConnectionClosed,
     /// With the beginning of an answer, whose end its client sees.
-    Broken,
+    Truncated,
     /// With nothing, long after its time.
-    Unanswered,
+    TimedOut,
     /// The node could not be reached.
     Unreached,
     /// Its client closed before the answer.
-    Left,
+    Abandoned,
 }
 
 /// A request as its client saw it.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its id.
     pub id: String,
     /// Its class: a place in [`Load::classes`].
@@ -146,15 +146,15 @@
     /// a server saw it before, the node had read it, and has lost it.
     pub resent: Option<Micros>,
     /// How long its client waits from then.
-    pub wait: Micros,
+    pub timeout: Micros,
     /// When its answer was read whole.
     pub ended: Micros,
     /// When its client left, if it did before the answer.
-    pub left: Option<Micros>,
+    pub abandoned: Option<Micros>,
     /// How late that may have been seen.
-    pub late: Micros,
+    pub scheduling_delay: Micros,
     /// How it ended.
-    pub end: End,
+    pub outcome: Outcome,
 }
 
 /// What came of one class.
@@ -180,30 +180,30 @@
     /// By class, in the order of the load's.
     pub classes: Vec<ClassReport>,
     /// Answers, or parts, that nobody had asked for.
-    pub doubled: u64,
+    pub unsolicited_answers: u64,
     /// The most that a request was sent later than it was due, in microseconds: over some milliseconds, the load
     /// itself was too slow.
-    pub lag: Micros,
+    pub max_send_lag_us: Micros,
     /// All requests, if they are kept.
-    pub asks: Vec<Ask>,
+    pub requests: Vec<ClientRequest>,
 }
 
 impl Report {
     /// The times of all classes together.
-    pub fn served(&self) -> Histogram<u64> {
-        let mut all = times();
+    pub fn served_latencies(&self) -> Histogram<u64> {
+        let mut all = latency_histogram();
         self.classes.iter().for_each(|class| _ = all.add(&class.served));
         all
     }
 
     /// How many requests got no good answer in time, or more than one.
     pub fn broken(&self) -> u64 {
-        self.doubled + self.classes.iter().map(|class| class.broken).sum::<u64>()
+        self.unsolicited_answers + self.classes.iter().map(|class| class.broken).sum::<u64>()
     }
 }
 
 /// A histogram for times in microseconds, up to a minute.
-pub fn times() -> Histogram<u64> {
+pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are in order")
 }
 
@@ -239,9 +239,9 @@
     let shared = Arc::new(Shared::new(load, clock, progress));
     let mut report = Report {
         classes: shared.load.classes.iter().map(|class| ClassReport::new(&class.name)).collect(),
-        doubled: 0,
-        lag: 0,
-        asks: Vec::new(),
+        unsolicited_answers: 0,
+        max_send_lag_us: 0,
+        requests: Vec::new(),
     };
     let mut tasks = JoinSet::new();
     let mut rng = fastrand::Rng::with_seed(shared.load.seed);
@@ -249,12 +249,12 @@
     let mut due = start;
     loop {
         due += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / shared.load.rate.max(1e-3));
-        if due > start + shared.load.time {
+        if due > start + shared.load.duration {
             break;
         }
         sleep_until(due.into()).await;
         let (shared_, choice, pick) = (shared.clone(), rng.f64(), rng.f64());
-        let leaves = (rng.f64() < shared.load.leaving).then(|| rng.f64().powi(LEAVE_EARLY));
+        let leaves = (rng.f64() < shared.load.abandon_fraction).then(|| rng.f64().powi(LEAVE_EARLY));
         tasks.spawn(async move { shared_.ask(due, choice, pick, leaves).await });
         while let Some(Ok((ask, took))) = tasks.try_join_next() {
             shared.note(ask, took, &mut report);
@@ -267,35 +267,35 @@
     let idle = std::mem::take(&mut *shared.idle());
     // One that the node has closed meanwhile has said nothing.
     let unasked = idle.iter().filter(|stream| has_more(stream) && !has_ended(stream)).count() as u64;
-    report.doubled = unasked + shared.doubled.load(Ordering::Relaxed);
-    report.lag = shared.lag.load(Ordering::Relaxed);
+    report.unsolicited_answers = unasked + shared.doubled.load(Ordering::Relaxed);
+    report.max_send_lag_us = shared.lag.load(Ordering::Relaxed);
     report
 }
 
 /// Loads a node with so many clients that each ask again as soon as they have their answer; tells the times of
 /// those served. For what a node can carry: what waits is hidden here, unlike in an open loop.
-pub async fn closed(load: Load, clients: usize) -> Histogram<u64> {
+pub async fn run_closed_loop(load: Load, clients: usize) -> Histogram<u64> {
     let mut rng = fastrand::Rng::with_seed(load.seed);
-    let end = Instant::now() + load.time;
+    let end = Instant::now() + load.duration;
     let shared = Arc::new(Shared::new(load, Clock::default(), Arc::default()));
     let mut tasks = JoinSet::new();
     for _ in 0..clients {
         let (shared, mut rng) = (shared.clone(), rng.fork());
         tasks.spawn(async move {
-            let mut served = times();
+            let mut served = latency_histogram();
             while Instant::now() < end {
                 let due = Instant::now();
                 let (ask, took) = shared.ask(due, rng.f64(), rng.f64(), None).await;
-                match ask.end {
-                    End::Served => served.saturating_record(took.as_micros() as u64),
-                    End::Unreached => break,
+                match ask.outcome {
+                    Outcome::Served => served.saturating_record(took.as_micros() as u64),
+                    Outcome::Unreached => break,
                     _ => {}
                 }
             }
             served
         });
     }
-    let mut all = times();
+    let mut all = latency_histogram();
     while let Some(Ok(served)) = tasks.join_next().await {
         // Of the same bounds: it fits.
         let _ = all.add(&served);
@@ -306,20 +306,20 @@
 impl ClassReport {
     fn new(name: &str) -> Self {
         let name = name.to_owned();
-        ClassReport { name, served: times(), refused: 0, failed: 0, broken: 0, unreached: 0 }
+        ClassReport { name, served: latency_histogram(), refused: 0, failed: 0, broken: 0, unreached: 0 }
     }
 }
 
-impl Ask {
+impl ClientRequest {
     /// Whether its connection ended with no answer: also if it was to be sent again and the node was not there.
     pub fn is_cut_off(&self) -> bool {
-        let again_in_vain = self.end == End::Unreached && self.resent.is_some();
-        again_in_vain || matches!(self.end, End::Lost | End::Unanswered)
+        let again_in_vain = self.outcome == Outcome::Unreached && self.resent.is_some();
+        again_in_vain || matches!(self.outcome, Outcome::ConnectionClosed | Outcome::TimedOut)
     }
 
     /// Whether it got its answer so long after its time was up, beyond what may have been seen late.
     pub fn is_late(&self, slack: Micros) -> bool {
-        self.ended > self.sent + self.wait + slack + self.late
+        self.ended > self.sent + self.timeout + slack + self.scheduling_delay
     }
 }
 
@@ -339,48 +339,58 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, ask: Ask, took: Duration, report: &mut Report) {
+    fn note(&self, ask: ClientRequest, took: Duration, report: &mut Report) {
         let class = &mut report.classes[ask.class];
-        let broken = match ask.end {
-            End::Lost | End::Unanswered | End::Foreign => true,
-            End::Unreached | End::Left => false,
-            End::Served | End::Refused | End::Failed => ask.is_late(SLACK),
-            End::Broken => ask.is_late(SLACK + BROKEN_END),
+        let broken = match ask.outcome {
+            Outcome::ConnectionClosed | Outcome::TimedOut | Outcome::WrongValue => true,
+            Outcome::Unreached | Outcome::Abandoned => false,
+            Outcome::Served | Outcome::Refused | Outcome::Failed => ask.is_late(SLACK),
+            Outcome::Truncated => ask.is_late(SLACK + BROKEN_END),
         };
         class.broken += u64::from(broken);
-        let count = match ask.end {
-            End::Served => {
+        let count = match ask.outcome {
+            Outcome::Served => {
                 class.served.saturating_record(took.as_micros() as u64);
                 Some(&self.progress.served)
             }
-            End::Refused => {
+            Outcome::Refused => {
                 class.refused += 1;
                 Some(&self.progress.turned_away)
             }
-            End::Failed => {
+            Outcome::Failed => {
                 class.failed += 1;
                 Some(&self.progress.turned_away)
             }
-            End::Unreached => {
+            Outcome::Unreached => {
                 class.unreached += 1;
                 None
             }
-            End::Foreign | End::Lost | End::Broken | End::Unanswered | End::Left => None,
+            Outcome::WrongValue
+            | Outcome::ConnectionClosed
+            | Outcome::Truncated
+            | Outcome::TimedOut
+            | Outcome::Abandoned => None,
         };
         count.into_iter().for_each(|count| _ = count.fetch_add(1, Ordering::Relaxed));
         self.progress.broken.fetch_add(u64::from(broken), Ordering::Relaxed);
-        if self.load.kept {
-            report.asks.push(ask);
+        if self.load.keep_requests {
+            report.requests.push(ask);
         }
     }
 
     /// Asks once, for a class and a key chosen by two numbers from 0 to 1. A client that leaves does so after a part of its
     /// time.
-    async fn ask(&self, due: Instant, choice: f64, pick: f64, leaves: Option<f64>) -> (Ask, Duration) {
+    async fn ask(
+        &self,
+        due: Instant,
+        choice: f64,
+        pick: f64,
+        leaves: Option<f64>,
+    ) -> (ClientRequest, Duration) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         self.progress.asked.fetch_add(1, Ordering::Relaxed);
         let class = self.class(choice);
-        let Class { name, kind, wait, .. } = &self.load.classes[class];
+        let Class { name, kind, timeout: wait, .. } = &self.load.classes[class];
         let key =
             format!("{:016x}", self.keys.partition_point(|&share| share < pick).min(self.keys.len() - 1));
         let id = format!("{:08x}{number:08x}", self.load.seed as u32);
@@ -388,36 +398,51 @@
         let tenant = self.load.tenant.as_ref().map_or(String::new(), |tenant| format!(",t={tenant}"));
         let facts = format!("c={name}{tenant},d={}{idempotency}", wait.as_millis());
         let write = *kind != Kind::Read;
-        let (text, key) = match self.load.speaks {
-            Speaks::Resp => (command(&key, &id, &facts, write), key),
-            Speaks::Memcached => {
+        let (text, key) = match self.load.protocol {
+            CacheProtocol::Resp => (command(&key, &id, &facts, write), key),
+            CacheProtocol::Memcached => {
                 let mark =
                     if *kind == Kind::Keyed { u64::from_str_radix(&id, 16).unwrap_or(0) + 1 } else { 0 };
                 (memcache::command(name, &key, number as u32, write, mark), memcache::prefixed(name, &key))
             }
         };
-        let asked = Expected { speaks: self.load.speaks, id: id.clone(), key, number: number as u32, write };
+        let asked =
+            Expected { speaks: self.load.protocol, id: id.clone(), key, number: number as u32, write };
         let (first, mut reused) = (Instant::now(), None);
-        let (mut sent, mut end) = (first, End::Unreached);
+        let (mut sent, mut end) = (first, Outcome::Unreached);
         let stays = leaves.map(|part| wait.mul_f64(part));
         if let Some(stream) = self.reuse() {
             end = self.ask_on(stream, &text, &asked, *wait, stays).await;
             // A connection that the node closed between requests is no loss: once more on a new one.
-            reused = (end == End::Lost).then_some(first);
+            reused = (end == Outcome::ConnectionClosed).then_some(first);
         }
-        if end == End::Unreached || reused.is_some() {
+        if end == Outcome::Unreached || reused.is_some() {
             sent = Instant::now();
             end = match self.connect().await {
                 Ok(stream) => self.ask_on(stream, &text, &asked, *wait, stays).await,
-                Err(_) => End::Unreached,
+                Err(_) => Outcome::Unreached,
             };
         }
         self.lag.fetch_max((first - due).as_micros() as Micros, Ordering::Relaxed);
         let (ended, wait) = (self.clock.now(), wait.as_micros() as Micros);
         let resent = reused.map(|_| self.clock.at(sent));
         let (sent, late) = (self.clock.at(sent), self.clock.late());
-        let left = (end == End::Left).then_some(ended);
-        (Ask { id, class, kind: *kind, sent, resent, wait, ended, left, late, end }, due.elapsed())
+        let left = (end == Outcome::Abandoned).then_some(ended);
+        (
+            ClientRequest {
+                id,
+                class,
+                kind: *kind,
+                sent,
+                resent,
+                timeout: wait,
+                ended,
+                abandoned: left,
+                scheduling_delay: late,
+                outcome: end,
+            },
+            due.elapsed(),
+        )
     }
 
     async fn ask_on(
@@ -427,29 +452,29 @@
         asked: &Expected,
         wait: Duration,
         stays: Option<Duration>,
-    ) -> End {
+    ) -> Outcome {
         let limit = stays.unwrap_or(wait + AFTERWARDS);
         match timeout(limit, exchange(&mut stream, text, asked)).await {
-            Err(_) if stays.is_some() => End::Left,
+            Err(_) if stays.is_some() => Outcome::Abandoned,
             Ok(Exchanged::Answer(end)) => {
                 self.idle().push(stream);
                 end
             }
             Ok(Exchanged::More) => {
                 self.doubled.fetch_add(1, Ordering::Relaxed);
-                End::Foreign
+                Outcome::WrongValue
             }
-            Ok(Exchanged::Closed) => End::Lost,
-            Ok(Exchanged::Broken) => End::Broken,
-            Err(_) => End::Unanswered,
+            Ok(Exchanged::Closed) => Outcome::ConnectionClosed,
+            Ok(Exchanged::Broken) => Outcome::Truncated,
+            Err(_) => Outcome::TimedOut,
         }
     }
 
     fn class(&self, choice: f64) -> usize {
-        let all: f64 = self.load.classes.iter().map(|class| class.share).sum();
+        let all: f64 = self.load.classes.iter().map(|class| class.weight).sum();
         let mut left = choice * all;
         let chosen = self.load.classes.iter().position(|class| {
-            left -= class.share;
+            left -= class.weight;
             left < 0.0
         });
         chosen.unwrap_or(0)
@@ -469,7 +494,7 @@
     }
 
     async fn connect(&self) -> io::Result<TcpStream> {
-        let stream = TcpStream::connect(self.load.to).await?;
+        let stream = TcpStream::connect(self.load.target).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
@@ -489,7 +514,7 @@
 
 /// What a command was met with.
 enum Exchanged {
-    Answer(End),
+    Answer(Outcome),
     /// An answer with something behind it, or what can't be read.
     More,
     /// A close before any answer.
@@ -520,7 +545,7 @@
 
 /// What a client waits for.
 struct Expected {
-    speaks: Speaks,
+    speaks: CacheProtocol,
     id: String,
     key: String,
     /// The opaque over memcached.
@@ -530,13 +555,13 @@
 
 impl Expected {
     /// What the first answer in the buffer means, once it is whole; an error if it can't be read.
-    fn next(&self, buffer: &mut BytesMut) -> Option<Result<End, ()>> {
+    fn next(&self, buffer: &mut BytesMut) -> Option<Result<Outcome, ()>> {
         match self.speaks {
-            Speaks::Resp => match next_frame(buffer, LONGEST) {
+            CacheProtocol::Resp => match next_frame(buffer, LONGEST) {
                 Ok(frame) => Some(Ok(judge(&frame?, &self.id, &self.key))),
                 Err(_) => Some(Err(())),
             },
-            Speaks::Memcached => match next_response(buffer, LONGEST) {
+            CacheProtocol::Memcached => match next_response(buffer, LONGEST) {
                 Ok(packet) => Some(Ok(self.judge(&packet?))),
                 Err(_) => Some(Err(())),
             },
@@ -544,45 +569,47 @@
     }
 
     /// The node's ids are its own here: a value made for this key serves, to which the opaque ties it.
-    fn judge(&self, packet: &Packet) -> End {
+    fn judge(&self, packet: &Packet) -> Outcome {
         let about = value("", &self.key, 0);
         let about = about.trim_end_matches('0').as_bytes();
         match Status(packet.status) {
-            _ if packet.opaque != self.number => End::Foreign,
-            Status::OK if self.write && packet.value.is_empty() => End::Served,
-            Status::OK if packet.value.windows(about.len()).any(|part| part == about) => End::Served,
-            Status::OK => End::Foreign,
-            Status::BUSY => End::Refused,
-            _ => End::Failed,
+            _ if packet.opaque != self.number => Outcome::WrongValue,
+            Status::OK if self.write && packet.value.is_empty() => Outcome::Served,
+            Status::OK if packet.value.windows(about.len()).any(|part| part == about) => Outcome::Served,
+            Status::OK => Outcome::WrongValue,
+            Status::BUSY => Outcome::Refused,
+            _ => Outcome::Failed,
         }
     }
 }
 
 /// Whether a text is a value, or a receipt, of this id and key.
-pub(crate) fn made_for(text: &[u8], id: &str, key: &str) -> bool {
+pub(crate) fn is_value_for(text: &[u8], id: &str, key: &str) -> bool {
     text.starts_with(value(id, key, 0).trim_end_matches('0').as_bytes())
 }
 
-fn judge(frame: &Frame, id: &str, key: &str) -> End {
+fn judge(frame: &Frame, id: &str, key: &str) -> Outcome {
     match frame {
         // A value, or a write's receipt: either names the request, but for what a box says that was told no id.
-        Frame::BulkString(text) if made_for(text, id, key) || made_for(text, NO_ID, key) => End::Served,
-        Frame::BulkString(_) => End::Foreign,
+        Frame::BulkString(text) if is_value_for(text, id, key) || is_value_for(text, NO_ID, key) => {
+            Outcome::Served
+        }
+        Frame::BulkString(_) => Outcome::WrongValue,
         // A cache's own answer: the value, how it went, and a load report.
         Frame::Array(parts) if matches!(parts.first(), Some(Frame::BulkString(_))) => {
             judge(&parts[0], id, key)
         }
-        Frame::Error(text) if text.starts_with("BUSY") => End::Refused,
-        _ => End::Failed,
+        Frame::Error(text) if text.starts_with("BUSY") => Outcome::Refused,
+        _ => Outcome::Failed,
     }
 }
 
 pub(crate) fn command(key: &str, id: &str, facts: &str, write: bool) -> BytesMut {
-    command_of(key, id, facts, write.then_some(b"tuesday"))
+    encode_command_with_value(key, id, facts, write.then_some(b"tuesday"))
 }
 
 /// A write of a value, or a read if there is none.
-pub(crate) fn command_of(key: &str, id: &str, facts: &str, value: Option<&[u8]>) -> BytesMut {
+pub(crate) fn encode_command_with_value(key: &str, id: &str, facts: &str, value: Option<&[u8]>) -> BytesMut {
     let mut text = BytesMut::new();
     put_array(&mut text, if value.is_some() { 5 } else { 4 });
     for part in [if value.is_some() { "CACHE.SET" } else { "CACHE.GET" }, key, id, facts] {
@@ -621,9 +648,9 @@
     #[test]
     fn only_a_value_made_for_the_request_serves_it() {
         let bulk = |text: &str| Frame::BulkString(text.to_owned().into());
-        assert_eq!(judge(&bulk(&value("i1", "k", 7)), "i1", "k"), End::Served);
-        assert_eq!(judge(&bulk(&value("i2", "k", 7)), "i1", "k"), End::Foreign);
-        assert_eq!(judge(&Frame::Error("BUSY 5".into()), "i1", "k"), End::Refused);
-        assert_eq!(judge(&Frame::Error("ERR failed".into()), "i1", "k"), End::Failed);
+        assert_eq!(judge(&bulk(&value("i1", "k", 7)), "i1", "k"), Outcome::Served);
+        assert_eq!(judge(&bulk(&value("i2", "k", 7)), "i1", "k"), Outcome::WrongValue);
+        assert_eq!(judge(&Frame::Error("BUSY 5".into()), "i1", "k"), Outcome::Refused);
+        assert_eq!(judge(&Frame::Error("ERR failed".into()), "i1", "k"), Outcome::Failed);
     }
 }
--- a/crates/fleet/src/cluster.rs
+++ b/crates/fleet/src/cluster.rs
@@ -19,7 +19,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::{Clock, Micros};
-use crate::{Fleet, Plan};
+use crate::{Fleet, FleetConfig};
 
 /// The longest datagram that nodes may send, and one byte more to tell a longer one.
 const LONGEST: usize = 256;
@@ -149,7 +149,7 @@
     /// For the ways' random choices.
     pub seed: u64,
     /// What they all serve.
-    pub fleet: Plan,
+    pub fleet: FleetConfig,
     /// What they hold in common, as `common` of their options names it; what those say of themselves if it is not named.
     pub common: Option<Vec<&'static str>>,
     /// These have a discovery that answers nothing: they go by the list that they start with.
@@ -159,7 +159,7 @@
 impl TrialPlan {
     /// Of so many siblings, with nothing else out of the ordinary.
     pub fn new(program: PathBuf, nodes: usize, seed: u64) -> TrialPlan {
-        let fleet = Plan { seed, ..Plan::default() };
+        let fleet = FleetConfig { seed, ..FleetConfig::default() };
         TrialPlan { program, nodes, siblings: true, seed, fleet, common: None, deaf: Vec::new() }
     }
 }
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -21,7 +21,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::origin::{accept, text};
-use crate::record::{Event, Log, Told};
+use crate::record::{Event, Log, ServerState};
 
 /// A call that has waited so long for its turn fails.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
     /// Its kind; the origin's is `origin`.
     pub kind: String,
     /// Its state.
-    pub state: Told,
+    pub state: ServerState,
     /// When it started, Unix time in milliseconds; 0 is long ago.
     pub started_ms: u64,
     /// The version in which it changed last; set when it is put.
@@ -51,12 +51,12 @@
     /// A server in service in zone `a` since long ago.
     pub fn new(id: &str, addr: SocketAddr, kind: &str) -> Self {
         let (zone, kind) = ("a".into(), kind.into());
-        Listed { id: id.into(), addr, zone, kind, state: Told::Serving, started_ms: 0, version: 0 }
+        Listed { id: id.into(), addr, zone, kind, state: ServerState::Serving, started_ms: 0, version: 0 }
     }
 
     /// The value of its key in etcd.
     pub fn value(&self) -> String {
-        let state = if self.state == Told::Serving { "serving" } else { "draining" };
+        let state = if self.state == ServerState::Serving { "serving" } else { "draining" };
         json!({"addr": self.addr.to_string(), "zone": self.zone, "kind": self.kind, "cell": 0, "state": state,
                "weight": 1.0, "started_ms": self.started_ms})
         .to_string()
@@ -64,9 +64,9 @@
 
     fn json(&self) -> serde_json::Value {
         let state = match self.state {
-            Told::Serving => "SERVING",
-            Told::Draining => "DRAINING",
-            Told::Deleted => "DELETED",
+            ServerState::Serving => "SERVING",
+            ServerState::Draining => "DRAINING",
+            ServerState::Deleted => "DELETED",
         };
         json!({"id": &*self.id, "addr": self.addr.to_string(), "zone": self.zone, "kind": self.kind, "cell": 0,
                "state": state, "weight": 1.0, "started_ms": self.started_ms})
@@ -78,13 +78,13 @@
 struct Listing {
     version: u64,
     servers: Vec<Listed>,
-    trouble: Trouble,
+    trouble: DiscoveryFault,
 }
 
 /// What is wrong with discovery.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Trouble {
+pub enum DiscoveryFault {
     /// Nothing.
     #[default]
     None,
@@ -147,7 +147,7 @@
     }
 
     /// What is wrong with it from now on.
-    pub fn set_trouble(&self, trouble: Trouble) {
+    pub fn set_trouble(&self, trouble: DiscoveryFault) {
         self.inner.listing.send_modify(|listing| listing.trouble = trouble);
     }
 
@@ -174,7 +174,7 @@
         let mut listing = self.listing.subscribe();
         tokio::select! {
             () = self.ended.cancelled() => {}
-            _ = listing.wait_for(|listing| listing.trouble == Trouble::Down) => {}
+            _ = listing.wait_for(|listing| listing.trouble == DiscoveryFault::Down) => {}
             _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
         }
     }
@@ -189,11 +189,11 @@
             pairs.find(|pair| pair.0 == name).and_then(|pair| pair.1.parse::<u64>().ok())
         };
         let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0));
-        self.log.note(&"discovery".into(), Event::Called { whole: after.is_none() });
+        self.log.record(&"discovery".into(), Event::ListRequested { whole: after.is_none() });
         let mut listing = self.listing.subscribe();
         if let Some(after) = after {
-            let newer =
-                listing.wait_for(|listing| listing.version > after || listing.trouble == Trouble::Refusing);
+            let newer = listing
+                .wait_for(|listing| listing.version > after || listing.trouble == DiscoveryFault::Refusing);
             let _ = timeout(Duration::from_millis(wait), newer).await;
             sleep(self.delay).await;
         }
@@ -204,15 +204,15 @@
             }
             Err(_) => false,
         };
-        let _ = listing.wait_for(|listing| listing.trouble != Trouble::Silent).await;
+        let _ = listing.wait_for(|listing| listing.trouble != DiscoveryFault::Silent).await;
         let listing = listing.borrow().clone();
-        if matches!(listing.trouble, Trouble::Down | Trouble::Refusing) || !served {
+        if matches!(listing.trouble, DiscoveryFault::Down | DiscoveryFault::Refusing) || !served {
             return text(StatusCode::SERVICE_UNAVAILABLE, String::new());
         }
         let after = after.filter(|&after| after <= listing.version && after + REMEMBERED > listing.version);
         for server in listing.servers.iter().filter(|server| after.is_none_or(|after| server.version > after))
         {
-            self.log.note(&server.id, Event::Told(server.state));
+            self.log.record(&server.id, Event::StateSent(server.state));
         }
         text(StatusCode::OK, self.word(&listing, after))
     }
@@ -221,7 +221,7 @@
     fn word(&self, listing: &Listing, after: Option<u64>) -> String {
         let wanted = |server: &&Listed| match after {
             Some(after) => server.version > after,
-            None => server.state != Told::Deleted,
+            None => server.state != ServerState::Deleted,
         };
         let servers: Vec<_> = listing.servers.iter().filter(wanted).map(Listed::json).collect();
         json!({"version": listing.version, "full": after.is_none(), "servers": servers}).to_string()
--- a/crates/fleet/src/etcd/server.rs
+++ b/crates/fleet/src/etcd/server.rs
@@ -33,7 +33,7 @@
 
 use super::store::{Change, Refused, Store};
 use crate::clock::Micros;
-use crate::record::{Event, Log, Told};
+use crate::record::{Event, Log, ServerState};
 
 /// Watches that ask for it are told so often how far they are. etcd's own is ten minutes.
 const PROGRESS: Duration = Duration::from_secs(1);
@@ -248,11 +248,11 @@
     fn note(&self, kv: &KeyValue, kind: EventType) {
         let Some(id) = self.id(kv) else { return };
         let told = match kind {
-            EventType::Delete => Told::Deleted,
-            EventType::Put if memmem(&kv.value, b"draining") => Told::Draining,
-            EventType::Put => Told::Serving,
+            EventType::Delete => ServerState::Deleted,
+            EventType::Put if memmem(&kv.value, b"draining") => ServerState::Draining,
+            EventType::Put => ServerState::Serving,
         };
-        self.log.note(&id.as_str().into(), Event::Told(told));
+        self.log.record(&id.as_str().into(), Event::StateSent(told));
         lock(&self.ids).insert(id);
     }
 
@@ -263,7 +263,7 @@
             let gone =
                 |id: &&String| lock(&self.store).get(&[&self.prefix, id.as_bytes()].concat()).is_none();
             for id in lock(&self.ids).iter().filter(gone) {
-                self.log.note(&id.as_str().into(), Event::Told(Told::Deleted));
+                self.log.record(&id.as_str().into(), Event::StateSent(ServerState::Deleted));
             }
         }
     }
@@ -313,7 +313,7 @@
                 () = ended.cancelled() => return,
                 _ = self.faults.changed() => {}
                 () = sleep(Duration::from_millis(5)), if listener.is_none() && !refuse => {} // tried again
-                accepted = crate::cache::accept_on(listener.as_ref()) => if let Ok(stream) = accepted {
+                accepted = crate::cache::accept_if_listening(listener.as_ref()) => if let Ok(stream) = accepted {
                     tokio::spawn(self.clone().attend(stream));
                 },
             }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -27,5 +27,5 @@
 
 pub use clock::{Clock, Micros};
 pub use fault::Faults;
-pub use site::{Fleet, Plan};
+pub use site::{Fleet, FleetConfig};
 pub use slow_accept::FullListener;
--- a/crates/fleet/src/origin.rs
+++ b/crates/fleet/src/origin.rs
@@ -33,15 +33,15 @@
 
 /// What the origin is.
 #[derive(Debug, Clone)]
-pub struct OriginPlan {
+pub struct OriginConfig {
     /// Requests that it works on at once.
-    pub at_once: usize,
+    pub concurrency: usize,
     /// Requests that wait; those beyond are turned away with 503 and `X-Unprocessed: 1`.
-    pub slots: usize,
+    pub queue_capacity: usize,
     /// The time that one takes.
-    pub work: Duration,
+    pub service_time: Duration,
     /// For how long it knows a keyed write's repeats.
-    pub window: Duration,
+    pub deduplication_window: Duration,
 }
 
 /// Which boxes have missed for which request, and the boxes.
@@ -107,7 +107,7 @@
 
 struct Inner {
     name: Arc<str>,
-    plan: OriginPlan,
+    plan: OriginConfig,
     log: Log,
     missed: Missed,
     faults: watch::Sender<Faults>,
@@ -127,7 +127,7 @@
 impl Origin {
     pub(crate) async fn start(
         name: &str,
-        plan: OriginPlan,
+        plan: OriginConfig,
         seed: u64,
         log: Log,
         missed: Missed,
@@ -137,7 +137,7 @@
         let rng = fastrand::Rng::with_seed(seed);
         let inner = Arc::new(Inner {
             name: name.into(),
-            places: Semaphore::new(plan.at_once),
+            places: Semaphore::new(plan.concurrency),
             waiting: AtomicUsize::new(0),
             books: Mutex::new(Books { versions: HashMap::new(), known: HashMap::new(), rng }),
             faults: watch::Sender::new(Faults::default()),
@@ -196,11 +196,13 @@
         if request.into_body().collect().await.is_err() {
             return text(StatusCode::BAD_REQUEST, String::new()).map(Either::Left);
         }
-        self.note(Event::Asked(asked.clone()));
+        self.note(Event::Received(asked.clone()));
         if self.happens(|faults| faults.swallow) {
             std::future::pending::<()>().await;
         }
-        if self.places.available_permits() == 0 && self.waiting.load(Ordering::Relaxed) >= self.plan.slots {
+        if self.places.available_permits() == 0
+            && self.waiting.load(Ordering::Relaxed) >= self.plan.queue_capacity
+        {
             let mut busy = text(StatusCode::SERVICE_UNAVAILABLE, String::new());
             busy.headers_mut().insert("X-Unprocessed", hyper::header::HeaderValue::from_static("1"));
             return busy.map(Either::Left);
@@ -215,7 +217,7 @@
     async fn work(&self, asked: &Asked, reset: &CancellationToken) -> Answer {
         let mut faults = self.faults.subscribe();
         let slow = faults.borrow().slow;
-        sleep(self.plan.work.mul_f64(slow)).await;
+        sleep(self.plan.service_time.mul_f64(slow)).await;
         let _ = faults.wait_for(|faults| !faults.stalled).await;
         let version = self.run(asked);
         if self.happens(|faults| faults.reset_after) {
@@ -230,7 +232,7 @@
             return text(StatusCode::OK, "x".repeat(80 << 10)).map(Either::Left);
         }
         if self.happens(|faults| faults.cut) {
-            self.note(Event::Cut(asked.clone()));
+            self.note(Event::AnswerCut(asked.clone()));
             let whole = value(&asked.id, &asked.key, version);
             return Response::new(Either::Right(CutBody::new(whole.into())));
         }
@@ -246,7 +248,7 @@
         let now = self.log.clock().now();
         let mut books = self.books();
         if let Some(key) = &asked.idempotency {
-            let window = self.plan.window.as_micros() as Micros;
+            let window = self.plan.deduplication_window.as_micros() as Micros;
             books.known.retain(|_, at| *at + window > now);
             if books.known.contains_key(key) {
                 self.note(Event::Discarded(asked.clone()));
@@ -254,7 +256,7 @@
             }
             books.known.insert(key.clone(), now);
         }
-        self.note(Event::Ran(asked.clone()));
+        self.note(Event::Executed(asked.clone()));
         let version = books.versions.entry(asked.key.clone()).or_insert(1);
         *version += u64::from(asked.write);
         *version
@@ -270,7 +272,7 @@
     }
 
     fn note(&self, event: Event) {
-        self.log.note(&self.name, event);
+        self.log.record(&self.name, event);
     }
 }
 
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -13,7 +13,7 @@
     /// When.
     pub at: Micros,
     /// How late it may have been seen.
-    pub late: Micros,
+    pub scheduling_delay: Micros,
     /// By which server.
     pub server: Arc<str>,
     /// What.
@@ -26,28 +26,28 @@
     /// The first byte of a command has come.
     FirstByte,
     /// A whole command has come.
-    Asked(Asked),
+    Received(Asked),
     /// It was carried out: a value found, or a write's effect.
-    Ran(Asked),
+    Executed(Asked),
     /// A write was known from its key and had no second effect.
     Discarded(Asked),
     /// An answer was sent once more, on a connection that was still open.
-    Repeated(Asked),
+    AnswerRepeated(Asked),
     /// The beginning of a large value was sent, and no more will come.
-    Halted(Asked),
+    AnswerHalted(Asked),
     /// An answer of no told length broke off in the middle.
-    Cut(Asked),
+    AnswerCut(Asked),
     /// A command that no client sent in this form.
     Syntax(String),
     /// A cold box was pushed over.
     PushedOver,
     /// A node has called for the list, or for its changes.
-    Called {
+    ListRequested {
         /// For the whole list.
         whole: bool,
     },
     /// Discovery has told a node that this server is in that state.
-    Told(Told),
+    StateSent(ServerState),
 }
 
 /// A request, as a server saw it.
@@ -82,7 +82,7 @@
 
 /// What discovery tells of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum ServerState {
     /// In service.
     Serving,
     /// Finishing what it has.
@@ -117,11 +117,16 @@
     }
 
     /// Notes what a server has seen now.
-    pub fn note(&self, server: &Arc<str>, event: Event) {
+    pub fn record(&self, server: &Arc<str>, event: Event) {
         if !self.kept {
             return;
         }
-        let record = Record { at: self.clock.now(), late: self.clock.late(), server: server.clone(), event };
+        let record = Record {
+            at: self.clock.now(),
+            scheduling_delay: self.clock.late(),
+            server: server.clone(),
+            event,
+        };
         let mut book = self.book();
         match book.records.len() < MOST {
             true => book.records.push(record),
--- a/crates/fleet/src/script.rs
+++ b/crates/fleet/src/script.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::discovery::Trouble;
+use crate::discovery::DiscoveryFault;
 use crate::etcd::EtcdFaults;
 use crate::fault::Faults;
 
@@ -45,7 +45,7 @@
     /// Discovery is down, silent, or back.
     Discovery {
         /// What is wrong with it from now on.
-        trouble: Trouble,
+        trouble: DiscoveryFault,
     },
     /// An endpoint of etcd has these faults from now on, and no others.
     Etcd {
@@ -64,7 +64,7 @@
 
 /// A script in which each kind of fault comes once, for a quarter of the time, at boxes that the seed chooses.
 /// The last quarter is calm. Boxes are named `box-0` and so on.
-pub fn troubles(seed: u64, boxes: usize, over: Duration) -> Script {
+pub fn mixed_faults(seed: u64, boxes: usize, over: Duration) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut script = Script::new();
     let mut order: Vec<usize> = (0..boxes).collect();
@@ -94,15 +94,15 @@
     script.push((over.mul_f64(0.2 + 0.4 * rng.f64()), Step::Remove { server: name(1) }));
     let (server, by) = (name(2), "box-new".into());
     script.push((over.mul_f64(0.2 + 0.2 * rng.f64()), Step::Replace { server, by }));
-    script.push((over.mul_f64(0.5), Step::Discovery { trouble: Trouble::Down }));
-    script.push((over.mul_f64(0.6), Step::Discovery { trouble: Trouble::None }));
+    script.push((over.mul_f64(0.5), Step::Discovery { trouble: DiscoveryFault::Down }));
+    script.push((over.mul_f64(0.6), Step::Discovery { trouble: DiscoveryFault::None }));
     script.sort_by_key(|(at, _)| *at);
     script
 }
 
 /// A script in which etcd is compacted again and again, its streams break, its endpoints hang and are lost in turn,
 /// while boxes drain and come back, go and are replaced. The last fifth is calm.
-pub fn lost_watches(seed: u64, boxes: usize, endpoints: usize, over: Duration) -> Script {
+pub fn watch_faults(seed: u64, boxes: usize, endpoints: usize, over: Duration) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut script = Script::new();
     let until = 0.8;
--- a/crates/fleet/src/site.rs
+++ b/crates/fleet/src/site.rs
@@ -10,79 +10,84 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::cache::{BoxPlan, CacheBox, Speaks};
+use crate::cache::{BoxConfig, CacheBox, CacheProtocol};
 use crate::clients::Load;
 use crate::clock::Clock;
 use crate::discovery::{Discovery, Listed};
 use crate::etcd::{Etcd, EtcdPlan};
 use crate::memcache;
-use crate::origin::{Missed, Origin, OriginPlan};
-use crate::record::{Log, Record, Told};
+use crate::origin::{Missed, Origin, OriginConfig};
+use crate::record::{Log, Record, ServerState};
 use crate::script::Step;
 use crate::settings;
-use crate::store::Cold;
+use crate::store::ColdStart;
 
 /// What a fleet is.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     /// For all its random choices.
     pub seed: u64,
     /// How many cache boxes there are, warm and named `box-0` and so on.
     pub boxes: usize,
     /// What each box is.
-    pub cache: BoxPlan,
+    pub cache: BoxConfig,
     /// What the origin, named `origin`, is.
-    pub origin: OriginPlan,
+    pub origin: OriginConfig,
     /// How much later than a change discovery tells it.
-    pub delay: Duration,
+    pub notification_delay: Duration,
     /// The work of a call at discovery, which works on one at a time.
-    pub call: Duration,
+    pub discovery_call_time: Duration,
     /// What the settings allow between word of a drain and the last thing sent.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// Whether the settings have nodes ask for the list.
-    pub asked: bool,
+    pub subscribe: bool,
     /// How many requests at once the settings allow on a connection.
-    pub streams: u32,
+    pub max_streams: u32,
     /// How many endpoints of etcd there are; it lists the same servers as discovery. 0 is no etcd.
-    pub etcd: usize,
+    pub etcd_endpoints: usize,
     /// How many of the boxes, the last of them, speak memcached; their kind of machine is `memcached`.
-    pub memcached: usize,
+    pub memcached_boxes: usize,
     /// How many servers more are listed, as draining, that nobody meets: for the length of the list.
-    pub ghosts: usize,
+    pub padding_servers: usize,
     /// Whether what comes is recorded.
-    pub recorded: bool,
+    pub record_events: bool,
 }
 
-impl Default for Plan {
+impl Default for FleetConfig {
     /// Six boxes of two cores; an origin that can take 400 fetches a second.
     fn default() -> Self {
-        Plan {
+        FleetConfig {
             seed: 1,
             boxes: 6,
-            cache: BoxPlan {
-                speaks: Speaks::Resp,
+            cache: BoxConfig {
+                protocol: CacheProtocol::Resp,
                 cores: 2,
-                slots: 32,
-                work: Duration::from_millis(5),
+                queue_capacity: 32,
+                hit_work: Duration::from_millis(5),
                 miss_work: Duration::from_millis(1),
-                memory: 1 << 20,
-                cold: Cold { time: 5_000_000, from: 0.2, factor: 3.0, fall: 1_000_000 },
+                memory_bytes: 1 << 20,
+                cold_start: ColdStart {
+                    duration: 5_000_000,
+                    initial_capacity: 0.2,
+                    overload_factor: 3.0,
+                    overload_window: 1_000_000,
+                },
             },
-            origin: OriginPlan {
-                at_once: 8,
-                slots: 64,
-                work: Duration::from_millis(20),
-                window: Duration::from_millis(2500),
+            origin: OriginConfig {
+                concurrency: 8,
+                queue_capacity: 64,
+                service_time: Duration::from_millis(20),
+                deduplication_window: Duration::from_millis(2500),
             },
-            delay: Duration::ZERO,
-            call: Duration::ZERO,
-            grace: Duration::from_millis(500),
-            asked: false,
-            streams: 1,
-            etcd: 0,
-            memcached: 0,
-            ghosts: 0,
-            recorded: true,
+            notification_delay: Duration::ZERO,
+            discovery_call_time: Duration::ZERO,
+            drain_grace: Duration::from_millis(500),
+            subscribe: false,
+            max_streams: 1,
+            etcd_endpoints: 0,
+            memcached_boxes: 0,
+            padding_servers: 0,
+            record_events: true,
         }
     }
 }
@@ -104,14 +109,14 @@
     /// The stand-in etcd, if there is one. It may be called from any thread.
     pub etcd: Option<Arc<Etcd>>,
     known: String,
-    plan: Plan,
+    plan: FleetConfig,
     orders: Option<mpsc::UnboundedSender<(Order, sync::Sender<io::Result<()>>)>>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// The servers, on their thread.
 struct Servers {
-    plan: Plan,
+    plan: FleetConfig,
     log: Log,
     missed: Missed,
     boxes: HashMap<String, CacheBox>,
@@ -120,7 +125,7 @@
     etcd: Option<Arc<Etcd>>,
     started: u64,
     /// What must wait for the network, with its order's answer.
-    later: Vec<(String, SocketAddr, Speaks)>,
+    later: Vec<(String, SocketAddr, CacheProtocol)>,
 }
 
 impl Fleet {
@@ -128,7 +133,7 @@
     ///
     /// # Errors
     /// If a socket or the thread can't be had.
-    pub fn start(plan: Plan) -> io::Result<Fleet> {
+    pub fn start(plan: FleetConfig) -> io::Result<Fleet> {
         let (ready, started) = sync::channel();
         let (orders, inbox) = mpsc::unbounded_channel();
         let kept = plan.clone();
@@ -187,8 +192,8 @@
 
     /// The options by which a node speaks memcached, to the boxes that do and at that address to clients.
     pub fn memcached_options(&self, listen: SocketAddr) -> String {
-        let usual = Load::usual(listen, Duration::ZERO, 0);
-        let classes = usual.classes.iter().map(|class| (&*class.name, class.wait));
+        let usual = Load::standard(listen, Duration::ZERO, 0);
+        let classes = usual.classes.iter().map(|class| (&*class.name, class.timeout));
         memcache::options(&listen.to_string(), classes)
     }
 
@@ -223,11 +228,11 @@
 }
 
 async fn run(
-    plan: Plan,
+    plan: FleetConfig,
     ready: sync::Sender<io::Result<Started>>,
     mut inbox: mpsc::UnboundedReceiver<(Order, sync::Sender<io::Result<()>>)>,
 ) {
-    let log = Log::new(Clock::default(), plan.recorded);
+    let log = Log::new(Clock::default(), plan.record_events);
     tokio::spawn(log.clock().clone().metronome());
     let mut servers = match Servers::start(plan, log.clone()).await {
         Ok(servers) => servers,
@@ -248,13 +253,14 @@
 }
 
 impl Servers {
-    async fn start(plan: Plan, log: Log) -> io::Result<Servers> {
+    async fn start(plan: FleetConfig, log: Log) -> io::Result<Servers> {
         let missed = Missed::default();
         let origin =
             Origin::start("origin", plan.origin.clone(), plan.seed ^ 0x0419, log.clone(), missed.clone())
                 .await?;
-        let discovery = Discovery::start(plan.delay, plan.call, log.clone()).await?;
-        let etcd = match plan.etcd {
+        let discovery =
+            Discovery::start(plan.notification_delay, plan.discovery_call_time, log.clone()).await?;
+        let etcd = match plan.etcd_endpoints {
             0 => None,
             endpoints => {
                 let (prefix, seed) = (PREFIX.to_owned(), plan.seed);
@@ -266,15 +272,15 @@
         let (boxes, later) = Default::default();
         let mut servers = Servers { plan, log, missed, boxes, origin, discovery, etcd, started: 0, later };
         servers.list(listed);
-        for n in 0..servers.plan.ghosts {
-            let state = Told::Draining;
+        for n in 0..servers.plan.padding_servers {
+            let state = ServerState::Draining;
             let ghost = Listed::new(&format!("ghost-{n}"), (Ipv4Addr::LOCALHOST, 9).into(), "standard");
             servers.list(Listed { state, ..ghost });
         }
         for n in 0..servers.plan.boxes {
-            let speaks = match n + servers.plan.memcached < servers.plan.boxes {
-                true => Speaks::Resp,
-                false => Speaks::Memcached,
+            let speaks = match n + servers.plan.memcached_boxes < servers.plan.boxes {
+                true => CacheProtocol::Resp,
+                false => CacheProtocol::Memcached,
             };
             servers.enter(&format!("box-{n}"), (Ipv4Addr::LOCALHOST, 0).into(), speaks, false).await?;
         }
@@ -282,9 +288,15 @@
     }
 
     /// Starts a box and lists it.
-    async fn enter(&mut self, name: &str, at: SocketAddr, speaks: Speaks, cold: bool) -> io::Result<()> {
+    async fn enter(
+        &mut self,
+        name: &str,
+        at: SocketAddr,
+        speaks: CacheProtocol,
+        cold: bool,
+    ) -> io::Result<()> {
         self.started += 1;
-        let plan = BoxPlan { speaks, ..self.plan.cache.clone() };
+        let plan = BoxConfig { protocol: speaks, ..self.plan.cache.clone() };
         let seed = self.plan.seed ^ (self.started << 32);
         let cache = loop {
             let (log, missed) = (self.log.clone(), self.missed.clone());
@@ -296,7 +308,7 @@
         };
         self.missed.enter(name, &cache.inner);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let kind = if speaks == Speaks::Resp { "standard" } else { "memcached" };
+        let kind = if speaks == CacheProtocol::Resp { "standard" } else { "memcached" };
         let started_ms = if cold { unix.as_millis() as u64 } else { 0 };
         self.list(Listed { started_ms, ..Listed::new(name, cache.addr, kind) });
         self.boxes.insert(name.to_owned(), cache);
@@ -307,14 +319,14 @@
     fn list(&self, server: Listed) {
         if let Some(etcd) = &self.etcd {
             match server.state {
-                Told::Deleted => etcd.delete(&server.id),
+                ServerState::Deleted => etcd.delete(&server.id),
                 _ => etcd.put(&server.id, &server.value()),
             }
         }
         self.discovery.put(server);
     }
 
-    fn set_state(&self, server: &str, state: Told) {
+    fn set_state(&self, server: &str, state: ServerState) {
         if let Some(listed) = self.discovery.listed(server) {
             self.list(Listed { state, ..listed });
         }
@@ -328,8 +340,8 @@
                     cache.set_faults(faults);
                 }
             }
-            Step::Drain { server } => self.turn(&server, Told::Draining)?,
-            Step::Undrain { server } => self.turn(&server, Told::Serving)?,
+            Step::Drain { server } => self.turn(&server, ServerState::Draining)?,
+            Step::Undrain { server } => self.turn(&server, ServerState::Serving)?,
             Step::Remove { server } => drop(self.remove(&server)?),
             Step::Replace { server, by } => {
                 let old = self.remove(&server)?;
@@ -361,7 +373,7 @@
         }
     }
 
-    fn turn(&self, server: &str, state: Told) -> io::Result<()> {
+    fn turn(&self, server: &str, state: ServerState) -> io::Result<()> {
         if self.cache(server)?.is_some() {
             self.set_state(server, state);
         }
@@ -369,7 +381,7 @@
     }
 
     fn remove(&mut self, server: &str) -> io::Result<CacheBox> {
-        self.set_state(server, Told::Deleted);
+        self.set_state(server, ServerState::Deleted);
         self.boxes.remove(server).ok_or_else(|| no_box(server))
     }
 }
--- a/crates/fleet/src/slow_accept.rs
+++ b/crates/fleet/src/slow_accept.rs
@@ -26,14 +26,14 @@
     /// # Errors
     /// If the address can't be had.
     pub fn bind(addr: SocketAddr) -> io::Result<FullListener> {
-        FullListener::fill(FullListener::with_one_place(addr)?)
+        FullListener::fill(FullListener::with_backlog_of_one(addr)?)
     }
 
     /// A listener with room for one connection that waits to be accepted.
     ///
     /// # Errors
     /// If the address can't be had.
-    pub fn with_one_place(addr: SocketAddr) -> io::Result<TcpListener> {
+    pub fn with_backlog_of_one(addr: SocketAddr) -> io::Result<TcpListener> {
         let socket = Socket::new(Domain::for_address(addr), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&addr.into())?;
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// If the system doesn't tell.
-    pub fn is_attempted(&self) -> io::Result<bool> {
+    pub fn has_pending_handshake(&self) -> io::Result<bool> {
         let SocketAddr::V4(addr) = self.local_addr()? else {
             return Err(io::ErrorKind::Unsupported.into());
         };
--- a/crates/fleet/src/soak/faults.rs
+++ b/crates/fleet/src/soak/faults.rs
@@ -6,7 +6,7 @@
 
 use super::{CACHES, FAULTS, HELD_UP, KILL, LONGEST, NODES};
 use crate::fault::Faults;
-use crate::script::{Script, Step, troubles};
+use crate::script::{Script, Step, mixed_faults};
 
 /// What is done to a node's process.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -80,8 +80,8 @@
 /// Draws the servers' faults: two scripts that overlap, and connections that come up late.
 pub(super) fn script(seed: u64) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5c71);
-    let mut script = troubles(seed, CACHES, FAULTS);
-    let more = troubles(seed ^ 0xfeed, CACHES, FAULTS);
+    let mut script = mixed_faults(seed, CACHES, FAULTS);
+    let more = mixed_faults(seed ^ 0xfeed, CACHES, FAULTS);
     script.extend(more.into_iter().filter(|(_, step)| matches!(step, Step::Faults { .. })));
     for _ in 0..4 {
         let server = format!("box-{}", rng.usize(..CACHES));
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -19,11 +19,11 @@
 use rustix::process::Signal;
 use tokio::runtime::Builder;
 
-use crate::clients::{self, Ask, Class, End, Kind, Load, Report};
+use crate::clients::{self, Class, ClientRequest, Kind, Load, Outcome, Report};
 use crate::clock::Micros;
 use crate::record::Event;
-use crate::verdict::{Broken, check};
-use crate::{Fleet, Plan};
+use crate::verdict::{Violation, check};
+use crate::{Fleet, FleetConfig};
 
 use faults::{Act, acts, script};
 use pipelined::{Pace, Pipelined, pipelined};
@@ -150,7 +150,12 @@
     fn start(program: &Program, folder: &Path, seed: u64) -> io::Result<Soak> {
         let system_calls = SystemCallFaults::draw(program, folder, seed);
         let delay = Duration::from_millis(seed % 4 * 100);
-        let fleet = Fleet::start(Plan { seed, boxes: CACHES, delay, ..Plan::default() })?;
+        let fleet = Fleet::start(FleetConfig {
+            seed,
+            boxes: CACHES,
+            notification_delay: delay,
+            ..FleetConfig::default()
+        })?;
         let place = |node: usize| {
             // Addresses of their own: no client's connection takes a node's port while it is down.
             let listen = SocketAddr::from(([127, 77, (seed % 250) as u8, node as u8 + 1], 0));
@@ -170,14 +175,14 @@
     fn load(&self, node: usize) -> Load {
         let seed = self.seed * 1000 + node as u64;
         let time = FAULTS + LONGEST + KILL; // up to the kill
-        let usual = Load::usual(self.places[node].listen, time, seed);
+        let usual = Load::standard(self.places[node].listen, time, seed);
         let short = |share, wait| {
             let wait = Duration::from_millis(wait);
-            Class { name: "lookup".into(), share, kind: Kind::Read, wait }
+            Class { name: "lookup".into(), weight: share, kind: Kind::Read, timeout: wait }
         };
         let mut classes = usual.classes.clone();
         classes.extend([short(0.15, 40), short(0.15, 250), short(0.05, 5)]);
-        Load { classes, kept: true, rate: 10.0, leaving: 0.25, keys: 300, ..usual }
+        Load { classes, keep_requests: true, rate: 10.0, abandon_fraction: 0.25, keys: 300, ..usual }
     }
 
     /// The processes that run, by node.
@@ -265,11 +270,11 @@
     fn judge(self, reports: Vec<Report>) -> Verdict {
         let (mut asks, mut doubled) = (Vec::new(), 0);
         for (node, report) in reports.into_iter().enumerate() {
-            doubled += report.doubled;
+            doubled += report.unsolicited_answers;
             let held_up = &self.places[node].held_up;
-            let granted = report.asks.into_iter().map(|mut ask| {
+            let granted = report.requests.into_iter().map(|mut ask| {
                 // The machine's lateness is not the node's.
-                ask.late += self.run_delays.between(node, ask.sent, ask.ended);
+                ask.scheduling_delay += self.run_delays.between(node, ask.sent, ask.ended);
                 (node, allow_for_hold_ups(ask, held_up))
             });
             asks.extend(granted);
@@ -277,12 +282,12 @@
         let before = asks.len();
         asks.retain(|(node, ask)| !came_as_the_listener_closed(ask, &self.places[*node].told_to_end));
         let as_it_closed = before - asks.len();
-        let asks: Vec<Ask> = asks.into_iter().map(|(_, ask)| ask).collect();
-        let most_granted = asks.iter().map(|ask| ask.late).max().unwrap_or(0) as usize;
+        let asks: Vec<ClientRequest> = asks.into_iter().map(|(_, ask)| ask).collect();
+        let most_granted = asks.iter().map(|ask| ask.scheduling_delay).max().unwrap_or(0) as usize;
         let (records, dropped) = self.fleet.records();
         let mut told = self.told;
         let broken = check((&records, dropped), &asks, doubled, TOLD);
-        told.extend(broken.iter().map(Broken::to_string));
+        told.extend(broken.iter().map(Violation::to_string));
         // Of a node that the script held up, the records are judged above, with what is granted.
         for place in self.places.iter().filter(|place| place.held_up.is_empty()) {
             told.extend(place.violations.iter().map(|line| format!("{}: {line}", place.listen)));
@@ -290,7 +295,7 @@
         let sent_on: BTreeSet<&str> = records
             .iter()
             .filter_map(|record| match &record.event {
-                Event::Asked(asked) => Some(asked.id.as_str()),
+                Event::Received(asked) => Some(asked.id.as_str()),
                 _ => None,
             })
             .collect();
@@ -310,18 +315,19 @@
         let behind = |seen: &Pipelined| seen.unanswered.iter().filter(|one| one.behind_broken).count();
         let behind_broken: usize = self.pipelined.iter().map(behind).sum();
         let large: usize = self.pipelined.iter().map(|seen| seen.large).sum();
-        let repeated = records.iter().filter(|record| matches!(record.event, Event::Repeated(_))).count();
-        let halted = records.iter().filter(|record| matches!(record.event, Event::Halted(_))).count();
-        let cut = records.iter().filter(|record| matches!(record.event, Event::Cut(_))).count();
-        let ended = |end: End| asks.iter().filter(|ask| ask.end == end).count();
-        let asked = records.iter().filter(|record| matches!(record.event, Event::Asked(_))).count();
+        let repeated =
+            records.iter().filter(|record| matches!(record.event, Event::AnswerRepeated(_))).count();
+        let halted = records.iter().filter(|record| matches!(record.event, Event::AnswerHalted(_))).count();
+        let cut = records.iter().filter(|record| matches!(record.event, Event::AnswerCut(_))).count();
+        let ended = |end: Outcome| asks.iter().filter(|ask| ask.outcome == end).count();
+        let asked = records.iter().filter(|record| matches!(record.event, Event::Received(_))).count();
         let coverage = BTreeMap::from([
             ("requests", asks.len()),
-            ("served", ended(End::Served)),
-            ("refused", ended(End::Refused)),
-            ("failed", ended(End::Failed)),
-            ("left", ended(End::Left)),
-            ("unreached", ended(End::Unreached)),
+            ("served", ended(Outcome::Served)),
+            ("refused", ended(Outcome::Refused)),
+            ("failed", ended(Outcome::Failed)),
+            ("left", ended(Outcome::Abandoned)),
+            ("unreached", ended(Outcome::Unreached)),
             ("sent again", asks.iter().filter(|ask| ask.resent.is_some()).count()),
             ("attempts", asked),
             ("pipelined", pipelined),
@@ -331,7 +337,7 @@
             ("answers sent twice", repeated),
             ("values that stopped", halted),
             ("answers cut, of no length", cut),
-            ("broken off at a client", ended(End::Broken)),
+            ("broken off at a client", ended(Outcome::Truncated)),
             ("system calls that failed", self.system_calls.injected()),
             ("lateness granted, ms", most_granted / 1000),
         ]);
@@ -354,18 +360,18 @@
 
 /// Whether a new connection came as its node closed its listener, and got no answer: between the last look at the backlog and
 /// the close. New connections come for 0.4 s after word to end at most, and the node takes them for 0.5 s.
-fn came_as_the_listener_closed(ask: &Ask, told_to_end: &[Micros]) -> bool {
+fn came_as_the_listener_closed(ask: &ClientRequest, told_to_end: &[Micros]) -> bool {
     let closing = |told: &Micros| {
         let since = ask.sent.saturating_sub(*told);
-        (LAST_NEW..=LISTENER_CLOSES + HELD_UP.as_micros() as Micros + ask.late).contains(&since)
+        (LAST_NEW..=LISTENER_CLOSES + HELD_UP.as_micros() as Micros + ask.scheduling_delay).contains(&since)
     };
-    ask.end == End::Lost && ask.resent.is_none() && told_to_end.iter().any(closing)
+    ask.outcome == Outcome::ConnectionClosed && ask.resent.is_none() && told_to_end.iter().any(closing)
 }
 
 /// A node that is held up acts that much later, which the operators grant.
-fn allow_for_hold_ups(mut ask: Ask, held_up: &[(Micros, Micros)]) -> Ask {
+fn allow_for_hold_ups(mut ask: ClientRequest, held_up: &[(Micros, Micros)]) -> ClientRequest {
     let met = |(begin, end): &&(Micros, Micros)| *begin <= ask.ended && ask.sent <= *end;
     let granted = held_up.iter().filter(met).map(|(begin, end)| end.saturating_sub(*begin)).max();
-    ask.late += granted.unwrap_or(0);
+    ask.scheduling_delay += granted.unwrap_or(0);
     ask
 }
--- a/crates/fleet/src/soak/pipelined.rs
+++ b/crates/fleet/src/soak/pipelined.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::clients::{command_of, made_for};
+use crate::clients::{encode_command_with_value, is_value_for};
 
 /// Requests that a client has under way.
 const IN_FLIGHT: usize = 3;
@@ -167,9 +167,9 @@
         self.number += 1;
         let text = if self.number.is_multiple_of(LARGE_EVERY) {
             seen.large += 1;
-            command_of(&key, &id, &format!("{WRITE},k={id}"), Some(&[b'x'; LARGE]))
+            encode_command_with_value(&key, &id, &format!("{WRITE},k={id}"), Some(&[b'x'; LARGE]))
         } else {
-            command_of(&key, &id, READ, None)
+            encode_command_with_value(&key, &id, READ, None)
         };
         (Asked { id, key, written: Instant::now() }, text)
     }
@@ -179,7 +179,7 @@
     fn answer(&mut self, asked: &Asked, frame: &Frame) {
         self.answered += 1;
         if let Frame::BulkString(value) = frame
-            && !made_for(value, &asked.id, &asked.key)
+            && !is_value_for(value, &asked.id, &asked.key)
         {
             self.foreign.push(asked.id.clone());
         }
--- a/crates/fleet/src/store.rs
+++ b/crates/fleet/src/store.rs
@@ -68,20 +68,20 @@
 /// What a box that has started cold can take: a share of its capacity that grows evenly until it is warm. Sent
 /// more than a multiple of that for some time, it falls over.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// It is warm after this time.
-    pub time: Micros,
+    pub duration: Micros,
     /// The part of its capacity that it starts with.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It falls when sent this multiple of what it can do ...
-    pub factor: f64,
+    pub overload_factor: f64,
     /// ... for this long.
-    pub fall: Micros,
+    pub overload_window: Micros,
 }
 
 /// The warmth of one box, and the work that it was sent lately.
 pub struct Warmth {
-    cold: Cold,
+    cold: ColdStart,
     cores: f64,
     /// When it started; none was warm from the beginning.
     started: Option<Micros>,
@@ -90,15 +90,18 @@
 
 impl Warmth {
     /// A box of so many cores.
-    pub fn new(cold: Cold, cores: usize, started: Option<Micros>) -> Self {
+    pub fn new(cold: ColdStart, cores: usize, started: Option<Micros>) -> Self {
         Warmth { cold, cores: cores as f64, started, sent: VecDeque::new() }
     }
 
     /// The part of its capacity that it has.
     pub fn share(&self, now: Micros) -> f64 {
         let age = self.started.map(|started| now.saturating_sub(started));
-        match age.filter(|&age| age < self.cold.time) {
-            Some(age) => self.cold.from + (1.0 - self.cold.from) * age as f64 / self.cold.time as f64,
+        match age.filter(|&age| age < self.cold.duration) {
+            Some(age) => {
+                self.cold.initial_capacity
+                    + (1.0 - self.cold.initial_capacity) * age as f64 / self.cold.duration as f64
+            }
             None => 1.0,
         }
     }
@@ -111,11 +114,11 @@
             return false;
         }
         self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| at + self.cold.fall < now) {
+        while self.sent.front().is_some_and(|(at, _)| at + self.cold.overload_window < now) {
             self.sent.pop_front();
         }
         let sent: Micros = self.sent.iter().map(|(_, work)| work).sum();
-        sent as f64 > self.cold.factor * share * self.cores * self.cold.fall as f64
+        sent as f64 > self.cold.overload_factor * share * self.cores * self.cold.overload_window as f64
     }
 }
 
@@ -140,7 +143,12 @@
 
     #[test]
     fn a_cold_box_falls_when_pushed_and_a_warm_one_does_not() {
-        let cold = Cold { time: 20_000_000, from: 0.2, factor: 3.0, fall: 1_000_000 };
+        let cold = ColdStart {
+            duration: 20_000_000,
+            initial_capacity: 0.2,
+            overload_factor: 3.0,
+            overload_window: 1_000_000,
+        };
         let mut warmth = Warmth::new(cold.clone(), 2, Some(0));
         assert!((warmth.share(10_000_000) - 0.6).abs() < 1e-9);
         assert_eq!((warmth.share(0), warmth.share(20_000_000)), (0.2, 1.0));
--- a/crates/fleet/tests/clients.rs
+++ b/crates/fleet/tests/clients.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacquay_fleet::Clock;
-use lilacquay_fleet::clients::{End, Load, Report, run};
+use lilacquay_fleet::clients::{Load, Outcome, Report, run};
 
 /// A node of a few lines: reads commands and has each answered by its words.
 fn node(answer: fn(&mut TcpStream, &[String], usize) -> bool) -> SocketAddr {
@@ -59,7 +59,7 @@
 
 fn load(to: SocketAddr) -> Report {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let load = Load { rate: 200.0, kept: true, ..Load::usual(to, Duration::from_millis(500), 1) };
+    let load = Load { rate: 200.0, keep_requests: true, ..Load::standard(to, Duration::from_millis(500), 1) };
     runtime.block_on(run(load, Clock::default(), Arc::default()))
 }
 
@@ -68,8 +68,8 @@
     let report = load(node(|stream, words, n| {
         stream.write_all(good(words).as_bytes()).is_ok() && n < 2 // closed after two
     }));
-    assert!(report.asks.len() > 20);
-    assert!(report.asks.iter().all(|ask| ask.end == End::Served), "{:?}", report.asks);
+    assert!(report.requests.len() > 20);
+    assert!(report.requests.iter().all(|ask| ask.outcome == Outcome::Served), "{:?}", report.requests);
     assert_eq!(report.broken(), 0);
 }
 
@@ -87,15 +87,15 @@
             },
         };
         let report = load(node(twice));
-        assert!(report.doubled > 0, "at the answer {at} of a connection");
+        assert!(report.unsolicited_answers > 0, "at the answer {at} of a connection");
     }
 }
 
 #[test]
 fn another_requests_value_is_no_answer_and_a_close_instead_of_one_is_a_loss() {
     let foreign = load(node(|stream, _, _| stream.write_all(b"$5\r\ni k v\r\n").is_ok()));
-    assert!(foreign.asks.iter().all(|ask| ask.end == End::Foreign));
+    assert!(foreign.requests.iter().all(|ask| ask.outcome == Outcome::WrongValue));
     let lost = load(node(|_, _, _| false));
-    assert!(lost.asks.iter().all(|ask| ask.end == End::Lost));
-    assert_eq!(lost.broken(), lost.asks.len() as u64);
+    assert!(lost.requests.iter().all(|ask| ask.outcome == Outcome::ConnectionClosed));
+    assert_eq!(lost.broken(), lost.requests.len() as u64);
 }
--- a/crates/fleet/tests/faults.rs
+++ b/crates/fleet/tests/faults.rs
@@ -9,7 +9,7 @@
 use lilacquay_fleet::fault::{Faults, MemcachedFaults};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 /// Reached only by a test that fails.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -48,8 +48,8 @@
 }
 
 /// A fleet of one box, which holds the key `k`.
-fn stocked(plan: Plan) -> Fleet {
-    let fleet = Fleet::start(Plan { boxes: 1, ..plan }).unwrap();
+fn stocked(plan: FleetConfig) -> Fleet {
+    let fleet = Fleet::start(FleetConfig { boxes: 1, ..plan }).unwrap();
     let miss = hear(&mut ask(fleet.boxes[0], "i"));
     assert_eq!(miss, "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n");
     let fetched = http(fleet.origin, "GET", "i", "c=lookup,d=1000", "");
@@ -75,16 +75,16 @@
 }
 
 fn asked(fleet: &Fleet) -> usize {
-    count(fleet, |event| matches!(event, Event::Asked(_)))
+    count(fleet, |event| matches!(event, Event::Received(_)))
 }
 
 fn ran(fleet: &Fleet) -> usize {
-    count(fleet, |event| matches!(event, Event::Ran(_)))
+    count(fleet, |event| matches!(event, Event::Executed(_)))
 }
 
 #[test]
 fn a_reset_before_the_end_never_runs_and_one_after_it_has_run() {
-    let fleet = stocked(Plan::default());
+    let fleet = stocked(FleetConfig::default());
     let (asked_before, ran_before) = (asked(&fleet), ran(&fleet));
     fault(&fleet, "box-0", Faults { reset_before: 1.0, ..Faults::default() });
     assert_eq!(hear(&mut ask(fleet.boxes[0], "j")), "");
@@ -102,7 +102,7 @@
 
 #[test]
 fn what_is_spoilt_or_fails_has_run() {
-    let fleet = stocked(Plan::default());
+    let fleet = stocked(FleetConfig::default());
     let before = ran(&fleet);
     fault(&fleet, "box-0", Faults { spoil: 1.0, ..Faults::default() });
     let spoilt = hear(&mut ask(fleet.boxes[0], "j"));
@@ -116,7 +116,7 @@
 
 #[test]
 fn what_is_swallowed_gets_no_answer_and_what_is_stalled_gets_it_later() {
-    let fleet = stocked(Plan::default());
+    let fleet = stocked(FleetConfig::default());
     let before = asked(&fleet);
     let arrived = |n| {
         let deadline = Instant::now() + PATIENCE;
@@ -145,7 +145,7 @@
 
 #[test]
 fn slow_work_takes_its_time_and_refused_connections_are_none() {
-    let fleet = stocked(Plan::default());
+    let fleet = stocked(FleetConfig::default());
     fault(&fleet, "box-0", Faults { slow: 20.0, ..Faults::default() });
     let start = Instant::now();
     assert_eq!(hear(&mut ask(fleet.boxes[0], "j")), HIT);
@@ -163,7 +163,7 @@
 
 #[test]
 fn the_origin_discards_the_repeats_of_a_keyed_write_and_drops_the_copies() {
-    let fleet = stocked(Plan::default());
+    let fleet = stocked(FleetConfig::default());
     let before = ran(&fleet);
     let first = http(fleet.origin, "PUT", "w1", "c=signup,d=1000,k=x", "v");
     let again = http(fleet.origin, "PUT", "w2", "c=signup,d=1000,k=x", "v");
@@ -175,10 +175,10 @@
 
 #[test]
 fn a_full_box_turns_away_and_a_cold_one_that_is_pushed_over_stays_down() {
-    let mut plan = Plan::default();
-    (plan.cache.cores, plan.cache.slots) = (1, 1);
+    let mut plan = FleetConfig::default();
+    (plan.cache.cores, plan.cache.queue_capacity) = (1, 1);
     plan.cache.miss_work = Duration::from_millis(200);
-    let fleet = Fleet::start(Plan { boxes: 1, ..plan }).unwrap();
+    let fleet = Fleet::start(FleetConfig { boxes: 1, ..plan }).unwrap();
     let deadline = Instant::now() + PATIENCE;
     fault(&fleet, "box-0", Faults { stalled: true, ..Faults::default() });
     let mut links: Vec<TcpStream> = (0..8).map(|n| ask(fleet.boxes[0], &format!("i{n}"))).collect();
@@ -202,7 +202,7 @@
 
 #[test]
 fn a_step_for_a_box_that_never_was_is_an_error_and_one_that_is_gone_stays_gone() {
-    let fleet = Fleet::start(Plan { boxes: 2, ..Plan::default() }).unwrap();
+    let fleet = Fleet::start(FleetConfig { boxes: 2, ..FleetConfig::default() }).unwrap();
     let drain = |server: &str| fleet.step(Step::Drain { server: server.into() });
     assert!(drain("box-9").unwrap_err().to_string().contains("no box box-9"));
     fleet.step(Step::Remove { server: "box-1".into() }).unwrap();
@@ -213,7 +213,7 @@
 
 /// A fleet of one box that speaks memcached and holds the key `k`.
 fn stocked_memcached() -> Fleet {
-    let fleet = Fleet::start(Plan { boxes: 1, memcached: 1, ..Plan::default() }).unwrap();
+    let fleet = Fleet::start(FleetConfig { boxes: 1, memcached_boxes: 1, ..FleetConfig::default() }).unwrap();
     let mut link = connect(fleet.boxes[0]);
     send_get(&mut link, "k", 7);
     assert_eq!(packet(&mut link), Some((7, Status::KEY_NOT_FOUND, String::new())));
--- a/crates/lilacquay/src/load.rs
+++ b/crates/lilacquay/src/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacquay_fleet::Clock;
-use lilacquay_fleet::cache::Speaks;
+use lilacquay_fleet::cache::CacheProtocol;
 use lilacquay_fleet::clients::{self, ClassReport, Load, Progress, Report};
 use tokio::time::{MissedTickBehavior, interval};
 
@@ -18,12 +18,12 @@
 
 /// Runs a load; a success if no rule was broken and the node was reached.
 pub fn run(args: LoadArgs) -> ExitCode {
-    let mut load = Load::usual(args.to, args.time, args.seed);
+    let mut load = Load::standard(args.to, args.time, args.seed);
     (load.rate, load.keys, load.skew) = (args.rate, args.keys, args.skew);
     if args.memcached {
-        load.speaks = Speaks::Memcached;
+        load.protocol = CacheProtocol::Memcached;
     }
-    load.classes.iter_mut().zip(args.mix.0).for_each(|(class, share)| class.share = share);
+    load.classes.iter_mut().zip(args.mix.0).for_each(|(class, share)| class.weight = share);
     let runtime = match tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -75,11 +75,11 @@
     for class in &report.classes {
         line(&mut out, class)?;
     }
-    writeln!(out, "answers that nobody asked for: {}", report.doubled)?;
+    writeln!(out, "answers that nobody asked for: {}", report.unsolicited_answers)?;
     if unreached > 0 {
         writeln!(out, "the node was not reached by {unreached} requests")?;
     }
-    let lag = report.lag as f64 / 1000.0;
+    let lag = report.max_send_lag_us as f64 / 1000.0;
     writeln!(out, "the load itself ran late by {lag:.1} ms at most")
 }
 
--- a/crates/lilacquay/tests/cli.rs
+++ b/crates/lilacquay/tests/cli.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output, Stdio};
 
 use common::Running;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 fn lilacquay(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lilacquay"));
@@ -29,7 +29,7 @@
 }
 
 fn fleet() -> Fleet {
-    Fleet::start(Plan { boxes: 2, ..Plan::default() }).unwrap()
+    Fleet::start(FleetConfig { boxes: 2, ..FleetConfig::default() }).unwrap()
 }
 
 #[test]
--- a/crates/lilacquay/tests/common/mod.rs
+++ b/crates/lilacquay/tests/common/mod.rs
@@ -21,7 +21,7 @@
 /// Waits until the node has begun a connection that meets the full backlog.
 pub fn wait_for_attempt(late: &FullListener) {
     let start = Instant::now();
-    while !late.is_attempted().unwrap() {
+    while !late.has_pending_handshake().unwrap() {
         assert!(start.elapsed() < PATIENCE, "no connection was begun");
         sleep(Duration::from_millis(1));
     }
--- a/crates/lilacquay/tests/console.rs
+++ b/crates/lilacquay/tests/console.rs
@@ -15,7 +15,7 @@
 use lilacquay_fleet::clients::{self, Load, Report};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::verdict::check;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 /// What the settings allow between an order and the last thing sent, in microseconds, and what sockets take.
 const GRACE: u64 = 550_000;
@@ -33,7 +33,7 @@
 
 impl Site {
     fn new(boxes: usize) -> Site {
-        let fleet = Fleet::start(Plan { boxes, ..Plan::default() }).unwrap();
+        let fleet = Fleet::start(FleetConfig { boxes, ..FleetConfig::default() }).unwrap();
         let folder = tempfile::tempdir().unwrap();
         let file = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
         file("node.json", &fleet.configuration(SocketAddr::from(([127, 0, 0, 1], 0)), 512));
@@ -54,7 +54,8 @@
 
     /// 300 requests a second while something is done.
     fn under_load<T>(&self, time: Duration, work: impl FnOnce() -> T) -> (Report, T) {
-        let load = Load { kept: true, ..Load::usual(self.node.as_ref().unwrap().addr(), time, 7) };
+        let load =
+            Load { keep_requests: true, ..Load::standard(self.node.as_ref().unwrap().addr(), time, 7) };
         let running = self.runtime.spawn(clients::run(load, self.fleet.clock().clone(), Arc::default()));
         let done = work();
         (self.runtime.block_on(running).unwrap(), done)
@@ -130,7 +131,7 @@
         (from, to)
     });
     let (records, dropped) = site.fleet.records();
-    assert_eq!(check((&records, dropped), &report.asks, report.doubled, 500_000), vec![]);
+    assert_eq!(check((&records, dropped), &report.requests, report.unsolicited_answers, 500_000), vec![]);
     assert_eq!(report.broken(), 0);
     let at_box = |record: &&lilacquay_fleet::record::Record| {
         &*record.server == "box-1" && record.event == Event::FirstByte
@@ -266,7 +267,7 @@
     assert_eq!(report.broken(), 0);
     // Were the node held up by one that stands still, most would have waited for seconds. The median, since a busy machine
     // makes some of them late for its own reasons.
-    let median = report.served().value_at_quantile(0.5);
+    let median = report.served_latencies().value_at_quantile(0.5);
     assert!(median < 300_000, "{median} us");
 }
 
--- a/crates/lilacquay/tests/deadlines.rs
+++ b/crates/lilacquay/tests/deadlines.rs
@@ -290,7 +290,7 @@
 fn a_keyed_write_was_repeated_after_its_window_since_the_connection_came_up_late() {
     const CLASS: &str = r#"{"Name":"signup","Aim":800.0,"HardLimit":2000.0,"Effect":"keyed","DedupScope":"all","Window":700.0,"Worth":9.0}"#;
     let settings = SETTINGS.replacen(r#""Classes":["#, &format!(r#""Classes":[{CLASS},"#), 1);
-    let listener = FullListener::with_one_place(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+    let listener = FullListener::with_backlog_of_one(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     let addr = listener.local_addr().unwrap();
     let (cache, discovery) = (Fake::cache(), Fake::http());
     let known = list(41, &[("s-1", cache.addr)], addr);
--- a/crates/lilacquay/tests/deployments.rs
+++ b/crates/lilacquay/tests/deployments.rs
@@ -10,11 +10,11 @@
 
 use common::*;
 use lilacquay_fleet::clients::{self, Load};
-use lilacquay_fleet::discovery::Trouble;
-use lilacquay_fleet::record::{Event, Record, Told};
+use lilacquay_fleet::discovery::DiscoveryFault;
+use lilacquay_fleet::record::{Event, Record, ServerState};
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::verdict::{Broken, check};
-use lilacquay_fleet::{Fleet, FullListener, Plan};
+use lilacquay_fleet::verdict::{Violation, check};
+use lilacquay_fleet::{Fleet, FleetConfig, FullListener};
 
 const GRACE: Duration = Duration::from_millis(250);
 /// What sockets are allowed beyond.
@@ -32,7 +32,14 @@
 
 impl Asked {
     fn new(seed: u64) -> Asked {
-        let plan = Plan { seed, asked: true, call: CALL, grace: GRACE, streams: 32, ..Plan::default() };
+        let plan = FleetConfig {
+            seed,
+            subscribe: true,
+            discovery_call_time: CALL,
+            drain_grace: GRACE,
+            max_streams: 32,
+            ..FleetConfig::default()
+        };
         let fleet = Fleet::start(plan).unwrap();
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let start = |_| {
@@ -51,7 +58,7 @@
     }
 
     fn calls(&self) -> usize {
-        self.records().iter().filter(|r| matches!(r.event, Event::Called { .. })).count()
+        self.records().iter().filter(|r| matches!(r.event, Event::ListRequested { .. })).count()
     }
 
     /// Waits until as many calls have come as there are nodes.
@@ -64,13 +71,13 @@
     }
 
     /// How often nodes were told that a box is in that state.
-    fn told(&self, name: &str, state: Told) -> usize {
-        let told = |r: &&Record| &*r.server == name && r.event == Event::Told(state);
+    fn told(&self, name: &str, state: ServerState) -> usize {
+        let told = |r: &&Record| &*r.server == name && r.event == Event::StateSent(state);
         self.records().iter().filter(told).count()
     }
 
     /// Waits until all nodes were told; tells how long that took.
-    fn until_told(&self, name: &str, state: Told) -> Duration {
+    fn until_told(&self, name: &str, state: ServerState) -> Duration {
         let start = Instant::now();
         while self.told(name, state) < self.nodes.len() {
             assert!(start.elapsed() < PATIENCE, "{name} {state:?}: {} nodes know", self.told(name, state));
@@ -90,7 +97,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let load = |(n, node): (usize, &(Node, _))| {
         let time = Duration::from_secs(22);
-        let load = Load { kept: true, rate: 60.0, ..Load::usual(node.0.addr(), time, n as u64) };
+        let load = Load { keep_requests: true, rate: 60.0, ..Load::standard(node.0.addr(), time, n as u64) };
         runtime.spawn(clients::run(load, site.fleet.clock().clone(), Arc::default()))
     };
     let loads: Vec<_> = site.nodes.iter().enumerate().map(load).collect();
@@ -99,46 +106,47 @@
     // Their first calls all come at once. They know the list, and ask for what has changed since.
     site.until_all_have_called();
     drain("box-0");
-    let calm = site.until_told("box-0", Told::Draining);
+    let calm = site.until_told("box-0", ServerState::Draining);
     assert!(calm < Duration::from_secs(2), "told after {calm:?}, three turns and the way");
     // Calls fail for two seconds.
-    trouble(Trouble::Refusing);
+    trouble(DiscoveryFault::Refusing);
     let before = site.calls();
     sleep(Duration::from_secs(2));
     let failed = site.calls() - before;
     assert!((3..=24).contains(&failed), "{failed} calls by three nodes in two seconds of refusals");
     drain("box-1");
-    trouble(Trouble::None);
-    let back = site.until_told("box-1", Told::Draining);
+    trouble(DiscoveryFault::None);
+    let back = site.until_told("box-1", ServerState::Draining);
     assert!(back < Duration::from_secs(5), "told {back:?} after the end");
     // Silent for thirteen.
-    trouble(Trouble::Silent);
+    trouble(DiscoveryFault::Silent);
     let before = site.calls();
     drain("box-2");
     sleep(Duration::from_secs(13));
     let unanswered = site.calls() - before;
     assert!((3..=52).contains(&unanswered), "{unanswered} calls by three nodes in 13 silent seconds");
-    assert_eq!(site.told("box-2", Told::Draining), 0);
-    trouble(Trouble::None);
-    let back = site.until_told("box-2", Told::Draining);
+    assert_eq!(site.told("box-2", ServerState::Draining), 0);
+    trouble(DiscoveryFault::None);
+    let back = site.until_told("box-2", ServerState::Draining);
     // Half of MustAskIn is the longest pause after failures.
     assert!(back < Duration::from_secs(5) + 6 * CALL, "told {back:?} after the silence");
     let (mut asks, mut doubled, mut served) = (Vec::new(), 0, 0);
     for load in loads {
         let report = runtime.block_on(load).unwrap();
-        (doubled, served) = (doubled + report.doubled, served + report.served().len() as usize);
-        asks.extend(report.asks);
+        (doubled, served) =
+            (doubled + report.unsolicited_answers, served + report.served_latencies().len() as usize);
+        asks.extend(report.requests);
     }
     let (records, dropped) = site.fleet.records();
     // Who was told what is not recorded: of drains, the verdict knows the first word, and nodes hear it in turn, after
     // failures each in its own time. From the last word on nothing new may come.
     let mut broken = check((&records, dropped), &asks, doubled, 0);
-    broken.retain(|one| !matches!(one, Broken::AfterDrain(..)));
+    broken.retain(|one| !matches!(one, Violation::SentAfterDrain(..)));
     assert_eq!(broken, []);
     for name in ["box-0", "box-1", "box-2"] {
         let of = |event: Event| records.iter().rfind(|r| &*r.server == name && r.event == event);
-        let word = of(Event::Told(Told::Draining)).map(|r| r.at).expect("told");
-        let since = of(Event::FirstByte).map_or(0, |r| r.at.saturating_sub(word + r.late));
+        let word = of(Event::StateSent(ServerState::Draining)).map(|r| r.at).expect("told");
+        let since = of(Event::FirstByte).map_or(0, |r| r.at.saturating_sub(word + r.scheduling_delay));
         assert!(
             since <= (GRACE + SLACK).as_micros() as u64,
             "{name} was sent to {since} us after the last word"
--- a/crates/lilacquay/tests/etcd.rs
+++ b/crates/lilacquay/tests/etcd.rs
@@ -10,10 +10,10 @@
 use common::{Fake, Node, PATIENCE};
 use lilacquay_fleet::clients::{self, Load, Report};
 use lilacquay_fleet::etcd::{Etcd, EtcdFaults, EtcdPlan};
-use lilacquay_fleet::record::{Event, Log, Told};
-use lilacquay_fleet::script::{Script, Step, lost_watches};
+use lilacquay_fleet::record::{Event, Log, ServerState};
+use lilacquay_fleet::script::{Script, Step, watch_faults};
 use lilacquay_fleet::verdict::check;
-use lilacquay_fleet::{Clock, Fleet, Plan};
+use lilacquay_fleet::{Clock, Fleet, FleetConfig};
 use serde_json::{Value, json};
 use tokio::runtime::Runtime;
 
@@ -44,7 +44,7 @@
 
 fn play(fleet: &Fleet, load: Load, script: Script) -> Report {
     let (start, runtime) = (Instant::now(), runtime());
-    let load = Load { kept: true, ..load };
+    let load = Load { keep_requests: true, ..load };
     let running = runtime.spawn(clients::run(load, fleet.clock().clone(), Arc::default()));
     for (at, step) in script {
         std::thread::sleep((start + at).saturating_duration_since(Instant::now()));
@@ -62,18 +62,21 @@
             for &seed in seeds {
                 let drains = &drains;
                 scope.spawn(move || {
-                    let fleet = Fleet::start(Plan { seed, etcd: 3, ..Plan::default() }).unwrap();
+                    let fleet =
+                        Fleet::start(FleetConfig { seed, etcd_endpoints: 3, ..FleetConfig::default() })
+                            .unwrap();
                     let folder = folder(&fleet);
                     let node = Node::serving(folder.path());
                     node.logged("following");
-                    let load = Load { rate: 150.0, ..Load::usual(node.addr(), time, seed) };
-                    let report = play(&fleet, load, lost_watches(seed, 6, 3, time));
+                    let load = Load { rate: 150.0, ..Load::standard(node.addr(), time, seed) };
+                    let report = play(&fleet, load, watch_faults(seed, 6, 3, time));
                     let (records, dropped) = fleet.records();
-                    let broken = check((&records, dropped), &report.asks, report.doubled, GRACE);
+                    let broken =
+                        check((&records, dropped), &report.requests, report.unsolicited_answers, GRACE);
                     assert_eq!(broken, [], "seed {seed}");
-                    let served = report.served().len() as usize;
-                    assert!(served > report.asks.len() * 3 / 4, "seed {seed}: {served}");
-                    let told = records.iter().filter(|r| r.event == Event::Told(Told::Draining));
+                    let served = report.served_latencies().len() as usize;
+                    assert!(served > report.requests.len() * 3 / 4, "seed {seed}: {served}");
+                    let told = records.iter().filter(|r| r.event == Event::StateSent(ServerState::Draining));
                     drains.fetch_add(told.count(), Ordering::Relaxed);
                 });
             }
@@ -85,7 +88,7 @@
 
 #[test]
 fn a_restart_while_etcd_is_down_for_30_s_serves_from_the_kept_list_and_catches_up() {
-    let fleet = Fleet::start(Plan { etcd: 2, ..Plan::default() }).unwrap();
+    let fleet = Fleet::start(FleetConfig { etcd_endpoints: 2, ..FleetConfig::default() }).unwrap();
     let folder = folder(&fleet);
     let mut node = Node::serving(folder.path());
     node.logged("following 7 servers");
@@ -99,16 +102,16 @@
     let node = Node::serving(folder.path());
     let told = node.logged("kept list");
     assert!(told.contains("7 servers from the kept list of revision 8") && told.contains(" s old"), "{told}");
-    let load = Load { rate: 100.0, ..Load::usual(node.addr(), down + Duration::from_secs(4), 3) };
+    let load = Load { rate: 100.0, ..Load::standard(node.addr(), down + Duration::from_secs(4), 3) };
     let script = vec![(down / 2, Step::Drain { server: "box-0".into() }), (down, faults(false))];
     let report = play(&fleet, load, script);
     let following = node.logged("following 7 servers");
     assert!(following.contains("revision 9"), "{following}");
     let (records, dropped) = fleet.records();
-    let broken = check((&records, dropped), &report.asks, report.doubled, GRACE);
+    let broken = check((&records, dropped), &report.requests, report.unsolicited_answers, GRACE);
     assert_eq!(broken, []);
-    assert!(report.served().len() as usize > report.asks.len() * 9 / 10, "{report:?}");
-    let drained = Event::Told(Told::Draining);
+    assert!(report.served_latencies().len() as usize > report.requests.len() * 9 / 10, "{report:?}");
+    let drained = Event::StateSent(ServerState::Draining);
     let at = records.iter().find(|r| &*r.server == "box-0" && r.event == drained).expect("it was told").at;
     let asked = |from: u64, to: u64| {
         let there = records.iter().filter(|r| &*r.server == "box-0" && r.event == Event::FirstByte);
--- a/crates/lilacquay/tests/fleet.rs
+++ b/crates/lilacquay/tests/fleet.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use common::Node;
-use lilacquay_fleet::cache::Speaks;
+use lilacquay_fleet::cache::CacheProtocol;
 use lilacquay_fleet::clients::{self, Load, Report};
 use lilacquay_fleet::fault::{Faults, MemcachedFaults};
 use lilacquay_fleet::record::Event;
-use lilacquay_fleet::script::{Script, Step, troubles};
-use lilacquay_fleet::store::Cold;
-use lilacquay_fleet::verdict::{Broken, check};
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::script::{Script, Step, mixed_faults};
+use lilacquay_fleet::store::ColdStart;
+use lilacquay_fleet::verdict::{Violation, check};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 /// What the settings allow between word of a drain and the last thing sent, in microseconds.
 const GRACE: u64 = 500_000;
@@ -30,7 +30,7 @@
 }
 
 impl Site {
-    fn new(plan: Plan) -> Site {
+    fn new(plan: FleetConfig) -> Site {
         let fleet = Fleet::start(plan).unwrap();
         let (folder, any) = (tempfile::tempdir().unwrap(), SocketAddr::from(([127, 0, 0, 1], 0)));
         let file = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
@@ -45,11 +45,11 @@
     }
 
     fn load(&self, time: Duration, seed: u64) -> Load {
-        Load { kept: true, rate: 150.0, ..Load::usual(self.node.addr(), time, seed) }
+        Load { keep_requests: true, rate: 150.0, ..Load::standard(self.node.addr(), time, seed) }
     }
 
     /// Plays a script under a load; tells what came of it and which rules broke.
-    fn play(&self, load: Load, script: Script) -> (Report, Vec<Broken>) {
+    fn play(&self, load: Load, script: Script) -> (Report, Vec<Violation>) {
         let start = Instant::now();
         let clock = self.fleet.clock().clone();
         let running = self.runtime.spawn(clients::run(load, clock, Arc::default()));
@@ -59,7 +59,7 @@
         }
         let report = self.runtime.block_on(running).unwrap();
         let (records, dropped) = self.fleet.records();
-        let broken = check((&records, dropped), &report.asks, report.doubled, GRACE);
+        let broken = check((&records, dropped), &report.requests, report.unsolicited_answers, GRACE);
         (report, broken)
     }
 }
@@ -79,12 +79,12 @@
         std::thread::scope(|scope| {
             for &seed in seeds {
                 scope.spawn(move || {
-                    let site = Site::new(Plan { seed, ..Plan::default() });
-                    let (report, broken) = site.play(site.load(time, seed), troubles(seed, 6, time));
+                    let site = Site::new(FleetConfig { seed, ..FleetConfig::default() });
+                    let (report, broken) = site.play(site.load(time, seed), mixed_faults(seed, 6, time));
                     assert_eq!(broken, [], "seed {seed}");
                     // A node that refused all would break none.
-                    let served = report.served().len();
-                    assert!(served as usize > report.asks.len() * 3 / 4, "seed {seed}: {served}");
+                    let served = report.served_latencies().len();
+                    assert!(served as usize > report.requests.len() * 3 / 4, "seed {seed}: {served}");
                 });
             }
         });
@@ -122,20 +122,20 @@
         std::thread::scope(|scope| {
             for &seed in seeds {
                 scope.spawn(move || {
-                    let site = Site::new(Plan { seed, memcached: 3, ..Plan::default() });
+                    let site = Site::new(FleetConfig { seed, memcached_boxes: 3, ..FleetConfig::default() });
                     let mut load = site.load(time, seed);
                     if seed % 2 == 0 {
-                        (load.to, load.speaks) = (site.memcached, Speaks::Memcached);
+                        (load.target, load.protocol) = (site.memcached, CacheProtocol::Memcached);
                     }
                     let script =
-                        if seed % 4 < 2 { troubles(seed, 6, time) } else { wire_troubles(seed, time) };
+                        if seed % 4 < 2 { mixed_faults(seed, 6, time) } else { wire_troubles(seed, time) };
                     let (report, broken) = site.play(load, script);
                     assert_eq!(broken, [], "seed {seed}");
-                    let served = report.served().len();
-                    assert!(served as usize > report.asks.len() * 3 / 4, "seed {seed}: {served}");
+                    let served = report.served_latencies().len();
+                    assert!(served as usize > report.requests.len() * 3 / 4, "seed {seed}: {served}");
                     let (records, _) = site.fleet.records();
                     let ran = |name: &str| {
-                        records.iter().any(|r| &*r.server == name && matches!(r.event, Event::Ran(_)))
+                        records.iter().any(|r| &*r.server == name && matches!(r.event, Event::Executed(_)))
                     };
                     assert!(ran("box-0") || ran("box-1"), "seed {seed}: none over RESP2");
                     assert!(ran("box-3") || ran("box-4"), "seed {seed}: none over memcached");
@@ -148,18 +148,23 @@
 #[test]
 fn a_cold_box_with_half_of_all_keys_is_not_pushed_over() {
     // Half of 300 reads a second are 0.75 s of work; the box that starts cold falls at 0.1 s.
-    let mut plan = Plan { boxes: 2, ..Plan::default() };
-    plan.cache.miss_work = plan.cache.work;
-    plan.cache.cold = Cold { time: 20_000_000, from: 0.1, factor: 0.5, ..plan.cache.cold };
+    let mut plan = FleetConfig { boxes: 2, ..FleetConfig::default() };
+    plan.cache.miss_work = plan.cache.hit_work;
+    plan.cache.cold_start = ColdStart {
+        duration: 20_000_000,
+        initial_capacity: 0.1,
+        overload_factor: 0.5,
+        ..plan.cache.cold_start
+    };
     let (site, time) = (Site::new(plan), Duration::from_secs(4));
     let replace = Step::Replace { server: "box-0".into(), by: "box-new".into() };
     let load = Load { rate: 300.0, ..site.load(time, 5) };
     let (report, broken) = site.play(load, vec![(time / 4, replace)]);
     assert_eq!(broken, []);
-    assert!(report.served().len() as usize > report.asks.len() * 3 / 4);
+    assert!(report.served_latencies().len() as usize > report.requests.len() * 3 / 4);
     let (records, _) = site.fleet.records();
     assert!(
-        records.iter().any(|r| &*r.server == "box-new" && matches!(r.event, Event::Asked(_))),
+        records.iter().any(|r| &*r.server == "box-new" && matches!(r.event, Event::Received(_))),
         "left out"
     );
 }
--- a/crates/lilacquay/tests/handover.rs
+++ b/crates/lilacquay/tests/handover.rs
@@ -12,7 +12,7 @@
 use lilacquay_fleet::clients::{self, Load};
 use lilacquay_fleet::script::Step;
 use lilacquay_fleet::verdict::check;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 use lilacquay_handover::messages;
 
 const FACTS: &str = "c=read,d=2000";
@@ -280,7 +280,7 @@
 fn upgrades_in_a_row_lose_nothing_and_break_no_rule() {
     let every = Duration::from_millis(1500);
     let time = every * (upgrades() + 1);
-    let fleet = Fleet::start(Plan { seed: 3, ..Plan::default() }).unwrap();
+    let fleet = Fleet::start(FleetConfig { seed: 3, ..FleetConfig::default() }).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let passed = rustix::io::dup(&listener).unwrap();
     let folder = tempfile::tempdir().unwrap();
@@ -297,7 +297,7 @@
     };
     let mut serving = start();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let load = Load { kept: true, rate: 150.0, ..Load::usual(at, time, 3) };
+    let load = Load { keep_requests: true, rate: 150.0, ..Load::standard(at, time, 3) };
     let running = runtime.spawn(clients::run(load, fleet.clock().clone(), Default::default()));
     let begun = Instant::now();
     for n in 1..=upgrades() {
@@ -311,12 +311,12 @@
     }
     let report = runtime.block_on(running).unwrap();
     let (records, dropped) = fleet.records();
-    let broken = check((&records, dropped), &report.asks, report.doubled, 500_000);
+    let broken = check((&records, dropped), &report.requests, report.unsolicited_answers, 500_000);
     assert_eq!(broken, []);
     let unreached: u64 = report.classes.iter().map(|class| class.unreached).sum();
     assert_eq!(unreached, 0, "nobody is turned away at the door");
-    let served = report.served().len() as usize;
-    assert!(served > report.asks.len() * 9 / 10, "{served} of {}", report.asks.len());
+    let served = report.served_latencies().len() as usize;
+    assert!(served > report.requests.len() * 9 / 10, "{served} of {}", report.requests.len());
 }
 
 /// The old process holds more connections than its half when the new one comes, some with half a command. None of those is
--- a/crates/lilacquay/tests/operation.rs
+++ b/crates/lilacquay/tests/operation.rs
@@ -12,8 +12,8 @@
 use common::{Client, Fake, Node, PATIENCE, Start, list, program};
 use lilacquay_fleet::clients::{self, Load};
 use lilacquay_fleet::record::Event;
-use lilacquay_fleet::script::troubles;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::script::mixed_faults;
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 const FACTS: &str = "c=read,d=2000";
 
@@ -269,14 +269,15 @@
             for &seed in seeds {
                 let runtime = &runtime;
                 scope.spawn(move || {
-                    let fleet = Fleet::start(Plan { seed, ..Plan::default() }).unwrap();
+                    let fleet = Fleet::start(FleetConfig { seed, ..FleetConfig::default() }).unwrap();
                     let config = fleet.configuration(SocketAddr::from(([127, 0, 0, 1], 0)), 512);
                     let (node, admin) = Node::operated(&config);
-                    let load = Load { kept: true, rate: 150.0, ..Load::usual(node.addr(), time, seed) };
+                    let load =
+                        Load { keep_requests: true, rate: 150.0, ..Load::standard(node.addr(), time, seed) };
                     let clock = fleet.clock().clone();
                     let running = runtime.spawn(clients::run(load, clock, Arc::default()));
                     let start = Instant::now();
-                    for (at, step) in troubles(seed, 4, time) {
+                    for (at, step) in mixed_faults(seed, 4, time) {
                         std::thread::sleep((start + at).saturating_duration_since(Instant::now()));
                         fleet.step(step).unwrap();
                     }
@@ -297,7 +298,7 @@
                         near(&format!("handled.{}.bad_gateway", class.name), class.failed, 0.01);
                     }
                     let (records, _) = fleet.records();
-                    let asked = records.iter().filter(|r| matches!(r.event, Event::Asked(_))).count();
+                    let asked = records.iter().filter(|r| matches!(r.event, Event::Received(_))).count();
                     near("upstream_tries", asked as u64, 0.02);
                 });
             }
--- a/crates/lilacquay/tests/quota.rs
+++ b/crates/lilacquay/tests/quota.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use common::Node;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 
 /// 100 lookups in each half second: 50 of them are alpha's, 30 beta's, 20 gamma's.
 fn options() -> String {
@@ -32,7 +32,7 @@
 
 impl Site {
     fn new(seed: u64) -> Site {
-        let fleet = Fleet::start(Plan { seed, ..Plan::default() }).unwrap();
+        let fleet = Fleet::start(FleetConfig { seed, ..FleetConfig::default() }).unwrap();
         let (folder, any) = (tempfile::tempdir().unwrap(), SocketAddr::from(([127, 0, 0, 1], 0)));
         let file = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).unwrap();
         file("node.json", &fleet.configuration(any, 512));
--- a/crates/lilacquay/tests/replica.rs
+++ b/crates/lilacquay/tests/replica.rs
@@ -10,7 +10,7 @@
 use lilacquay_fleet::cluster::{Fault, Trial, TrialPlan, Way};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::verdict::{Broken, check};
+use lilacquay_fleet::verdict::{Violation, check};
 use nodes::{NODES, Site, all, others, plan};
 use serde_json::json;
 
@@ -148,7 +148,8 @@
 fn a_node_whose_discovery_is_silent_keeps_a_drain_by_word_of_its_fellows() {
     let site = Site::of(TrialPlan { deaf: vec![4], ..plan(25) }).once_whole();
     let load = |seed: u64, time: u64| {
-        let load = Load { rate: 60.0, ..Load::usual(site.trial.listen(4), Duration::from_secs(time), seed) };
+        let load =
+            Load { rate: 60.0, ..Load::standard(site.trial.listen(4), Duration::from_secs(time), seed) };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(clients::run(load, site.trial.fleet.clock().clone(), Arc::default()))
     };
@@ -194,7 +195,11 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let clock = site.trial.fleet.clock().clone();
     let load = |node: usize| {
-        let load = Load { kept: true, rate: 30.0, ..Load::usual(site.trial.listen(node), time, node as u64) };
+        let load = Load {
+            keep_requests: true,
+            rate: 30.0,
+            ..Load::standard(site.trial.listen(node), time, node as u64)
+        };
         runtime.spawn(clients::run(load, clock.clone(), Arc::default()))
     };
     let running: Vec<_> = all().into_iter().map(load).collect();
@@ -219,15 +224,15 @@
     let reports: Vec<Report> =
         running.into_iter().map(|running| runtime.block_on(running).unwrap()).collect();
     let (records, dropped) = site.trial.fleet.records();
-    let doubled = reports.iter().map(|report| report.doubled).sum();
+    let doubled = reports.iter().map(|report| report.unsolicited_answers).sum();
     // What the process that was killed held, nobody can answer.
     let whose = |(node, report): (usize, Report)| {
         let held = node == 3;
-        report.asks.into_iter().filter(move |ask| !(held && ask.is_cut_off()))
+        report.requests.into_iter().filter(move |ask| !(held && ask.is_cut_off()))
     };
     let asks: Vec<_> = reports.into_iter().enumerate().flat_map(whose).collect();
-    let broken: Vec<Broken> = check((&records, dropped), &asks, doubled, 500_000);
-    let late = |broken: &Broken| matches!(broken, Broken::Late(..) | Broken::AfterDrain(..));
+    let broken: Vec<Violation> = check((&records, dropped), &asks, doubled, 500_000);
+    let late = |broken: &Violation| matches!(broken, Violation::Late(..) | Violation::SentAfterDrain(..));
     assert_eq!(broken.iter().find(|broken| !late(broken)), None);
     site.until("all copies are alike", |trial| level(trial, &all()));
     for server in ["box-0", "box-1", "box-2"] {
--- a/crates/lilacquay/tests/siblings.rs
+++ b/crates/lilacquay/tests/siblings.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacquay_fleet::clients::{self, Ask, Load, Report};
+use lilacquay_fleet::clients::{self, ClientRequest, Load, Report};
 use lilacquay_fleet::cluster::{Fault, Noted, Trial, TrialPlan, Way, accused, drawn};
-use lilacquay_fleet::verdict::{Broken, check};
+use lilacquay_fleet::verdict::{Violation, check};
 use nodes::{NODES, Site, all, others, plan};
 
 const GRACE: u64 = 500_000;
@@ -133,7 +133,11 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
     let clock = site.trial.fleet.clock().clone();
     let load = |node: usize| {
-        let load = Load { kept: true, rate: 30.0, ..Load::usual(site.trial.listen(node), time, node as u64) };
+        let load = Load {
+            keep_requests: true,
+            rate: 30.0,
+            ..Load::standard(site.trial.listen(node), time, node as u64)
+        };
         runtime.spawn(clients::run(load, clock.clone(), Arc::default()))
     };
     let running: Vec<_> = all().into_iter().map(load).collect();
@@ -151,17 +155,20 @@
         script.iter().any(hit)
     };
     let (records, dropped) = site.trial.fleet.records();
-    let doubled = reports.iter().map(|report| report.doubled).sum();
+    let doubled = reports.iter().map(|report| report.unsolicited_answers).sum();
     // What a process that is killed or stopped held, nobody can answer.
     let whose = |(node, report): (usize, Report)| {
         let held = stopped(node);
-        let kept = report.asks.into_iter().filter(move |ask| !(held && ask.is_cut_off()));
+        let kept = report.requests.into_iter().filter(move |ask| !(held && ask.is_cut_off()));
         // The terms grant a hold-up of 0.15 s. One that is stopped for longer does not know what came meanwhile.
-        kept.map(move |ask| Ask { late: ask.late + if held { longest_pause } else { 0 }, ..ask })
+        kept.map(move |ask| ClientRequest {
+            scheduling_delay: ask.scheduling_delay + if held { longest_pause } else { 0 },
+            ..ask
+        })
     };
     let asks: Vec<_> = reports.into_iter().enumerate().flat_map(whose).collect();
-    let broken: Vec<Broken> = check((&records, dropped), &asks, doubled, GRACE);
-    let late = |broken: &Broken| matches!(broken, Broken::Late(..) | Broken::AfterDrain(..));
+    let broken: Vec<Violation> = check((&records, dropped), &asks, doubled, GRACE);
+    let late = |broken: &Violation| matches!(broken, Violation::Late(..) | Violation::SentAfterDrain(..));
     assert_eq!(broken.iter().find(|broken| !late(broken)), None);
     site.until("all are here", |trial| trial.whole(&all()));
     assert_eq!(site.trial.datagrams().2, 0, "none of more than 256 bytes");
