--- a/crates/fleet/src/cache.rs
+++ b/crates/fleet/src/cache.rs
@@ -1,4 +1,7 @@
-//! A cache box: RESP2, as PROTOCOL words it, or memcached's binary protocol.
+//! A stand-in cache box that serves RESP2, with the commands that PROTOCOL defines, or memcached's binary protocol.
+//!
+//! A box works on a limited number of requests at once, queues some and refuses the rest. It records what it receives
+//! and applies the configured faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,127 +22,129 @@
 use crate::clock::Micros;
 use crate::fault::Faults;
 use crate::memcache;
-use crate::origin::Missed;
-use crate::record::{Asked, Event, Log};
+use crate::origin::MissLog;
+use crate::record::{Event, Log, ReceivedRequest};
 use crate::slow_accept::FullListener;
-use crate::store::{ColdStart, Store, Warmth};
+use crate::store::{ColdStart, ColdStartState, Store};
 
-/// The longest command that a box reads.
-const LONGEST: usize = 128 << 10;
+/// Maximum length of a command that a box reads, in bytes.
+const MAX_COMMAND_BYTES: usize = 128 << 10;
 
-/// What a box is.
+/// Configuration of a box.
 #[derive(Debug, Clone)]
 pub struct BoxConfig {
-    /// What it speaks.
+    /// The protocol that it serves.
     pub protocol: CacheProtocol,
-    /// Requests that it works on at once.
+    /// Number of requests that it works on at once.
     pub cores: usize,
-    /// Requests that wait for a core; those beyond are turned away.
+    /// Number of requests that may wait for a core; those beyond it are answered as busy.
     pub queue_capacity: usize,
-    /// The work of a read that finds its key, in the time of one core.
+    /// Time that a request whose key is found takes on one core.
     pub hit_work: Duration,
-    /// The work of one that does not.
+    /// Time that a request whose key is not found takes on one core.
     pub miss_work: Duration,
-    /// Bytes that it keeps.
+    /// Capacity of its store, in bytes.
     pub memory_bytes: usize,
-    /// What it can take while it is cold.
+    /// Its capacity after a cold start.
     pub cold_start: ColdStart,
 }
 
-/// What a box speaks.
+/// The protocol that a box serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheProtocol {
-    /// RESP2, as PROTOCOL words it.
+    /// RESP2, with the commands that PROTOCOL defines.
     Resp,
     /// memcached's binary protocol.
     Memcached,
 }
 
-/// How a request ended at a box, in words of no protocol.
-pub(crate) enum Done {
+/// The result of a request at a box, independent of the protocol.
+pub(crate) enum RequestResult {
     Busy,
     Miss,
     Value(u64),
     Failed,
-    Spoilt,
-    /// The beginning of a large value, and nothing behind it.
-    Halted,
+    Malformed,
+    /// The beginning of a large value, and nothing after it.
+    Truncated,
 }
 
-/// A running box.
+/// A running box, which stops when it is dropped.
 pub struct CacheBox {
-    pub(crate) inner: Arc<Inner>,
-    /// Where it listens.
+    pub(crate) inner: Arc<BoxInner>,
+    /// The address that it listens on.
     pub addr: SocketAddr,
 }
 
-pub(crate) struct Inner {
+/// The state of a box that its tasks share.
+pub(crate) struct BoxInner {
     name: Arc<str>,
-    plan: BoxConfig,
+    config: BoxConfig,
     log: Log,
-    missed: Missed,
+    misses: MissLog,
     faults: watch::Sender<Faults>,
     store: Mutex<Store>,
-    warmth: Mutex<Warmth>,
+    cold_start: Mutex<ColdStartState>,
     rng: Mutex<fastrand::Rng>,
     cores: Semaphore,
-    waiting: AtomicUsize,
-    /// Set once it is gone, or has fallen over.
-    ended: CancellationToken,
+    /// Number of requests that wait for a core.
+    queued: AtomicUsize,
+    /// Cancelled once the box is dropped or has failed under overload.
+    stopped: CancellationToken,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Why a connection of a box ends.
-enum End {
+/// How a box ends a connection.
+enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-impl From<io::Error> for End {
+impl From<io::Error> for ConnectionEnd {
     fn from(_: io::Error) -> Self {
-        End::Closed
+        ConnectionEnd::Closed
     }
 }
 
 impl CacheBox {
-    /// Starts a box; `cold` makes it one that has started just now. It ends when it is dropped.
+    /// Starts a box, cold if `cold` is set, otherwise warm.
     pub(crate) async fn start(
         name: &str,
-        at: SocketAddr,
-        plan: BoxConfig,
+        address: SocketAddr,
+        config: BoxConfig,
         cold: bool,
         seed: u64,
         log: Log,
-        missed: Missed,
+        misses: MissLog,
     ) -> io::Result<CacheBox> {
-        let listener = TcpListener::bind(at).await?;
+        let listener = TcpListener::bind(address).await?;
         let addr = listener.local_addr()?;
         let started = cold.then(|| log.clock().now());
-        let inner = Arc::new(Inner {
+        let inner = Arc::new(BoxInner {
             name: name.into(),
-            store: Mutex::new(Store::new(plan.memory_bytes)),
-            warmth: Mutex::new(Warmth::new(plan.cold_start.clone(), plan.cores, started)),
+            store: Mutex::new(Store::new(config.memory_bytes)),
+            cold_start: Mutex::new(ColdStartState::new(config.cold_start.clone(), config.cores, started)),
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
-            cores: Semaphore::new(plan.cores),
-            waiting: AtomicUsize::new(0),
+            cores: Semaphore::new(config.cores),
+            queued: AtomicUsize::new(0),
             faults: watch::Sender::new(Faults::default()),
-            ended: CancellationToken::new(),
-            plan,
+            stopped: CancellationToken::new(),
+            config,
             log,
-            missed,
+            misses,
         });
         tokio::spawn(inner.clone().accept(listener, addr));
         Ok(CacheBox { inner, addr })
     }
 
-    pub(crate) fn speaks(&self) -> CacheProtocol {
-        self.inner.plan.protocol
+    pub(crate) fn protocol(&self) -> CacheProtocol {
+        self.inner.config.protocol
     }
 
-    /// Its faults from now on.
+    /// Replaces its faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.faults.send_replace(faults);
     }
@@ -147,23 +152,24 @@
 
 impl Drop for CacheBox {
     fn drop(&mut self) {
-        self.inner.ended.cancel();
+        self.inner.stopped.cancel();
     }
 }
 
-impl Inner {
-    /// Keeps a key in that version.
-    pub fn keep(&self, key: &str, version: u64) {
+impl BoxInner {
+    /// Stores a version of a key.
+    pub fn put(&self, key: &str, version: u64) {
         lock(&self.store).put(key, version);
     }
 
-    /// Forgets a key.
-    pub fn forget(&self, key: &str) {
-        lock(&self.store).forget(key);
+    /// Removes a key.
+    pub fn remove(&self, key: &str) {
+        lock(&self.store).remove(key);
     }
 
+    /// Accepts connections until the box stops, as far as its faults allow.
     async fn accept(self: Arc<Self>, listener: TcpListener, addr: SocketAddr) {
-        let (mut listener, mut full, mut faults) =
+        let (mut listener, mut full_listener, mut faults) =
             (Some(listener), None::<FullListener>, self.faults.subscribe());
         loop {
             let (refuse, late) = {
@@ -171,279 +177,306 @@
                 (faults.refuse, faults.late)
             };
             if refuse {
-                listener = None; // what connects now is refused
+                listener = None; // new connections are refused
             } else if late {
-                if full.is_none() {
-                    listener = None; // its address must be free
-                    full = FullListener::bind(addr).ok();
+                if full_listener.is_none() {
+                    listener = None; // frees the address
+                    full_listener = FullListener::bind(addr).ok();
                 }
-            } else if let Some(opened) = full.take() {
-                listener = opened.open().and_then(tokio_listener).ok();
+            } else if let Some(full) = full_listener.take() {
+                listener = full.open().and_then(tokio_listener).ok();
             } else if listener.is_none() {
                 listener = TcpListener::bind(addr).await.ok();
             }
-            let retried = listener.is_none() && full.is_none() && !refuse;
+            let must_retry_bind = listener.is_none() && full_listener.is_none() && !refuse;
             tokio::select! {
-                () = self.ended.cancelled() => return,
+                () = self.stopped.cancelled() => return,
                 _ = faults.changed() => {}
-                () = sleep(Duration::from_millis(5)), if retried => {}
+                () = sleep(Duration::from_millis(5)), if must_retry_bind => {}
                 accepted = accept_if_listening(listener.as_ref()) => if let Ok(stream) = accepted {
-                    tokio::spawn(self.clone().attend(stream));
+                    tokio::spawn(self.clone().serve_connection(stream));
                 },
             }
         }
     }
 
-    async fn attend(self: Arc<Self>, mut stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let end = tokio::select! {
-            () = self.ended.cancelled() => End::Reset,
-            Err(end) = self.speak(&mut stream) => end,
+            () = self.stopped.cancelled() => ConnectionEnd::Reset,
+            Err(end) = self.serve_requests(&mut stream) => end,
         };
-        if matches!(end, End::Reset) {
+        if matches!(end, ConnectionEnd::Reset) {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     }
 
-    async fn speak(&self, stream: &mut TcpStream) -> Result<(), End> {
-        match self.plan.protocol {
-            CacheProtocol::Resp => self.serve(stream).await,
-            CacheProtocol::Memcached => self.serve_packets(stream).await,
+    async fn serve_requests(&self, stream: &mut TcpStream) -> Result<(), ConnectionEnd> {
+        match self.config.protocol {
+            CacheProtocol::Resp => self.serve_resp(stream).await,
+            CacheProtocol::Memcached => self.serve_memcached(stream).await,
         }
     }
 
-    /// Notes the first byte of a request, which may be its last.
-    fn begun(&self) -> Result<(), End> {
-        self.note(Event::FirstByte);
-        if self.happens(|faults| faults.reset_before) { Err(End::Reset) } else { Ok(()) }
+    /// Records the first byte of a request, after which a fault may reset its connection.
+    fn on_first_byte(&self) -> Result<(), ConnectionEnd> {
+        self.record(Event::FirstByte);
+        if self.happens(|faults| faults.reset_before) { Err(ConnectionEnd::Reset) } else { Ok(()) }
     }
 
-    /// Reads on until `next` has a whole command; what that says is no command is noted.
-    async fn receive<T>(
+    /// Reads until `next` parses a complete command. An invalid one is recorded and ends the connection.
+    async fn read_command<T>(
         &self,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
         next: impl Fn(&mut BytesMut) -> Result<Option<T>, String>,
-    ) -> Result<T, End> {
-        let mut begun = !buffer.is_empty();
+    ) -> Result<T, ConnectionEnd> {
+        let mut has_begun = !buffer.is_empty();
         loop {
             match next(buffer) {
                 Ok(Some(command)) => return Ok(command),
                 Ok(None) => {}
                 Err(why) => {
-                    self.note(Event::Syntax(why));
-                    return Err(End::Closed);
+                    self.record(Event::InvalidCommand(why));
+                    return Err(ConnectionEnd::Closed);
                 }
             }
             if stream.read_buf(buffer).await? == 0 {
-                return Err(End::Closed);
+                return Err(ConnectionEnd::Closed);
             }
-            if !begun {
-                begun = true;
-                self.begun()?;
+            if !has_begun {
+                has_begun = true;
+                self.on_first_byte()?;
             }
         }
     }
 
-    /// Carries a request out while its connection stays.
-    async fn attended(
+    /// Executes a request as long as its connection stays open.
+    async fn execute_while_connected(
         &self,
-        asked: &Asked,
+        request: &ReceivedRequest,
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-    ) -> Result<Done, End> {
-        self.note(Event::Received(asked.clone()));
+    ) -> Result<RequestResult, ConnectionEnd> {
+        self.record(Event::Received(request.clone()));
         tokio::select! {
-            done = self.work(asked) => done,
-            // Work stops when its request is cancelled: the connection closes.
+            result = self.execute(request) => result,
+            // A closed connection cancels its request, which stops the work.
             read = stream.read_buf(buffer) => match read? {
-                0 => Err(End::Closed),
-                _ => Err(End::Reset), // one request at a time is all that a node sends
+                0 => Err(ConnectionEnd::Closed),
+                _ => Err(ConnectionEnd::Reset), // a node sends one request at a time
             },
         }
     }
 
-    async fn serve_packets(&self, stream: &mut TcpStream) -> Result<(), End> {
-        let (mut buffer, mut last) = (BytesMut::new(), None);
+    async fn serve_memcached(&self, stream: &mut TcpStream) -> Result<(), ConnectionEnd> {
+        let (mut buffer, mut last_answer) = (BytesMut::new(), None);
         loop {
-            let next = |buffer: &mut BytesMut| next_request(buffer, LONGEST).map_err(|why| why.to_string());
-            let packet = self.receive(stream, &mut buffer, next).await?;
-            let answer = match memcache::asked(&packet) {
-                Ok(asked) => {
-                    let done = self.attended(&asked, stream, &mut buffer).await?;
-                    self.packet(&asked, &packet, &done, &mut last)
+            let next = |buffer: &mut BytesMut| {
+                next_request(buffer, MAX_COMMAND_BYTES).map_err(|why| why.to_string())
+            };
+            let packet = self.read_command(stream, &mut buffer, next).await?;
+            let answer = match memcache::parse_request(&packet) {
+                Ok(request) => {
+                    let result = self.execute_while_connected(&request, stream, &mut buffer).await?;
+                    self.encode_memcached(&request, &packet, &result, &mut last_answer)
                 }
-                Err(refused) => {
-                    self.note(Event::Syntax(format!("opcode {:#04x}", packet.opcode)));
-                    refused
+                Err(error_answer) => {
+                    self.record(Event::InvalidCommand(format!("opcode {:#04x}", packet.opcode)));
+                    error_answer
                 }
             };
             stream.write_all(&answer).await?;
         }
     }
 
-    /// Words how a request ended, with the faults of this protocol; `last` is the last answer.
-    fn packet(&self, asked: &Asked, packet: &Packet, done: &Done, last: &mut Option<BytesMut>) -> BytesMut {
-        if matches!(done, Done::Spoilt) {
-            return self.spoilt(memcache::SPOILT);
+    /// Encodes a result with the faults of memcached's protocol; `last_answer` is the connection's last one without them.
+    fn encode_memcached(
+        &self,
+        request: &ReceivedRequest,
+        packet: &Packet,
+        result: &RequestResult,
+        last_answer: &mut Option<BytesMut>,
+    ) -> BytesMut {
+        if matches!(result, RequestResult::Malformed) {
+            return self.pick_malformed(memcache::MALFORMED_ANSWERS);
         }
-        let mut answer = memcache::answer(packet, &asked.key, done);
-        let (plain, missed) = (answer.clone(), matches!(done, Done::Miss));
-        if missed && self.happens(|faults| faults.memcached.quiet) {
+        let mut answer = memcache::encode_answer(packet, &request.key, result);
+        let (unmodified, is_miss) = (answer.clone(), matches!(result, RequestResult::Miss));
+        if is_miss && self.happens(|faults| faults.memcached.quiet) {
             answer.clear();
         }
         if self.happens(|faults| faults.memcached.opaque) {
-            memcache::spoil_opaque(&mut answer);
+            memcache::corrupt_opaque(&mut answer);
         }
         if self.happens(|faults| faults.memcached.body) {
-            memcache::spoil_body(&mut answer);
+            memcache::corrupt_body_length(&mut answer);
         }
         if self.happens(|faults| faults.memcached.header) {
             answer.truncate(12);
         }
-        if let Some(last) = last.as_ref().filter(|_| self.happens(|faults| faults.memcached.misorder)) {
+        if let Some(last) = last_answer.as_ref().filter(|_| self.happens(|faults| faults.memcached.misorder))
+        {
             answer = BytesMut::from_iter(last.iter().chain(&answer).copied());
         }
-        *last = Some(plain);
+        *last_answer = Some(unmodified);
         answer
     }
 
-    fn spoilt(&self, among: &[&[u8]]) -> BytesMut {
-        lock(&self.rng).choice(among).map_or_else(BytesMut::new, |text| text[..].into())
+    /// Picks one of the malformed answers at random.
+    fn pick_malformed(&self, answers: &[&[u8]]) -> BytesMut {
+        lock(&self.rng).choice(answers).map_or_else(BytesMut::new, |answer| answer[..].into())
     }
 
-    async fn serve(&self, stream: &mut TcpStream) -> Result<(), End> {
+    async fn serve_resp(&self, stream: &mut TcpStream) -> Result<(), ConnectionEnd> {
         let mut buffer = BytesMut::new();
         loop {
-            let next =
-                |buffer: &mut BytesMut| next_frame(buffer, LONGEST).map_err(|_| "not RESP2".to_owned());
-            let frame = self.receive(stream, &mut buffer, next).await?;
-            let answer = match words(frame) {
-                Some(words) => self.command(&words, stream, &mut buffer).await?,
-                None => error("ERR words wanted").into(),
+            let next = |buffer: &mut BytesMut| {
+                next_frame(buffer, MAX_COMMAND_BYTES).map_err(|_| "not RESP2".to_owned())
             };
-            stream.write_all(&answer.text).await?;
-            match answer.then {
-                Then::Next => {}
-                Then::Once(asked) => self.repeat(&asked, &answer.text, stream, &mut buffer).await?,
-                // Until the node gives it up.
-                Then::Silence => while stream.read_buf(&mut buffer).await? > 0 {},
+            let frame = self.read_command(stream, &mut buffer, next).await?;
+            let answer = match command_words(frame) {
+                Some(words) => self.handle_command(&words, stream, &mut buffer).await?,
+                None => encode_error("ERR words wanted").into(),
+            };
+            stream.write_all(&answer.bytes).await?;
+            match answer.follow_up {
+                FollowUp::None => {}
+                FollowUp::RepeatAnswer(request) => {
+                    self.repeat_answer(&request, &answer.bytes, stream, &mut buffer).await?
+                }
+                // Until the node closes the connection.
+                FollowUp::NeverAnswer => while stream.read_buf(&mut buffer).await? > 0 {},
             }
         }
     }
 
-    /// Sends an answer once more, some milliseconds later, unless the connection ends before.
-    async fn repeat(
+    /// Sends an answer a second time, some milliseconds later, unless the connection is closed before.
+    async fn repeat_answer(
         &self,
-        asked: &Asked,
-        text: &[u8],
+        request: &ReceivedRequest,
+        answer: &[u8],
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-    ) -> Result<(), End> {
-        let late = Duration::from_millis(lock(&self.rng).u64(REPEATED_LATE_MS));
-        let due = tokio::time::Instant::now() + late;
+    ) -> Result<(), ConnectionEnd> {
+        let delay = Duration::from_millis(lock(&self.rng).u64(REPEAT_DELAY_MS));
+        let due = tokio::time::Instant::now() + delay;
         while let Ok(read) = timeout_at(due, stream.read_buf(buffer)).await {
             if read? == 0 {
-                return Err(End::Closed);
+                return Err(ConnectionEnd::Closed);
             }
         }
-        stream.write_all(text).await?;
-        self.note(Event::AnswerRepeated(asked.clone()));
+        stream.write_all(answer).await?;
+        self.record(Event::AnswerRepeated(request.clone()));
         Ok(())
     }
 
-    async fn command(
+    /// Handles a RESP2 command.
+    async fn handle_command(
         &self,
         words: &[String],
         stream: &mut TcpStream,
         buffer: &mut BytesMut,
-    ) -> Result<Written, End> {
+    ) -> Result<EncodedAnswer, ConnectionEnd> {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
-        let asked = match words[..] {
-            ["CACHE.GET", key, id, facts] if facts.contains("d=") => Asked::new(key, id, facts, false),
-            ["CACHE.SET", key, id, facts, _] if facts.contains("d=") => Asked::new(key, id, facts, true),
-            ["PING"] => return Ok(line(|out| put_simple(out, "PONG")).into()),
-            ["CLIENT" | "SELECT", ..] => return Ok(line(|out| put_simple(out, "OK")).into()),
+        let request = match words[..] {
+            ["CACHE.GET", key, id, facts] if facts.contains("d=") => {
+                ReceivedRequest::new(key, id, facts, false)
+            }
+            ["CACHE.SET", key, id, facts, _] if facts.contains("d=") => {
+                ReceivedRequest::new(key, id, facts, true)
+            }
+            ["PING"] => return Ok(encode(|out| put_simple(out, "PONG")).into()),
+            ["CLIENT" | "SELECT", ..] => return Ok(encode(|out| put_simple(out, "OK")).into()),
             ["CACHE.GET" | "CACHE.SET", ..] => {
-                self.note(Event::Syntax(words.join(" ")));
-                return Ok(error("SYNTAX").into());
+                self.record(Event::InvalidCommand(words.join(" ")));
+                return Ok(encode_error("SYNTAX").into());
             }
-            _ => return Ok(error("ERR unknown command").into()),
+            _ => return Ok(encode_error("ERR unknown command").into()),
         };
-        let text = match self.attended(&asked, stream, buffer).await? {
-            Done::Busy => error("BUSY"),
-            Done::Miss => answer(None),
-            Done::Value(version) => answer(Some(&value(&asked.id, &asked.key, version))),
-            Done::Failed => error("ERR failed"),
-            Done::Spoilt => self.spoilt(SPOILT),
-            Done::Halted => {
-                self.note(Event::AnswerHalted(asked));
-                return Ok(Written { text: halted(), then: Then::Silence });
+        let bytes = match self.execute_while_connected(&request, stream, buffer).await? {
+            RequestResult::Busy => encode_error("BUSY"),
+            RequestResult::Miss => encode_answer(None),
+            RequestResult::Value(version) => {
+                encode_answer(Some(&response_value(&request.id, &request.key, version)))
+            }
+            RequestResult::Failed => encode_error("ERR failed"),
+            RequestResult::Malformed => self.pick_malformed(MALFORMED_ANSWERS),
+            RequestResult::Truncated => {
+                self.record(Event::AnswerHalted(request));
+                return Ok(EncodedAnswer { bytes: truncated_value(), follow_up: FollowUp::NeverAnswer });
             }
         };
-        let twice = self.happens(|faults| faults.twice);
-        Ok(Written { text, then: if twice { Then::Once(asked) } else { Then::Next } })
+        let repeats = self.happens(|faults| faults.twice);
+        Ok(EncodedAnswer {
+            bytes,
+            follow_up: if repeats { FollowUp::RepeatAnswer(request) } else { FollowUp::None },
+        })
     }
 
-    /// Carries a request out.
-    async fn work(&self, asked: &Asked) -> Result<Done, End> {
+    /// Executes a request: queues it for a core, works on it and applies the faults.
+    async fn execute(&self, request: &ReceivedRequest) -> Result<RequestResult, ConnectionEnd> {
         if self.happens(|faults| faults.swallow) {
             std::future::pending::<()>().await;
         }
-        let found = lock(&self.store).get(&asked.key);
-        let work = if found.is_some() { self.plan.hit_work } else { self.plan.miss_work };
-        self.load(work)?;
+        let found = lock(&self.store).get(&request.key);
+        let work = if found.is_some() { self.config.hit_work } else { self.config.miss_work };
+        self.account_work(work)?;
         if self.cores.available_permits() == 0
-            && self.waiting.load(Ordering::Relaxed) >= self.plan.queue_capacity
+            && self.queued.load(Ordering::Relaxed) >= self.config.queue_capacity
         {
-            return Ok(Done::Busy);
+            return Ok(RequestResult::Busy);
         }
-        let waits = Waits::new(&self.waiting);
-        let _core = self.cores.acquire().await.map_err(|_| End::Closed)?;
-        drop(waits);
+        let queued = QueuedGuard::new(&self.queued);
+        let _core = self.cores.acquire().await.map_err(|_| ConnectionEnd::Closed)?;
+        drop(queued);
         let mut faults = self.faults.subscribe();
-        let slow = faults.borrow().slow / lock(&self.warmth).share(self.log.clock().now());
+        let slowdown = faults.borrow().slow / lock(&self.cold_start).capacity(self.log.clock().now());
         if work > Duration::ZERO {
-            sleep(work.mul_f64(slow)).await;
+            sleep(work.mul_f64(slowdown)).await;
         }
         let _ = faults.wait_for(|faults| !faults.stalled).await;
         let Some(version) = found else {
-            self.missed.note(&asked.id, self.name.clone());
-            return Ok(Done::Miss);
+            self.misses.add(&request.id, self.name.clone());
+            return Ok(RequestResult::Miss);
         };
-        self.note(Event::Executed(asked.clone()));
+        self.record(Event::Executed(request.clone()));
         if self.happens(|faults| faults.reset_after) {
-            return Err(End::Reset);
+            return Err(ConnectionEnd::Reset);
         }
         if self.happens(|faults| faults.fail) {
-            return Ok(Done::Failed);
+            return Ok(RequestResult::Failed);
         }
-        if self.plan.protocol == CacheProtocol::Resp && !asked.write && self.happens(|faults| faults.halt) {
-            return Ok(Done::Halted);
+        if self.config.protocol == CacheProtocol::Resp
+            && !request.is_write
+            && self.happens(|faults| faults.halt)
+        {
+            return Ok(RequestResult::Truncated);
         }
         if self.happens(|faults| faults.spoil) {
-            return Ok(Done::Spoilt);
+            return Ok(RequestResult::Malformed);
         }
-        Ok(Done::Value(version))
+        Ok(RequestResult::Value(version))
     }
 
-    /// Notes work that is sent here, begun or not; the last straw ends the box.
-    fn load(&self, work: Duration) -> Result<(), End> {
+    /// Counts the work of a request, whether it is begun or not. The box stops if that overloads it.
+    fn account_work(&self, work: Duration) -> Result<(), ConnectionEnd> {
         let work = work.as_micros() as Micros;
-        if lock(&self.warmth).push(self.log.clock().now(), work) {
-            self.note(Event::PushedOver);
-            self.ended.cancel();
-            return Err(End::Reset);
+        if lock(&self.cold_start).add_work(self.log.clock().now(), work) {
+            self.record(Event::Overloaded);
+            self.stopped.cancel();
+            return Err(ConnectionEnd::Reset);
         }
         Ok(())
     }
 
-    fn happens(&self, share: impl Fn(&Faults) -> f64) -> bool {
-        let share = share(&self.faults.borrow());
-        share > 0.0 && lock(&self.rng).f64() < share
+    /// Draws whether a fault with a configured probability hits this request.
+    fn happens(&self, probability: impl Fn(&Faults) -> f64) -> bool {
+        let probability = probability(&self.faults.borrow());
+        probability > 0.0 && lock(&self.rng).f64() < probability
     }
 
-    fn note(&self, event: Event) {
+    fn record(&self, event: Event) {
         self.log.record(&self.name, event);
     }
 }
@@ -453,22 +486,23 @@
     TcpListener::from_std(listener)
 }
 
-/// Counts one that waits for a core, until it is dropped.
-struct Waits<'a>(&'a AtomicUsize);
+/// Counts a request that waits for a core, until it is dropped.
+struct QueuedGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Waits<'a> {
-    fn new(waiting: &'a AtomicUsize) -> Self {
-        waiting.fetch_add(1, Ordering::Relaxed);
-        Waits(waiting)
+impl<'a> QueuedGuard<'a> {
+    fn new(queued: &'a AtomicUsize) -> Self {
+        queued.fetch_add(1, Ordering::Relaxed);
+        QueuedGuard(queued)
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for QueuedGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
+/// Accepts the next connection; pending for ever without a listener.
 pub(crate) async fn accept_if_listening(listener: Option<&TcpListener>) -> io::Result<TcpStream> {
     match listener {
         Some(listener) => listener.accept().await.map(|(stream, _)| stream),
@@ -476,56 +510,59 @@
     }
 }
 
-/// Answers that can't be read: noise, a length that doesn't fit, one too large, a line without end.
-const SPOILT: &[&[u8]] = &[
+/// Malformed answers: noise, a length that doesn't match its text, a length that is too large, a line without end.
+const MALFORMED_ANSWERS: &[&[u8]] = &[
     b"\x00\xff\x13noise\r\n",
     b"*3\r\n$5\r\nab\r\n$3\r\nhit\r\n$-1\r\n",
     b"*3\r\n$3000000000\r\nab",
     b"+never ending ",
 ];
 
-/// A second answer comes so many milliseconds after the first.
-const REPEATED_LATE_MS: std::ops::Range<u64> = 1..9;
-/// A value that halts is announced as so long, and begins with so many bytes.
-const HALTED: usize = 999_999;
-const HALTED_AFTER: usize = 100;
-
-/// What is written for a command, and what follows.
-struct Written {
-    text: BytesMut,
-    then: Then,
+/// Time from an answer to its repeat, in milliseconds.
+const REPEAT_DELAY_MS: std::ops::Range<u64> = 1..9;
+/// Announced length of a truncated value, in bytes.
+const TRUNCATED_VALUE_LENGTH: usize = 999_999;
+/// Number of bytes that are sent of a truncated value.
+const TRUNCATED_VALUE_SENT: usize = 100;
+
+/// The encoded answer to a command, and what follows it.
+struct EncodedAnswer {
+    bytes: BytesMut,
+    follow_up: FollowUp,
 }
 
-enum Then {
-    /// The next command.
-    Next,
-    /// The same answer once more.
-    Once(Asked),
-    /// Nothing more.
-    Silence,
+enum FollowUp {
+    /// The next command is read.
+    None,
+    /// The same answer is sent again.
+    RepeatAnswer(ReceivedRequest),
+    /// Nothing more is sent on the connection.
+    NeverAnswer,
 }
 
-impl From<BytesMut> for Written {
-    fn from(text: BytesMut) -> Self {
-        Written { text, then: Then::Next }
+impl From<BytesMut> for EncodedAnswer {
+    fn from(bytes: BytesMut) -> Self {
+        EncodedAnswer { bytes, follow_up: FollowUp::None }
     }
 }
 
 /// The beginning of a large value.
-fn halted() -> BytesMut {
-    line(|out| {
+fn truncated_value() -> BytesMut {
+    encode(|out| {
         put_array(out, 3);
-        out.put_slice(format!("${HALTED}\r\n").as_bytes());
-        out.put_bytes(b'x', HALTED_AFTER);
+        out.put_slice(format!("${TRUNCATED_VALUE_LENGTH}\r\n").as_bytes());
+        out.put_bytes(b'x', TRUNCATED_VALUE_SENT);
     })
 }
 
-/// The value that a server makes for one request: it names the request's id, so that a client knows its own.
-pub fn value(id: &str, key: &str, version: u64) -> String {
+/// The value that a server makes for one request. It contains the request's id, so that a client can tell the answer to
+/// its own request from another's.
+pub fn response_value(id: &str, key: &str, version: u64) -> String {
     format!("{id} {key} v{version}")
 }
 
-fn words(frame: Frame) -> Option<Vec<String>> {
+/// The words of a command; `None` if it is not an array of bulk strings.
+fn command_words(frame: Frame) -> Option<Vec<String>> {
     let Frame::Array(parts) = frame else { return None };
     let word = |part| match part {
         Frame::BulkString(text) => Some(String::from_utf8_lossy(&text).into_owned()),
@@ -534,8 +571,8 @@
     parts.into_iter().map(word).collect()
 }
 
-fn answer(value: Option<&str>) -> BytesMut {
-    line(|out| {
+fn encode_answer(value: Option<&str>) -> BytesMut {
+    encode(|out| {
         put_array(out, 3);
         match value {
             Some(value) => put_bulk(out, value.as_bytes()),
@@ -546,11 +583,11 @@
     })
 }
 
-fn error(text: &str) -> BytesMut {
-    line(|out| put_error(out, format_args!("{text}")))
+fn encode_error(text: &str) -> BytesMut {
+    encode(|out| put_error(out, format_args!("{text}")))
 }
 
-fn line(put: impl FnOnce(&mut BytesMut)) -> BytesMut {
+fn encode(put: impl FnOnce(&mut BytesMut)) -> BytesMut {
     let mut out = BytesMut::new();
     put(&mut out);
     out
--- a/crates/fleet/src/clients.rs
+++ b/crates/fleet/src/clients.rs
@@ -1,4 +1,7 @@
-//! Clients: an open loop, so that what waits is not hidden by a generator that waits with it.
+//! Clients that load a node and classify its answers.
+//!
+//! The load is an open loop: requests are sent at their due times whether or not earlier ones were answered, so that
+//! queueing is not hidden by a generator that waits with it. A closed loop is offered to measure capacity.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,72 +19,73 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::cache::{CacheProtocol, value};
+use crate::cache::{CacheProtocol, response_value};
 use crate::clock::{Clock, Micros};
 use crate::memcache::{self, NO_ID};
 
-/// The longest answer that a client reads.
-const LONGEST: usize = 1 << 20;
-/// Most of those who leave do so early: a share of their time between 0 and 1, raised to this power.
-const LEAVE_EARLY: i32 = 3;
-/// How long after a request's time is up its answer is still waited for, to be called late.
-const AFTERWARDS: Duration = Duration::from_secs(1);
-/// Answers that come unasked are waited for so long at the end.
-const LAST_LOOK: Duration = Duration::from_millis(100);
+/// Maximum length of an answer that a client reads, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// A client that abandons its request does so after a fraction of its timeout: a uniform number from 0 to 1, raised to
+/// this power, so that most abandon early.
+const ABANDON_TIME_EXPONENT: i32 = 3;
+/// Time after a request's timeout for which its answer is still awaited, to tell a late answer from none.
+const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
+/// Time at the end of a load in which unsolicited answers may still arrive.
+const UNSOLICITED_ANSWER_WAIT: Duration = Duration::from_millis(100);
 
 /// A class of requests.
 #[derive(Debug, Clone)]
 pub struct Class {
     /// Its name in the settings.
     pub name: String,
-    /// Its part of all requests, in comparison with the other classes.
+    /// Its proportion of all requests, relative to the weights of the other classes.
     pub weight: f64,
-    /// What it does.
+    /// What its requests do.
     pub kind: Kind,
-    /// How long a client waits.
+    /// How long a client waits for the answer.
     pub timeout: Duration,
 }
 
 /// What the requests of a class do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Read.
+    /// A read.
     Read,
-    /// Write, with an idempotency key.
+    /// A write with an idempotency key.
     Keyed,
-    /// Write, without one.
+    /// A write without an idempotency key.
     Unsafe,
 }
 
-/// A load.
+/// Configuration of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// The node.
+    /// Address of the node.
     pub target: SocketAddr,
-    /// Requests a second, on average; they come at random.
+    /// Mean number of requests a second; they arrive as a Poisson process.
     pub rate: f64,
-    /// For so long.
+    /// How long requests are sent.
     pub duration: Duration,
-    /// For all random choices, and part of each request's id.
+    /// Seed of all random choices, and part of each request's id.
     pub seed: u64,
-    /// How many keys there are.
+    /// Number of keys.
     pub keys: usize,
-    /// How unevenly they are asked for: the exponent of a Zipf distribution, 0 for all alike.
+    /// Exponent of the Zipf distribution of the keys' popularity; 0 is uniform.
     pub skew: f64,
-    /// The classes.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// The tenant whose clients they are, over RESP2.
+    /// Tenant that the requests name; sent over RESP2 only.
     pub tenant: Option<String>,
-    /// Whether each request is kept in the report.
+    /// Whether the report contains each request.
     pub keep_requests: bool,
-    /// The part of clients that leave before they are answered, most of them early in their time.
+    /// Fraction of the clients that close the connection before they are answered, most of them early in their timeout.
     pub abandon_fraction: f64,
-    /// What the clients speak. Over memcached, each key has its class before it.
+    /// Protocol of the clients. Over memcached, each key is prefixed with its class.
     pub protocol: CacheProtocol,
 }
 
 impl Load {
-    /// The usual mix of a fleet's classes, of 1000 keys, at 300 requests a second.
+    /// The standard mix of a fleet's classes, with 1000 keys, at 300 requests a second.
     pub fn standard(target: SocketAddr, duration: Duration, seed: u64) -> Self {
         let class = |name: &str, weight, kind, timeout_ms| {
             let (name, timeout) = (name.to_owned(), Duration::from_millis(timeout_ms));
@@ -108,134 +112,135 @@
     }
 }
 
-/// How a request ended at its client.
+/// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With the value made for it.
+    /// Answered with the value made for it.
     Served,
-    /// With another value.
+    /// Answered with another value or unreadable data, or followed by an unsolicited answer.
     WrongValue,
-    /// With `-BUSY`.
+    /// Answered with `-BUSY`.
     Refused,
-    /// With another error.
+    /// Answered with another error.
     Failed,
-    /// With a close and no answer.
+    /// The connection was closed without an answer.
     ConnectionClosed,
-    /// With the beginning of an answer, whose end its client sees.
+    /// The connection was closed in the middle of the answer.
     Truncated,
-    /// With nothing, long after its time.
+    /// Not answered until well after its timeout.
     TimedOut,
-    /// The node could not be reached.
+    /// The connection to the node could not be established.
     Unreached,
-    /// Its client closed before the answer.
+    /// Its client closed the connection before the answer.
     Abandoned,
 }
 
-/// A request as its client saw it.
+/// A request as its client saw it. Times are on the fleet's clock.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Its class: a place in [`Load::classes`].
+    /// Its class, as an index into [`Load::classes`].
     pub class: usize,
-    /// What it does.
+    /// Whether it is a read, a keyed or an unsafe write.
     pub kind: Kind,
-    /// When it was written, for the last time.
+    /// When it was last sent.
     pub sent: Micros,
-    /// When it was written again on a new connection, since the node had closed the one it was first written on. If
-    /// a server saw it before, the node had read it, and has lost it.
+    /// When it was sent again on a new connection, because the node had closed the reused one that it was first sent on.
+    /// If a server received it before this time, the node had read it and lost it.
     pub resent: Option<Micros>,
-    /// How long its client waits from then.
+    /// How long its client waits after `sent`.
     pub timeout: Micros,
-    /// When its answer was read whole.
+    /// When its answer was read completely, or the request ended otherwise.
     pub ended: Micros,
-    /// When its client left, if it did before the answer.
+    /// When its client abandoned it, if it did.
     pub abandoned: Option<Micros>,
-    /// How late that may have been seen.
+    /// Upper bound on how much later than they happened its events were seen.
     pub scheduling_delay: Micros,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// What came of one class.
+/// Results of one class.
 #[derive(Debug, Clone)]
 pub struct ClassReport {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// From when a request was due to its answer, of those served, in microseconds.
+    /// Latencies of the requests served, from their due time to the answer, in microseconds.
     pub served: Histogram<u64>,
-    /// How many ended so.
+    /// Number of requests refused as busy.
     pub refused: u64,
-    /// How many ended so.
+    /// Number of requests answered with another error.
     pub failed: u64,
-    /// Without an answer, or with one that was late or not its own.
+    /// Number of requests without an answer, or with one that was late or another request's.
     pub broken: u64,
-    /// The node could not be reached.
+    /// Number of requests for which no connection to the node could be established.
     pub unreached: u64,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// By class, in the order of the load's.
+    /// By class, in the order of [`Load::classes`].
     pub classes: Vec<ClassReport>,
-    /// Answers, or parts, that nobody had asked for.
+    /// Number of times that data arrived which answers no request.
     pub unsolicited_answers: u64,
-    /// The most that a request was sent later than it was due, in microseconds: over some milliseconds, the load
-    /// itself was too slow.
+    /// Longest time from a request's due time to its sending, in microseconds. More than some milliseconds means that
+    /// the load generator itself was too slow.
     pub max_send_lag_us: Micros,
-    /// All requests, if they are kept.
+    /// All requests, if [`Load::keep_requests`] is set.
     pub requests: Vec<ClientRequest>,
 }
 
 impl Report {
-    /// The times of all classes together.
+    /// The latencies of the requests served, over all classes.
     pub fn served_latencies(&self) -> Histogram<u64> {
         let mut all = latency_histogram();
         self.classes.iter().for_each(|class| _ = all.add(&class.served));
         all
     }
 
-    /// How many requests got no good answer in time, or more than one.
+    /// Number of requests that got no valid answer in time, plus unsolicited answers.
     pub fn broken(&self) -> u64 {
         self.unsolicited_answers + self.classes.iter().map(|class| class.broken).sum::<u64>()
     }
 }
 
-/// A histogram for times in microseconds, up to a minute.
+/// An empty histogram for latencies in microseconds, up to a minute.
 pub fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid")
 }
 
-/// How far a load is.
+/// Live counters of a running load.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Requests begun.
+    /// Requests started.
     pub asked: AtomicU64,
-    /// Served.
+    /// Requests served.
     pub served: AtomicU64,
-    /// Refused or failed.
+    /// Requests refused or failed.
     pub turned_away: AtomicU64,
-    /// Broken rules.
+    /// Requests without a valid answer in time.
     pub broken: AtomicU64,
 }
 
+/// State that the tasks of a load share.
 struct Shared {
     load: Load,
     clock: Clock,
-    idle: Mutex<Vec<TcpStream>>,
-    /// The cumulated shares of the keys.
-    keys: Vec<f64>,
-    doubled: AtomicU64,
-    lag: AtomicU64,
-    next: AtomicUsize,
+    idle_connections: Mutex<Vec<TcpStream>>,
+    /// The cumulative distribution of the keys' popularity.
+    key_distribution: Vec<f64>,
+    unsolicited_answers: AtomicU64,
+    max_send_lag_us: AtomicU64,
+    next_request: AtomicUsize,
     progress: Arc<Progress>,
 }
 
-/// Runs a load to its end, on the clock of the fleet that is to be compared with it.
+/// Runs a load to its end. Its times are on `clock`, that of the fleet whose records are checked together with it.
 pub async fn run(load: Load, clock: Clock, progress: Arc<Progress>) -> Report {
-    let clock = clock.elsewhere();
-    let _metronome = AbortOnDropHandle::new(tokio::spawn(clock.clone().metronome()));
+    let clock = clock.for_other_runtime();
+    let _delay_measurement = AbortOnDropHandle::new(tokio::spawn(clock.clone().measure_scheduling_delay()));
     let shared = Arc::new(Shared::new(load, clock, progress));
     let mut report = Report {
         classes: shared.load.classes.iter().map(|class| ClassReport::new(&class.name)).collect(),
@@ -253,27 +258,30 @@
             break;
         }
         sleep_until(due.into()).await;
-        let (shared_, choice, pick) = (shared.clone(), rng.f64(), rng.f64());
-        let leaves = (rng.f64() < shared.load.abandon_fraction).then(|| rng.f64().powi(LEAVE_EARLY));
-        tasks.spawn(async move { shared_.ask(due, choice, pick, leaves).await });
-        while let Some(Ok((ask, took))) = tasks.try_join_next() {
-            shared.note(ask, took, &mut report);
+        let (request_shared, class_choice, key_choice) = (shared.clone(), rng.f64(), rng.f64());
+        let abandon_after =
+            (rng.f64() < shared.load.abandon_fraction).then(|| rng.f64().powi(ABANDON_TIME_EXPONENT));
+        tasks.spawn(async move {
+            request_shared.send_request(due, class_choice, key_choice, abandon_after).await
+        });
+        while let Some(Ok((request, latency))) = tasks.try_join_next() {
+            shared.add_result(request, latency, &mut report);
         }
     }
-    while let Some(Ok((ask, took))) = tasks.join_next().await {
-        shared.note(ask, took, &mut report);
+    while let Some(Ok((request, latency))) = tasks.join_next().await {
+        shared.add_result(request, latency, &mut report);
     }
-    sleep(LAST_LOOK).await;
+    sleep(UNSOLICITED_ANSWER_WAIT).await;
     let idle = std::mem::take(&mut *shared.idle());
-    // One that the node has closed meanwhile has said nothing.
-    let unasked = idle.iter().filter(|stream| has_more(stream) && !has_ended(stream)).count() as u64;
-    report.unsolicited_answers = unasked + shared.doubled.load(Ordering::Relaxed);
-    report.max_send_lag_us = shared.lag.load(Ordering::Relaxed);
+    // A connection that the node has closed is readable too, but has no data.
+    let unsolicited = idle.iter().filter(|stream| is_readable(stream) && !is_closed(stream)).count() as u64;
+    report.unsolicited_answers = unsolicited + shared.unsolicited_answers.load(Ordering::Relaxed);
+    report.max_send_lag_us = shared.max_send_lag_us.load(Ordering::Relaxed);
     report
 }
 
-/// Loads a node with so many clients that each ask again as soon as they have their answer; tells the times of
-/// those served. For what a node can carry: what waits is hidden here, unlike in an open loop.
+/// Loads a node in a closed loop: each of `clients` sends its next request as soon as it has its answer. Returns the
+/// latencies of the requests served. This measures a node's capacity; unlike an open loop, it hides queueing.
 pub async fn run_closed_loop(load: Load, clients: usize) -> Histogram<u64> {
     let mut rng = fastrand::Rng::with_seed(load.seed);
     let end = Instant::now() + load.duration;
@@ -285,9 +293,9 @@
             let mut served = latency_histogram();
             while Instant::now() < end {
                 let due = Instant::now();
-                let (ask, took) = shared.ask(due, rng.f64(), rng.f64(), None).await;
-                match ask.outcome {
-                    Outcome::Served => served.saturating_record(took.as_micros() as u64),
+                let (request, latency) = shared.send_request(due, rng.f64(), rng.f64(), None).await;
+                match request.outcome {
+                    Outcome::Served => served.saturating_record(latency.as_micros() as u64),
                     Outcome::Unreached => break,
                     _ => {}
                 }
@@ -297,7 +305,7 @@
     }
     let mut all = latency_histogram();
     while let Some(Ok(served)) = tasks.join_next().await {
-        // Of the same bounds: it fits.
+        // This can't fail: both histograms have the same bounds.
         let _ = all.add(&served);
     }
     all
@@ -311,46 +319,57 @@
 }
 
 impl ClientRequest {
-    /// Whether its connection ended with no answer: also if it was to be sent again and the node was not there.
+    /// Whether its connection ended without an answer, including a request that was to be sent again and found the node
+    /// unreachable.
     pub fn is_cut_off(&self) -> bool {
-        let again_in_vain = self.outcome == Outcome::Unreached && self.resent.is_some();
-        again_in_vain || matches!(self.outcome, Outcome::ConnectionClosed | Outcome::TimedOut)
+        let resend_failed = self.outcome == Outcome::Unreached && self.resent.is_some();
+        resend_failed || matches!(self.outcome, Outcome::ConnectionClosed | Outcome::TimedOut)
     }
 
-    /// Whether it got its answer so long after its time was up, beyond what may have been seen late.
+    /// Whether it ended more than `slack` microseconds after its timeout, with an allowance for the scheduling delay.
     pub fn is_late(&self, slack: Micros) -> bool {
         self.ended > self.sent + self.timeout + slack + self.scheduling_delay
     }
 }
 
-/// A value that its server does not finish is ended so long after the client's time at the latest, in microseconds.
-pub const BROKEN_END: Micros = 500_000;
+/// Longest time after a client's timeout until the node ends an answer that its server does not finish, in microseconds.
+pub const UNFINISHED_ANSWER_GRACE_US: Micros = 500_000;
 
-/// What sockets allow beyond a time limit.
-pub const SLACK: Micros = 50_000;
+/// Allowance beyond a time limit for the time spent in sockets, in microseconds.
+pub const SOCKET_SLACK_US: Micros = 50_000;
 
 impl Shared {
     fn new(load: Load, clock: Clock, progress: Arc<Progress>) -> Self {
-        let (idle, doubled, lag, next) = Default::default();
-        Shared { keys: zipf(load.keys, load.skew), load, clock, idle, doubled, lag, next, progress }
+        let (idle_connections, unsolicited_answers, max_send_lag_us, next_request) = Default::default();
+        Shared {
+            key_distribution: zipf(load.keys, load.skew),
+            load,
+            clock,
+            idle_connections,
+            unsolicited_answers,
+            max_send_lag_us,
+            next_request,
+            progress,
+        }
     }
 
     fn idle(&self) -> MutexGuard<'_, Vec<TcpStream>> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle_connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, ask: ClientRequest, took: Duration, report: &mut Report) {
-        let class = &mut report.classes[ask.class];
-        let broken = match ask.outcome {
+    /// Adds a request that has ended to the report and the live counters.
+    fn add_result(&self, request: ClientRequest, latency: Duration, report: &mut Report) {
+        let class = &mut report.classes[request.class];
+        let is_broken = match request.outcome {
             Outcome::ConnectionClosed | Outcome::TimedOut | Outcome::WrongValue => true,
             Outcome::Unreached | Outcome::Abandoned => false,
-            Outcome::Served | Outcome::Refused | Outcome::Failed => ask.is_late(SLACK),
-            Outcome::Truncated => ask.is_late(SLACK + BROKEN_END),
+            Outcome::Served | Outcome::Refused | Outcome::Failed => request.is_late(SOCKET_SLACK_US),
+            Outcome::Truncated => request.is_late(SOCKET_SLACK_US + UNFINISHED_ANSWER_GRACE_US),
         };
-        class.broken += u64::from(broken);
-        let count = match ask.outcome {
+        class.broken += u64::from(is_broken);
+        let counter = match request.outcome {
             Outcome::Served => {
-                class.served.saturating_record(took.as_micros() as u64);
+                class.served.saturating_record(latency.as_micros() as u64);
                 Some(&self.progress.served)
             }
             Outcome::Refused => {
@@ -371,124 +390,135 @@
             | Outcome::TimedOut
             | Outcome::Abandoned => None,
         };
-        count.into_iter().for_each(|count| _ = count.fetch_add(1, Ordering::Relaxed));
-        self.progress.broken.fetch_add(u64::from(broken), Ordering::Relaxed);
+        counter.into_iter().for_each(|counter| _ = counter.fetch_add(1, Ordering::Relaxed));
+        self.progress.broken.fetch_add(u64::from(is_broken), Ordering::Relaxed);
         if self.load.keep_requests {
-            report.requests.push(ask);
+            report.requests.push(request);
         }
     }
 
-    /// Asks once, for a class and a key chosen by two numbers from 0 to 1. A client that leaves does so after a part of its
-    /// time.
-    async fn ask(
+    /// Sends one request, for a class and a key chosen by two numbers from 0 to 1, and waits for its end. With
+    /// `abandon_after`, its client closes the connection after that fraction of its timeout. Returns the request and its
+    /// latency since it was due.
+    async fn send_request(
         &self,
         due: Instant,
-        choice: f64,
-        pick: f64,
-        leaves: Option<f64>,
+        class_choice: f64,
+        key_choice: f64,
+        abandon_after: Option<f64>,
     ) -> (ClientRequest, Duration) {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         self.progress.asked.fetch_add(1, Ordering::Relaxed);
-        let class = self.class(choice);
-        let Class { name, kind, timeout: wait, .. } = &self.load.classes[class];
-        let key =
-            format!("{:016x}", self.keys.partition_point(|&share| share < pick).min(self.keys.len() - 1));
+        let class = self.class(class_choice);
+        let Class { name, kind, timeout: request_timeout, .. } = &self.load.classes[class];
+        let key_rank = self.key_distribution.partition_point(|&cumulated| cumulated < key_choice);
+        let key = format!("{:016x}", key_rank.min(self.key_distribution.len() - 1));
         let id = format!("{:08x}{number:08x}", self.load.seed as u32);
-        let idempotency = if *kind == Kind::Keyed { format!(",k={id}") } else { String::new() };
+        let idempotency_key = if *kind == Kind::Keyed { format!(",k={id}") } else { String::new() };
         let tenant = self.load.tenant.as_ref().map_or(String::new(), |tenant| format!(",t={tenant}"));
-        let facts = format!("c={name}{tenant},d={}{idempotency}", wait.as_millis());
-        let write = *kind != Kind::Read;
-        let (text, key) = match self.load.protocol {
-            CacheProtocol::Resp => (command(&key, &id, &facts, write), key),
+        let facts = format!("c={name}{tenant},d={}{idempotency_key}", request_timeout.as_millis());
+        let is_write = *kind != Kind::Read;
+        let (command, key) = match self.load.protocol {
+            CacheProtocol::Resp => (encode_command(&key, &id, &facts, is_write), key),
             CacheProtocol::Memcached => {
-                let mark =
+                let cas =
                     if *kind == Kind::Keyed { u64::from_str_radix(&id, 16).unwrap_or(0) + 1 } else { 0 };
-                (memcache::command(name, &key, number as u32, write, mark), memcache::prefixed(name, &key))
+                let command = memcache::encode_command(name, &key, number as u32, is_write, cas);
+                (command, memcache::key_with_class(name, &key))
             }
         };
-        let asked =
-            Expected { speaks: self.load.protocol, id: id.clone(), key, number: number as u32, write };
-        let (first, mut reused) = (Instant::now(), None);
-        let (mut sent, mut end) = (first, Outcome::Unreached);
-        let stays = leaves.map(|part| wait.mul_f64(part));
-        if let Some(stream) = self.reuse() {
-            end = self.ask_on(stream, &text, &asked, *wait, stays).await;
-            // A connection that the node closed between requests is no loss: once more on a new one.
-            reused = (end == Outcome::ConnectionClosed).then_some(first);
+        let expected = ExpectedAnswer {
+            protocol: self.load.protocol,
+            id: id.clone(),
+            key,
+            opaque: number as u32,
+            is_write,
+        };
+        let (first_sent, mut closed_reused) = (Instant::now(), None);
+        let (mut sent, mut outcome) = (first_sent, Outcome::Unreached);
+        let abandon_timeout = abandon_after.map(|fraction| request_timeout.mul_f64(fraction));
+        if let Some(stream) = self.take_idle_connection() {
+            outcome = self.send_on(stream, &command, &expected, *request_timeout, abandon_timeout).await;
+            // A node may close an idle connection: then the request is sent again, once, on a new one.
+            closed_reused = (outcome == Outcome::ConnectionClosed).then_some(first_sent);
         }
-        if end == Outcome::Unreached || reused.is_some() {
+        if outcome == Outcome::Unreached || closed_reused.is_some() {
             sent = Instant::now();
-            end = match self.connect().await {
-                Ok(stream) => self.ask_on(stream, &text, &asked, *wait, stays).await,
+            outcome = match self.connect().await {
+                Ok(stream) => {
+                    self.send_on(stream, &command, &expected, *request_timeout, abandon_timeout).await
+                }
                 Err(_) => Outcome::Unreached,
             };
         }
-        self.lag.fetch_max((first - due).as_micros() as Micros, Ordering::Relaxed);
-        let (ended, wait) = (self.clock.now(), wait.as_micros() as Micros);
-        let resent = reused.map(|_| self.clock.at(sent));
-        let (sent, late) = (self.clock.at(sent), self.clock.late());
-        let left = (end == Outcome::Abandoned).then_some(ended);
-        (
-            ClientRequest {
-                id,
-                class,
-                kind: *kind,
-                sent,
-                resent,
-                timeout: wait,
-                ended,
-                abandoned: left,
-                scheduling_delay: late,
-                outcome: end,
-            },
-            due.elapsed(),
-        )
+        self.max_send_lag_us.fetch_max((first_sent - due).as_micros() as Micros, Ordering::Relaxed);
+        let (ended, timeout) = (self.clock.now(), request_timeout.as_micros() as Micros);
+        let resent = closed_reused.map(|_| self.clock.at(sent));
+        let (sent, scheduling_delay) = (self.clock.at(sent), self.clock.scheduling_delay());
+        let abandoned = (outcome == Outcome::Abandoned).then_some(ended);
+        let kind = *kind;
+        let request = ClientRequest {
+            id,
+            class,
+            kind,
+            sent,
+            resent,
+            timeout,
+            ended,
+            abandoned,
+            scheduling_delay,
+            outcome,
+        };
+        (request, due.elapsed())
     }
 
-    async fn ask_on(
+    /// Sends a command on a connection, which is kept for reuse if the command is answered.
+    async fn send_on(
         &self,
         mut stream: TcpStream,
-        text: &[u8],
-        asked: &Expected,
-        wait: Duration,
-        stays: Option<Duration>,
+        command: &[u8],
+        expected: &ExpectedAnswer,
+        request_timeout: Duration,
+        abandon_timeout: Option<Duration>,
     ) -> Outcome {
-        let limit = stays.unwrap_or(wait + AFTERWARDS);
-        match timeout(limit, exchange(&mut stream, text, asked)).await {
-            Err(_) if stays.is_some() => Outcome::Abandoned,
-            Ok(Exchanged::Answer(end)) => {
+        let limit = abandon_timeout.unwrap_or(request_timeout + LATE_ANSWER_WAIT);
+        match timeout(limit, exchange(&mut stream, command, expected)).await {
+            Err(_) if abandon_timeout.is_some() => Outcome::Abandoned,
+            Ok(ExchangeResult::Answer(outcome)) => {
                 self.idle().push(stream);
-                end
+                outcome
             }
-            Ok(Exchanged::More) => {
-                self.doubled.fetch_add(1, Ordering::Relaxed);
+            Ok(ExchangeResult::UnexpectedData) => {
+                self.unsolicited_answers.fetch_add(1, Ordering::Relaxed);
                 Outcome::WrongValue
             }
-            Ok(Exchanged::Closed) => Outcome::ConnectionClosed,
-            Ok(Exchanged::Broken) => Outcome::Truncated,
+            Ok(ExchangeResult::Closed) => Outcome::ConnectionClosed,
+            Ok(ExchangeResult::Truncated) => Outcome::Truncated,
             Err(_) => Outcome::TimedOut,
         }
     }
 
+    /// The index of the class that a number from 0 to 1 selects by the classes' weights.
     fn class(&self, choice: f64) -> usize {
-        let all: f64 = self.load.classes.iter().map(|class| class.weight).sum();
-        let mut left = choice * all;
+        let total_weight: f64 = self.load.classes.iter().map(|class| class.weight).sum();
+        let mut remaining = choice * total_weight;
         let chosen = self.load.classes.iter().position(|class| {
-            left -= class.weight;
-            left < 0.0
+            remaining -= class.weight;
+            remaining < 0.0
         });
         chosen.unwrap_or(0)
     }
 
-    /// An idle connection that the node has left open.
-    fn reuse(&self) -> Option<TcpStream> {
+    /// Takes an idle connection that the node has left open. Idle connections with unsolicited data are counted and
+    /// dropped.
+    fn take_idle_connection(&self) -> Option<TcpStream> {
         loop {
             let stream = self.idle().pop()?;
-            if !has_more(&stream) {
+            if !is_readable(&stream) {
                 return Some(stream);
             }
-            if !has_ended(&stream) {
-                self.doubled.fetch_add(1, Ordering::Relaxed);
+            if !is_closed(&stream) {
+                self.unsolicited_answers.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
@@ -500,82 +530,84 @@
     }
 }
 
-/// Whether something waits to be read: bytes, or the end.
-fn has_more(stream: &TcpStream) -> bool {
+/// Whether a read would return at once: with data, the end of the stream or an error.
+fn is_readable(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let peeked = socket2::SockRef::from(stream).peek(&mut byte);
     !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-fn has_ended(stream: &TcpStream) -> bool {
+/// Whether a readable connection has no data, so that it has been closed.
+fn is_closed(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     !matches!(socket2::SockRef::from(stream).peek(&mut byte), Ok(1))
 }
 
-/// What a command was met with.
-enum Exchanged {
+/// The result of sending a command and reading its answer.
+enum ExchangeResult {
     Answer(Outcome),
-    /// An answer with something behind it, or what can't be read.
-    More,
-    /// A close before any answer.
+    /// An answer with more data after it, or one that can't be parsed.
+    UnexpectedData,
+    /// The connection was closed before any answer.
     Closed,
-    /// A close behind the beginning of an answer.
-    Broken,
+    /// The connection was closed in the middle of the answer.
+    Truncated,
 }
 
 /// Writes a command and reads its answer.
-async fn exchange(stream: &mut TcpStream, text: &[u8], asked: &Expected) -> Exchanged {
-    if stream.write_all(text).await.is_err() {
-        return Exchanged::Closed;
+async fn exchange(stream: &mut TcpStream, command: &[u8], expected: &ExpectedAnswer) -> ExchangeResult {
+    if stream.write_all(command).await.is_err() {
+        return ExchangeResult::Closed;
     }
     let mut buffer = BytesMut::new();
     loop {
-        match asked.next(&mut buffer) {
-            Some(Ok(end)) if buffer.is_empty() => return Exchanged::Answer(end),
-            Some(_) => return Exchanged::More,
+        match expected.parse(&mut buffer) {
+            Some(Ok(outcome)) if buffer.is_empty() => return ExchangeResult::Answer(outcome),
+            Some(_) => return ExchangeResult::UnexpectedData,
             None => {}
         }
         match stream.read_buf(&mut buffer).await {
-            Ok(0) | Err(_) if buffer.is_empty() => return Exchanged::Closed,
-            Ok(0) | Err(_) => return Exchanged::Broken,
+            Ok(0) | Err(_) if buffer.is_empty() => return ExchangeResult::Closed,
+            Ok(0) | Err(_) => return ExchangeResult::Truncated,
             Ok(_) => {}
         }
     }
 }
 
-/// What a client waits for.
-struct Expected {
-    speaks: CacheProtocol,
+/// The request that an answer must belong to.
+struct ExpectedAnswer {
+    protocol: CacheProtocol,
     id: String,
     key: String,
-    /// The opaque over memcached.
-    number: u32,
-    write: bool,
+    /// The request's opaque; used over memcached only.
+    opaque: u32,
+    is_write: bool,
 }
 
-impl Expected {
-    /// What the first answer in the buffer means, once it is whole; an error if it can't be read.
-    fn next(&self, buffer: &mut BytesMut) -> Option<Result<Outcome, ()>> {
-        match self.speaks {
-            CacheProtocol::Resp => match next_frame(buffer, LONGEST) {
-                Ok(frame) => Some(Ok(judge(&frame?, &self.id, &self.key))),
+impl ExpectedAnswer {
+    /// The outcome that the first answer in the buffer means, once it is complete; an error if it can't be parsed.
+    fn parse(&self, buffer: &mut BytesMut) -> Option<Result<Outcome, ()>> {
+        match self.protocol {
+            CacheProtocol::Resp => match next_frame(buffer, MAX_ANSWER_BYTES) {
+                Ok(frame) => Some(Ok(classify(&frame?, &self.id, &self.key))),
                 Err(_) => Some(Err(())),
             },
-            CacheProtocol::Memcached => match next_response(buffer, LONGEST) {
-                Ok(packet) => Some(Ok(self.judge(&packet?))),
+            CacheProtocol::Memcached => match next_response(buffer, MAX_ANSWER_BYTES) {
+                Ok(packet) => Some(Ok(self.classify_packet(&packet?))),
                 Err(_) => Some(Err(())),
             },
         }
     }
 
-    /// The node's ids are its own here: a value made for this key serves, to which the opaque ties it.
-    fn judge(&self, packet: &Packet) -> Outcome {
-        let about = value("", &self.key, 0);
-        let about = about.trim_end_matches('0').as_bytes();
+    /// The outcome that a memcached answer means. Over memcached the node makes up the request ids itself, so a value for
+    /// this key is accepted with any id; the opaque ties it to the request.
+    fn classify_packet(&self, packet: &Packet) -> Outcome {
+        let for_key = response_value("", &self.key, 0);
+        let for_key = for_key.trim_end_matches('0').as_bytes();
         match Status(packet.status) {
-            _ if packet.opaque != self.number => Outcome::WrongValue,
-            Status::OK if self.write && packet.value.is_empty() => Outcome::Served,
-            Status::OK if packet.value.windows(about.len()).any(|part| part == about) => Outcome::Served,
+            _ if packet.opaque != self.opaque => Outcome::WrongValue,
+            Status::OK if self.is_write && packet.value.is_empty() => Outcome::Served,
+            Status::OK if packet.value.windows(for_key.len()).any(|part| part == for_key) => Outcome::Served,
             Status::OK => Outcome::WrongValue,
             Status::BUSY => Outcome::Refused,
             _ => Outcome::Failed,
@@ -583,53 +615,56 @@
     }
 }
 
-/// Whether a text is a value, or a receipt, of this id and key.
+/// Whether a text is a value, or the confirmation of a write, made for this id and key.
 pub(crate) fn is_value_for(text: &[u8], id: &str, key: &str) -> bool {
-    text.starts_with(value(id, key, 0).trim_end_matches('0').as_bytes())
+    text.starts_with(response_value(id, key, 0).trim_end_matches('0').as_bytes())
 }
 
-fn judge(frame: &Frame, id: &str, key: &str) -> Outcome {
+/// The outcome that a RESP2 answer to a request with this id and key means.
+fn classify(frame: &Frame, id: &str, key: &str) -> Outcome {
     match frame {
-        // A value, or a write's receipt: either names the request, but for what a box says that was told no id.
+        // A value or the confirmation of a write contains the request's id, or the placeholder from a memcached box,
+        // which gets no id.
         Frame::BulkString(text) if is_value_for(text, id, key) || is_value_for(text, NO_ID, key) => {
             Outcome::Served
         }
         Frame::BulkString(_) => Outcome::WrongValue,
-        // A cache's own answer: the value, how it went, and a load report.
+        // The answer of a cache itself: the value, hit or miss, and a load report.
         Frame::Array(parts) if matches!(parts.first(), Some(Frame::BulkString(_))) => {
-            judge(&parts[0], id, key)
+            classify(&parts[0], id, key)
         }
         Frame::Error(text) if text.starts_with("BUSY") => Outcome::Refused,
         _ => Outcome::Failed,
     }
 }
 
-pub(crate) fn command(key: &str, id: &str, facts: &str, write: bool) -> BytesMut {
-    encode_command_with_value(key, id, facts, write.then_some(b"tuesday"))
+/// Encodes a RESP2 read, or a write of a fixed value.
+pub(crate) fn encode_command(key: &str, id: &str, facts: &str, is_write: bool) -> BytesMut {
+    encode_command_with_value(key, id, facts, is_write.then_some(b"tuesday"))
 }
 
-/// A write of a value, or a read if there is none.
+/// Encodes a RESP2 write of a value, or a read if there is none.
 pub(crate) fn encode_command_with_value(key: &str, id: &str, facts: &str, value: Option<&[u8]>) -> BytesMut {
-    let mut text = BytesMut::new();
-    put_array(&mut text, if value.is_some() { 5 } else { 4 });
-    for part in [if value.is_some() { "CACHE.SET" } else { "CACHE.GET" }, key, id, facts] {
-        put_bulk(&mut text, part.as_bytes());
+    let mut command = BytesMut::new();
+    put_array(&mut command, if value.is_some() { 5 } else { 4 });
+    for word in [if value.is_some() { "CACHE.SET" } else { "CACHE.GET" }, key, id, facts] {
+        put_bulk(&mut command, word.as_bytes());
     }
     if let Some(value) = value {
-        put_bulk(&mut text, value);
+        put_bulk(&mut command, value);
     }
-    text
+    command
 }
 
-/// The cumulated shares of keys whose popularity falls with a power of their rank.
+/// The cumulative distribution of keys whose popularity is their rank to the power of `-skew`.
 fn zipf(keys: usize, skew: f64) -> Vec<f64> {
     let mut sum = 0.0;
-    let weights = (1..=keys.max(1)).map(|rank| {
+    let cumulated = (1..=keys.max(1)).map(|rank| {
         sum += (rank as f64).powf(-skew);
         sum
     });
-    let weights: Vec<f64> = weights.collect();
-    weights.iter().map(|weight| weight / sum).collect()
+    let cumulated: Vec<f64> = cumulated.collect();
+    cumulated.iter().map(|weight| weight / sum).collect()
 }
 
 #[cfg(test)]
@@ -637,9 +672,9 @@
     use super::*;
 
     #[test]
-    fn keys_are_asked_for_by_a_power_of_their_rank() {
-        let even = zipf(4, 0.0);
-        assert_eq!(even, [0.25, 0.5, 0.75, 1.0]);
+    fn key_popularity_falls_with_a_power_of_the_rank() {
+        let uniform = zipf(4, 0.0);
+        assert_eq!(uniform, [0.25, 0.5, 0.75, 1.0]);
         let skewed = zipf(3, 1.0);
         let first = 1.0 / (1.0 + 0.5 + 1.0 / 3.0);
         assert!((skewed[0] - first).abs() < 1e-9 && skewed[2] == 1.0);
@@ -648,9 +683,9 @@
     #[test]
     fn only_a_value_made_for_the_request_serves_it() {
         let bulk = |text: &str| Frame::BulkString(text.to_owned().into());
-        assert_eq!(judge(&bulk(&value("i1", "k", 7)), "i1", "k"), Outcome::Served);
-        assert_eq!(judge(&bulk(&value("i2", "k", 7)), "i1", "k"), Outcome::WrongValue);
-        assert_eq!(judge(&Frame::Error("BUSY 5".into()), "i1", "k"), Outcome::Refused);
-        assert_eq!(judge(&Frame::Error("ERR failed".into()), "i1", "k"), Outcome::Failed);
+        assert_eq!(classify(&bulk(&response_value("i1", "k", 7)), "i1", "k"), Outcome::Served);
+        assert_eq!(classify(&bulk(&response_value("i2", "k", 7)), "i1", "k"), Outcome::WrongValue);
+        assert_eq!(classify(&Frame::Error("BUSY 5".into()), "i1", "k"), Outcome::Refused);
+        assert_eq!(classify(&Frame::Error("ERR failed".into()), "i1", "k"), Outcome::Failed);
     }
 }
--- a/crates/fleet/src/cut_body.rs
+++ b/crates/fleet/src/cut_body.rs
@@ -1,4 +1,4 @@
-//! A body of no told length that breaks off in the middle.
+//! An HTTP body without `Content-Length` that ends in the middle.
 
 use std::io;
 use std::pin::Pin;
@@ -7,15 +7,15 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 
-/// The beginning of a body, and then the connection's end.
+/// Sends the first half of a body, then fails, which closes the connection.
 pub(crate) struct CutBody {
-    beginning: Option<Bytes>,
+    first_half: Option<Bytes>,
 }
 
 impl CutBody {
-    /// A body that breaks off behind its first half.
-    pub fn new(whole: Bytes) -> Self {
-        CutBody { beginning: Some(whole.slice(..whole.len() / 2)) }
+    /// A body that ends after the first half of `complete`.
+    pub fn new(complete: Bytes) -> Self {
+        CutBody { first_half: Some(complete.slice(..complete.len() / 2)) }
     }
 }
 
@@ -27,7 +27,9 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let frame = self.beginning.take().map(Frame::data);
-        Poll::Ready(Some(frame.ok_or_else(|| io::Error::other("cut"))))
+        let frame = self.first_half.take().map(Frame::data);
+        Poll::Ready(Some(
+            frame.ok_or_else(|| io::Error::other("body ended in the middle by an injected fault")),
+        ))
     }
 }
--- a/crates/fleet/src/fault.rs
+++ b/crates/fleet/src/fault.rs
@@ -1,36 +1,37 @@
-//! What goes wrong at a server.
+//! Faults that can be injected into a cache box or the origin, as a script's TOML names them.
 
 use serde::Deserialize;
 
-/// The faults of one server. All at rest by default; shares are parts of its requests, from 0 to 1.
+/// The faults of one server, all off by default. Fields of type `f64`, except `slow`, are fractions of its requests
+/// from 0 to 1, drawn per request.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Work takes so many times as long.
+    /// Factor by which the work of a request takes longer; 1 is no fault.
     pub slow: f64,
-    /// Nothing is answered until that ends.
+    /// Nothing is answered while this is set.
     pub stalled: bool,
-    /// Requests that get no answer, on a connection that stays open.
+    /// Requests that are never answered, on a connection that stays open.
     pub swallow: f64,
-    /// Requests reset at their first byte: they never run.
+    /// Requests whose connection is reset at their first byte; they are not executed.
     pub reset_before: f64,
-    /// Requests reset once they have run.
+    /// Requests whose connection is reset after they were executed.
     pub reset_after: f64,
-    /// Requests that run and are answered with what can't be read.
+    /// Requests that are executed and answered with malformed data.
     pub spoil: f64,
-    /// Requests that run and are answered with an error.
+    /// Requests that are executed and answered with an error.
     pub fail: f64,
-    /// Requests of a box whose answer is sent once more some milliseconds later.
+    /// Requests to a box whose answer is sent a second time some milliseconds later.
     pub twice: f64,
-    /// Reads of a box that are answered with the beginning of a large value, and no more.
+    /// Reads from a box that get the beginning of a large value, and nothing after it.
     pub halt: f64,
-    /// Answers of the origin that tell no length and break off in the middle.
+    /// Answers of the origin that have no `Content-Length` and end in the middle.
     pub cut: f64,
     /// New connections are refused.
     pub refuse: bool,
-    /// New connections come up late: the kernel tries them again once this has ended.
+    /// New connections meet a full backlog: the kernel retries the handshake, so that it completes only after this ends.
     pub late: bool,
-    /// What goes wrong only at boxes that speak memcached.
+    /// Faults that only boxes with memcached's protocol have.
     pub memcached: MemcachedFaults,
 }
 
@@ -54,18 +55,18 @@
     }
 }
 
-/// The faults of a box's answers in memcached's binary protocol, as shares of its requests from 0 to 1.
+/// Faults of a box's answers in memcached's binary protocol, as fractions of its requests from 0 to 1.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MemcachedFaults {
-    /// Replies out of order: the answer to an earlier request comes once more, before this one's.
+    /// Answers out of order: the answer to an earlier request is sent again before this one's.
     pub misorder: f64,
-    /// Answers with an opaque that is not the request's.
+    /// Answers whose opaque is not that of the request.
     pub opaque: f64,
-    /// Answers whose header claims a longer body than comes.
+    /// Answers whose header gives a body length greater than what is sent.
     pub body: f64,
-    /// Misses that get no answer, as if the request had been a quiet one.
+    /// Misses that get no answer, as if the request had used a quiet opcode.
     pub quiet: f64,
-    /// Half a header, and no more.
+    /// Answers of which only half the header is sent.
     pub header: f64,
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for all that a node meets, on loopback: cache boxes, the origin, discovery, etcd and clients.
+//! Stand-in servers for tests, on loopback: cache boxes, the origin, discovery and etcd, and clients that load a node.
 //!
-//! They are seeded, take faults while they run, and record what comes to them, so that the four rules can be
-//! checked from outside: see [`verdict`]. A [`Fleet`] runs them on a thread of its own.
+//! All random choices are seeded. The servers can be given faults while they run, and record what they receive, so
+//! that the four rules of a node can be checked from outside: see [`verdict`]. A [`Fleet`] runs its servers on one
+//! thread of its own.
 //!
-//! What they are not: measurements of real machines. A box has cores, slots, a bounded store and a start in
-//! the cold, which is what makes boxes queue, slow down, miss and fall over.
+//! The stand-ins do not model real machines in their absolute numbers. A box has a number of cores, a bounded queue, a
+//! bounded store and a cold start, which is what makes boxes queue, slow down, miss and fail under overload.
 
 pub mod cache;
 pub mod clients;
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,114 +1,122 @@
-//! What came to the stand-ins, in the order in which they saw it.
+//! A log of the events that the stand-in servers see, in the order in which they see them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use crate::clock::{Clock, Micros};
 
-/// No more records than this are kept; those beyond are counted.
-const MOST: usize = 1 << 20;
+/// Maximum number of records kept; those beyond it are only counted.
+const MAX_RECORDS: usize = 1 << 20;
 
-/// Something that a stand-in saw.
+/// An event with its time and server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// When.
+    /// When it was seen.
     pub at: Micros,
-    /// How late it may have been seen.
+    /// Upper bound on how much later than it happened it was seen, in microseconds.
     pub scheduling_delay: Micros,
-    /// By which server.
+    /// Name of the server that saw it.
     pub server: Arc<str>,
-    /// What.
+    /// What was seen.
     pub event: Event,
 }
 
-/// What a stand-in can see.
+/// What a stand-in server can record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The first byte of a command has come.
+    /// The first byte of a command was received.
     FirstByte,
-    /// A whole command has come.
-    Received(Asked),
-    /// It was carried out: a value found, or a write's effect.
-    Executed(Asked),
-    /// A write was known from its key and had no second effect.
-    Discarded(Asked),
-    /// An answer was sent once more, on a connection that was still open.
-    AnswerRepeated(Asked),
-    /// The beginning of a large value was sent, and no more will come.
-    AnswerHalted(Asked),
-    /// An answer of no told length broke off in the middle.
-    AnswerCut(Asked),
-    /// A command that no client sent in this form.
-    Syntax(String),
-    /// A cold box was pushed over.
-    PushedOver,
-    /// A node has called for the list, or for its changes.
+    /// A complete command was received.
+    Received(ReceivedRequest),
+    /// A request was executed: a value was found, or a write took effect.
+    Executed(ReceivedRequest),
+    /// A write was recognised by its idempotency key as a repeat and had no second effect.
+    Discarded(ReceivedRequest),
+    /// An answer was sent a second time, on a connection that was still open.
+    AnswerRepeated(ReceivedRequest),
+    /// The beginning of a large value was sent; the rest never will be.
+    AnswerHalted(ReceivedRequest),
+    /// An answer without `Content-Length` ended in the middle.
+    AnswerCut(ReceivedRequest),
+    /// A malformed or unknown command was received, which no client sends in this form.
+    InvalidCommand(String),
+    /// A cold box failed because it was sent more work than it could take.
+    Overloaded,
+    /// A node requested the server list, or its changes.
     ListRequested {
-        /// For the whole list.
-        whole: bool,
+        /// Whether it requested the full list.
+        full: bool,
     },
-    /// Discovery has told a node that this server is in that state.
+    /// Discovery sent a node the state of this server.
     StateSent(ServerState),
 }
 
-/// A request, as a server saw it.
+/// A request as a server received it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Asked {
-    /// Its id.
+pub struct ReceivedRequest {
+    /// Id that its client gave it.
     pub id: String,
-    /// What it is about.
+    /// The cache key.
     pub key: String,
-    /// Its class, if it names one.
+    /// Its class, if it carries one.
     pub class: Option<String>,
-    /// The key of a keyed write.
-    pub idempotency: Option<String>,
-    /// Whether it changes something.
-    pub write: bool,
-    /// How long its client still waits, as the server was told; nothing if it was not.
+    /// The idempotency key of a keyed write.
+    pub idempotency_key: Option<String>,
+    /// Whether it is a write.
+    pub is_write: bool,
+    /// The remaining time until its client's deadline, as sent to the server; `None` if none was sent.
     pub time_left: Option<Micros>,
 }
 
-impl Asked {
-    /// A request by its words: the facts are names and values, as in `c=read,d=480`.
-    pub fn new(key: &str, id: &str, facts: &str, write: bool) -> Self {
+impl ReceivedRequest {
+    /// Parses a request's arguments. `facts` holds attributes as names and values, as in `c=read,d=480`: class `c`, time
+    /// left `d` in milliseconds, idempotency key `k`.
+    pub fn new(key: &str, id: &str, facts: &str, is_write: bool) -> Self {
         let fact = |name: &str| {
             let mut pairs = facts.split(',').filter_map(|fact| fact.split_once('='));
-            pairs.find(|(n, _)| *n == name).map(|(_, value)| value.to_owned())
+            pairs.find(|(fact, _)| *fact == name).map(|(_, value)| value.to_owned())
         };
         let milliseconds = fact("d").and_then(|wait| wait.parse::<f64>().ok());
         let time_left = milliseconds.map(|ms| (ms * 1e3) as Micros);
-        Asked { id: id.into(), key: key.into(), class: fact("c"), idempotency: fact("k"), write, time_left }
+        ReceivedRequest {
+            id: id.into(),
+            key: key.into(),
+            class: fact("c"),
+            idempotency_key: fact("k"),
+            is_write,
+            time_left,
+        }
     }
 }
 
-/// What discovery tells of a server.
+/// The state of a server in the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
     /// In service.
     Serving,
-    /// Finishing what it has.
+    /// Finishing its open requests; it must get no new ones.
     Draining,
-    /// Gone.
+    /// Removed from the list.
     Deleted,
 }
 
 #[derive(Default)]
-struct Book {
+struct Records {
     records: Vec<Record>,
     dropped: usize,
 }
 
-/// Where stand-ins write what they see.
+/// The log that the stand-in servers of a fleet share.
 #[derive(Clone)]
 pub struct Log {
     clock: Clock,
-    book: Arc<Mutex<Book>>,
-    kept: bool,
+    records: Arc<Mutex<Records>>,
+    enabled: bool,
 }
 
 impl Log {
-    /// An empty log. One that is not `kept` forgets all at once.
-    pub fn new(clock: Clock, kept: bool) -> Self {
-        Log { clock, book: Arc::default(), kept }
+    /// An empty log. With `enabled` false, nothing is kept.
+    pub fn new(clock: Clock, enabled: bool) -> Self {
+        Log { clock, records: Arc::default(), enabled }
     }
 
     /// The clock of its records.
@@ -116,31 +124,31 @@
         &self.clock
     }
 
-    /// Notes what a server has seen now.
+    /// Records an event that a server has seen now.
     pub fn record(&self, server: &Arc<str>, event: Event) {
-        if !self.kept {
+        if !self.enabled {
             return;
         }
         let record = Record {
             at: self.clock.now(),
-            scheduling_delay: self.clock.late(),
+            scheduling_delay: self.clock.scheduling_delay(),
             server: server.clone(),
             event,
         };
-        let mut book = self.book();
-        match book.records.len() < MOST {
-            true => book.records.push(record),
-            false => book.dropped += 1,
+        let mut log = self.lock();
+        match log.records.len() < MAX_RECORDS {
+            true => log.records.push(record),
+            false => log.dropped += 1,
         }
     }
 
-    /// All records so far, and how many there was no room for.
+    /// All records so far, and the number of those dropped because the log was full.
     pub fn records(&self) -> (Vec<Record>, usize) {
-        let book = self.book();
-        (book.records.clone(), book.dropped)
+        let log = self.lock();
+        (log.records.clone(), log.dropped)
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Records> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/fleet/tests/clients.rs
+++ b/crates/fleet/tests/clients.rs
@@ -1,4 +1,5 @@
-//! The clients tell broken answers from good ones, on connections that they use again.
+//! The load clients classify a node's answers correctly on the connections that they reuse: served, unsolicited, wrong
+//! or missing.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,8 +10,9 @@
 use lilacquay_fleet::Clock;
 use lilacquay_fleet::clients::{Load, Outcome, Report, run};
 
-/// A node of a few lines: reads commands and has each answered by its words.
-fn node(answer: fn(&mut TcpStream, &[String], usize) -> bool) -> SocketAddr {
+/// Starts a minimal node. For each command, `answer` gets the connection, the command's words and its number on the
+/// connection, from 1; the connection is closed when it returns false.
+fn start_node(answer: fn(&mut TcpStream, &[String], usize) -> bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -18,10 +20,10 @@
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let mut stream = stream;
-                let mut n = 0;
-                while let Some(words) = words(&mut reader) {
-                    n += 1;
-                    if !answer(&mut stream, &words, n) {
+                let mut number = 0;
+                while let Some(words) = read_command(&mut reader) {
+                    number += 1;
+                    if !answer(&mut stream, &words, number) {
                         return;
                     }
                 }
@@ -31,8 +33,9 @@
     addr
 }
 
-fn words(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let mut line = || {
+/// Reads a command as its words; `None` at the end of the connection.
+fn read_command(reader: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
+    let mut read_count = || {
         let mut text = String::new();
         reader
             .read_line(&mut text)
@@ -40,7 +43,7 @@
             .filter(|&n| n > 0)
             .map(|_| text.trim_end()[1..].parse::<usize>().unwrap())
     };
-    let count = line()?;
+    let count = read_count()?;
     (0..count)
         .map(|_| {
             let mut header = String::new();
@@ -52,50 +55,56 @@
         .collect()
 }
 
-fn good(words: &[String]) -> String {
+/// The valid answer to a command.
+fn valid_answer(words: &[String]) -> String {
     let value = format!("{} {} v1", words[2], words[1]);
     format!("${}\r\n{value}\r\n", value.len())
 }
 
-fn load(to: SocketAddr) -> Report {
+/// Loads a node for half a second.
+fn run_load(to: SocketAddr) -> Report {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let load = Load { rate: 200.0, keep_requests: true, ..Load::standard(to, Duration::from_millis(500), 1) };
     runtime.block_on(run(load, Clock::default(), Arc::default()))
 }
 
 #[test]
-fn good_answers_are_served_and_a_close_between_requests_is_no_loss() {
-    let report = load(node(|stream, words, n| {
-        stream.write_all(good(words).as_bytes()).is_ok() && n < 2 // closed after two
+fn valid_answers_are_served_and_a_close_between_requests_is_not_a_loss() {
+    let report = run_load(start_node(|stream, words, number| {
+        stream.write_all(valid_answer(words).as_bytes()).is_ok() && number < 2 // closes after two answers
     }));
     assert!(report.requests.len() > 20);
-    assert!(report.requests.iter().all(|ask| ask.outcome == Outcome::Served), "{:?}", report.requests);
+    assert!(
+        report.requests.iter().all(|request| request.outcome == Outcome::Served),
+        "{:?}",
+        report.requests
+    );
     assert_eq!(report.broken(), 0);
 }
 
 #[test]
-fn a_second_answer_is_told_on_a_new_connection_and_on_a_used_one() {
-    for at in [1, 2] {
-        let twice: fn(&mut TcpStream, &[String], usize) -> bool = match at {
-            1 => |stream, words, n| {
-                let text = good(words).repeat(if n == 1 { 2 } else { 1 });
-                stream.write_all(text.as_bytes()).is_ok()
+fn a_second_answer_is_reported_on_a_new_connection_and_on_a_reused_one() {
+    for repeated_answer in [1, 2] {
+        let answer_twice: fn(&mut TcpStream, &[String], usize) -> bool = match repeated_answer {
+            1 => |stream, words, number| {
+                let answers = valid_answer(words).repeat(if number == 1 { 2 } else { 1 });
+                stream.write_all(answers.as_bytes()).is_ok()
             },
-            _ => |stream, words, n| {
-                let text = good(words).repeat(if n == 2 { 2 } else { 1 });
-                stream.write_all(text.as_bytes()).is_ok()
+            _ => |stream, words, number| {
+                let answers = valid_answer(words).repeat(if number == 2 { 2 } else { 1 });
+                stream.write_all(answers.as_bytes()).is_ok()
             },
         };
-        let report = load(node(twice));
-        assert!(report.unsolicited_answers > 0, "at the answer {at} of a connection");
+        let report = run_load(start_node(answer_twice));
+        assert!(report.unsolicited_answers > 0, "answer {repeated_answer} of each connection was sent twice");
     }
 }
 
 #[test]
-fn another_requests_value_is_no_answer_and_a_close_instead_of_one_is_a_loss() {
-    let foreign = load(node(|stream, _, _| stream.write_all(b"$5\r\ni k v\r\n").is_ok()));
-    assert!(foreign.requests.iter().all(|ask| ask.outcome == Outcome::WrongValue));
-    let lost = load(node(|_, _, _| false));
-    assert!(lost.requests.iter().all(|ask| ask.outcome == Outcome::ConnectionClosed));
-    assert_eq!(lost.broken(), lost.requests.len() as u64);
+fn another_requests_value_is_a_wrong_value_and_a_close_without_an_answer_is_a_loss() {
+    let wrong_value = run_load(start_node(|stream, _, _| stream.write_all(b"$5\r\ni k v\r\n").is_ok()));
+    assert!(wrong_value.requests.iter().all(|request| request.outcome == Outcome::WrongValue));
+    let closed = run_load(start_node(|_, _, _| false));
+    assert!(closed.requests.iter().all(|request| request.outcome == Outcome::ConnectionClosed));
+    assert_eq!(closed.broken(), closed.requests.len() as u64);
 }
