--- a/crates/fleet/src/clients.rs
+++ b/crates/fleet/src/clients.rs
@@ -41,14 +41,14 @@
     /// Its proportion of all requests, relative to the weights of the other classes.
     pub weight: f64,
     /// What its requests do.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// How long a client waits for the answer.
     pub timeout: Duration,
 }
 
 /// What the requests of a class do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A read.
     Read,
     /// A write with an idempotency key.
@@ -92,9 +92,9 @@
             Class { name, weight, kind, timeout }
         };
         let classes = vec![
-            class("lookup", 0.94, Kind::Read, 1000),
-            class("signup", 0.05, Kind::Keyed, 2000),
-            class("post", 0.01, Kind::Unsafe, 2000),
+            class("lookup", 0.94, RequestKind::Read, 1000),
+            class("signup", 0.05, RequestKind::Keyed, 2000),
+            class("post", 0.01, RequestKind::Unsafe, 2000),
         ];
         Load {
             target,
@@ -143,7 +143,7 @@
     /// Its class, as an index into [`Load::classes`].
     pub class: usize,
     /// Whether it is a read, a keyed or an unsafe write.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// When it was last sent.
     pub sent: Micros,
     /// When it was sent again on a new connection, because the node had closed the reused one that it was first sent on.
@@ -215,11 +215,11 @@
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Requests started.
-    pub asked: AtomicU64,
+    pub started: AtomicU64,
     /// Requests served.
     pub served: AtomicU64,
     /// Requests refused or failed.
-    pub turned_away: AtomicU64,
+    pub rejected: AtomicU64,
     /// Requests without a valid answer in time.
     pub broken: AtomicU64,
 }
@@ -374,11 +374,11 @@
             }
             Outcome::Refused => {
                 class.refused += 1;
-                Some(&self.progress.turned_away)
+                Some(&self.progress.rejected)
             }
             Outcome::Failed => {
                 class.failed += 1;
-                Some(&self.progress.turned_away)
+                Some(&self.progress.rejected)
             }
             Outcome::Unreached => {
                 class.unreached += 1;
@@ -408,21 +408,24 @@
         abandon_after: Option<f64>,
     ) -> (ClientRequest, Duration) {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
-        self.progress.asked.fetch_add(1, Ordering::Relaxed);
+        self.progress.started.fetch_add(1, Ordering::Relaxed);
         let class = self.class(class_choice);
         let Class { name, kind, timeout: request_timeout, .. } = &self.load.classes[class];
         let key_rank = self.key_distribution.partition_point(|&cumulated| cumulated < key_choice);
         let key = format!("{:016x}", key_rank.min(self.key_distribution.len() - 1));
         let id = format!("{:08x}{number:08x}", self.load.seed as u32);
-        let idempotency_key = if *kind == Kind::Keyed { format!(",k={id}") } else { String::new() };
+        let idempotency_key = if *kind == RequestKind::Keyed { format!(",k={id}") } else { String::new() };
         let tenant = self.load.tenant.as_ref().map_or(String::new(), |tenant| format!(",t={tenant}"));
         let facts = format!("c={name}{tenant},d={}{idempotency_key}", request_timeout.as_millis());
-        let is_write = *kind != Kind::Read;
+        let is_write = *kind != RequestKind::Read;
         let (command, key) = match self.load.protocol {
             CacheProtocol::Resp => (encode_command(&key, &id, &facts, is_write), key),
             CacheProtocol::Memcached => {
-                let cas =
-                    if *kind == Kind::Keyed { u64::from_str_radix(&id, 16).unwrap_or(0) + 1 } else { 0 };
+                let cas = if *kind == RequestKind::Keyed {
+                    u64::from_str_radix(&id, 16).unwrap_or(0) + 1
+                } else {
+                    0
+                };
                 let command = memcache::encode_command(name, &key, number as u32, is_write, cas);
                 (command, memcache::key_with_class(name, &key))
             }
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -19,7 +19,7 @@
 use rustix::process::Signal;
 use tokio::runtime::Builder;
 
-use crate::clients::{self, Class, ClientRequest, Kind, Load, Outcome, Report};
+use crate::clients::{self, Class, ClientRequest, Load, Outcome, Report, RequestKind};
 use crate::clock::Micros;
 use crate::record::Event;
 use crate::verdict::{Violation, check};
@@ -178,7 +178,7 @@
         let usual = Load::standard(self.places[node].listen, time, seed);
         let short = |share, wait| {
             let wait = Duration::from_millis(wait);
-            Class { name: "lookup".into(), weight: share, kind: Kind::Read, timeout: wait }
+            Class { name: "lookup".into(), weight: share, kind: RequestKind::Read, timeout: wait }
         };
         let mut classes = usual.classes.clone();
         classes.extend([short(0.15, 40), short(0.15, 250), short(0.05, 5)]);
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -12,7 +12,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use crate::clients::{ClientRequest, Kind, Outcome, SOCKET_SLACK_US, UNFINISHED_ANSWER_GRACE_US};
+use crate::clients::{ClientRequest, Outcome, RequestKind, SOCKET_SLACK_US, UNFINISHED_ANSWER_GRACE_US};
 use crate::clock::Micros;
 use crate::record::{Event, Record, ServerState};
 
@@ -176,8 +176,9 @@
     }
     let repeated = executions.iter().filter(|(_, n)| **n > 1);
     violations.extend(repeated.map(|(id, n)| Violation::ExecutedRepeatedly((*id).to_owned(), *n)));
-    let refused =
-        requests.iter().filter(|request| request.kind == Kind::Unsafe && request.outcome == Outcome::Refused);
+    let refused = requests
+        .iter()
+        .filter(|request| request.kind == RequestKind::Unsafe && request.outcome == Outcome::Refused);
     let executed = refused.filter(|request| executions.contains_key(request.id.as_str()));
     violations.extend(executed.map(|request| Violation::RefusedButExecuted(request.id.clone())));
 }
@@ -234,7 +235,7 @@
     use super::*;
     use crate::record::ReceivedRequest;
 
-    fn request(outcome: Outcome, kind: Kind, ended: Micros) -> ClientRequest {
+    fn request(outcome: Outcome, kind: RequestKind, ended: Micros) -> ClientRequest {
         ClientRequest {
             id: "i".into(),
             class: 0,
@@ -263,23 +264,26 @@
 
     #[test]
     fn an_accepted_request_without_its_answer_in_time_is_reported() {
-        assert_eq!(verdict(&[], &[request(Outcome::Served, Kind::Read, 1000 + SOCKET_SLACK_US + 100)]), []);
-        let late = verdict(&[], &[request(Outcome::Failed, Kind::Read, 1000 + SOCKET_SLACK_US + 101)]);
+        assert_eq!(
+            verdict(&[], &[request(Outcome::Served, RequestKind::Read, 1000 + SOCKET_SLACK_US + 100)]),
+            []
+        );
+        let late = verdict(&[], &[request(Outcome::Failed, RequestKind::Read, 1000 + SOCKET_SLACK_US + 101)]);
         assert_eq!(late, [Violation::Late("i".into(), SOCKET_SLACK_US + 101)]);
         for outcome in [Outcome::ConnectionClosed, Outcome::TimedOut, Outcome::WrongValue] {
             assert_eq!(
-                verdict(&[], &[request(outcome, Kind::Read, 0)]),
+                verdict(&[], &[request(outcome, RequestKind::Read, 0)]),
                 [Violation::Unanswered("i".into(), outcome)]
             );
         }
-        assert_eq!(verdict(&[], &[request(Outcome::Unreached, Kind::Read, 0)]), []);
+        assert_eq!(verdict(&[], &[request(Outcome::Unreached, RequestKind::Read, 0)]), []);
         assert_eq!(check((&[], 0), &[], 2, 0), [Violation::UnsolicitedAnswers(2)]);
         assert_eq!(check((&[], 3), &[], 0, 0), [Violation::RecordsDropped(3)]);
     }
 
     #[test]
     fn a_request_that_was_read_before_its_connection_closed_is_reported_as_lost() {
-        let resent = ClientRequest { resent: Some(500), ..request(Outcome::Served, Kind::Read, 700) };
+        let resent = ClientRequest { resent: Some(500), ..request(Outcome::Served, RequestKind::Read, 700) };
         let seen = |at| record(at, Event::Received(received(false, "d=1")));
         assert_eq!(verdict(&[seen(600)], std::slice::from_ref(&resent)), []);
         assert_eq!(
@@ -297,7 +301,7 @@
         assert_eq!(verdict(&[ran("k=x"), discarded], &[]), []);
         let reads = vec![record(0, Event::Executed(received(false, "d=1"))); 2];
         assert_eq!(verdict(&reads, &[]), []);
-        let refused = request(Outcome::Refused, Kind::Unsafe, 0);
+        let refused = request(Outcome::Refused, RequestKind::Unsafe, 0);
         assert_eq!(
             verdict(&[ran("d=1")], std::slice::from_ref(&refused)),
             [Violation::RefusedButExecuted("i".into())]
@@ -327,7 +331,8 @@
 
     #[test]
     fn a_deadline_too_long_and_an_attempt_for_an_abandoned_request_are_reported() {
-        let request = ClientRequest { timeout: 1_000_000, ..request(Outcome::Served, Kind::Read, 900_000) };
+        let request =
+            ClientRequest { timeout: 1_000_000, ..request(Outcome::Served, RequestKind::Read, 900_000) };
         let seen = |at| record(at, Event::Received(received(false, "d=500")));
         assert_eq!(verdict(&[seen(650_200)], std::slice::from_ref(&request)), []);
         let too_long = [Violation::DeadlineTooLong("i".into(), 150_201)];
--- a/crates/lilacquay/src/load.rs
+++ b/crates/lilacquay/src/load.rs
@@ -56,7 +56,7 @@
                 return report.expect("the load does not panic");
             }
             _ = ticks.tick(), if shown => {
-                let Progress { asked, served, turned_away, broken } = &*progress;
+                let Progress { started: asked, served, rejected: turned_away, broken } = &*progress;
                 let counts = [asked, served, turned_away, broken].map(|count| count.load(Relaxed));
                 let [asked, served, turned_away, broken] = counts;
                 eprint!("\r\x1b[Kasked {asked}  served {served}  turned away {turned_away}  broken {broken}");
