--- a/crates/fleet/src/cache.rs
+++ b/crates/fleet/src/cache.rs
@@ -62,8 +62,11 @@
 pub(crate) enum RequestResult {
     Busy,
     Miss,
+    /// The version found.
     Value(u64),
+    /// Executed, and answered with an error.
     Failed,
+    /// Executed, and answered with malformed data.
     Malformed,
     /// The beginning of a large value, and nothing after it.
     Truncated,
@@ -99,7 +102,9 @@
 
 /// How a box ends a connection.
 enum ConnectionEnd {
+    /// By a normal close.
     Closed,
+    /// By a TCP reset.
     Reset,
 }
 
@@ -200,6 +205,7 @@
         }
     }
 
+    /// Serves a connection until it ends or the box stops, which resets it.
     async fn serve_connection(self: Arc<Self>, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let end = tokio::select! {
@@ -221,7 +227,7 @@
     /// Records the first byte of a request, after which a fault may reset its connection.
     fn on_first_byte(&self) -> Result<(), ConnectionEnd> {
         self.record(Event::FirstByte);
-        if self.happens(|faults| faults.reset_before) { Err(ConnectionEnd::Reset) } else { Ok(()) }
+        if self.should_inject(|faults| faults.reset_before) { Err(ConnectionEnd::Reset) } else { Ok(()) }
     }
 
     /// Reads until `next` parses a complete command. An invalid one is recorded and ends the connection.
@@ -236,8 +242,8 @@
             match next(buffer) {
                 Ok(Some(command)) => return Ok(command),
                 Ok(None) => {}
-                Err(why) => {
-                    self.record(Event::InvalidCommand(why));
+                Err(reason) => {
+                    self.record(Event::InvalidCommand(reason));
                     return Err(ConnectionEnd::Closed);
                 }
             }
@@ -273,7 +279,7 @@
         let (mut buffer, mut last_answer) = (BytesMut::new(), None);
         loop {
             let next = |buffer: &mut BytesMut| {
-                next_request(buffer, MAX_COMMAND_BYTES).map_err(|why| why.to_string())
+                next_request(buffer, MAX_COMMAND_BYTES).map_err(|error| error.to_string())
             };
             let packet = self.read_command(stream, &mut buffer, next).await?;
             let answer = match memcache::parse_request(&packet) {
@@ -290,7 +296,8 @@
         }
     }
 
-    /// Encodes a result with the faults of memcached's protocol; `last_answer` is the connection's last one without them.
+    /// Encodes a result with the faults of memcached's protocol; `last_answer` is the connection's last answer without
+    /// them.
     fn encode_memcached(
         &self,
         request: &ReceivedRequest,
@@ -303,19 +310,20 @@
         }
         let mut answer = memcache::encode_answer(packet, &request.key, result);
         let (unmodified, is_miss) = (answer.clone(), matches!(result, RequestResult::Miss));
-        if is_miss && self.happens(|faults| faults.memcached.quiet) {
+        if is_miss && self.should_inject(|faults| faults.memcached.quiet) {
             answer.clear();
         }
-        if self.happens(|faults| faults.memcached.opaque) {
+        if self.should_inject(|faults| faults.memcached.opaque) {
             memcache::corrupt_opaque(&mut answer);
         }
-        if self.happens(|faults| faults.memcached.body) {
+        if self.should_inject(|faults| faults.memcached.body) {
             memcache::corrupt_body_length(&mut answer);
         }
-        if self.happens(|faults| faults.memcached.header) {
+        if self.should_inject(|faults| faults.memcached.header) {
             answer.truncate(12);
         }
-        if let Some(last) = last_answer.as_ref().filter(|_| self.happens(|faults| faults.memcached.misorder))
+        if let Some(last) =
+            last_answer.as_ref().filter(|_| self.should_inject(|faults| faults.memcached.misorder))
         {
             answer = BytesMut::from_iter(last.iter().chain(&answer).copied());
         }
@@ -407,7 +415,7 @@
                 return Ok(EncodedAnswer { bytes: truncated_value(), follow_up: FollowUp::NeverAnswer });
             }
         };
-        let repeats = self.happens(|faults| faults.twice);
+        let repeats = self.should_inject(|faults| faults.twice);
         Ok(EncodedAnswer {
             bytes,
             follow_up: if repeats { FollowUp::RepeatAnswer(request) } else { FollowUp::None },
@@ -416,7 +424,7 @@
 
     /// Executes a request: queues it for a core, works on it and applies the faults.
     async fn execute(&self, request: &ReceivedRequest) -> Result<RequestResult, ConnectionEnd> {
-        if self.happens(|faults| faults.swallow) {
+        if self.should_inject(|faults| faults.swallow) {
             std::future::pending::<()>().await;
         }
         let found = lock(&self.store).get(&request.key);
@@ -441,19 +449,19 @@
             return Ok(RequestResult::Miss);
         };
         self.record(Event::Executed(request.clone()));
-        if self.happens(|faults| faults.reset_after) {
+        if self.should_inject(|faults| faults.reset_after) {
             return Err(ConnectionEnd::Reset);
         }
-        if self.happens(|faults| faults.fail) {
+        if self.should_inject(|faults| faults.fail) {
             return Ok(RequestResult::Failed);
         }
         if self.config.protocol == CacheProtocol::Resp
             && !request.is_write
-            && self.happens(|faults| faults.halt)
+            && self.should_inject(|faults| faults.halt)
         {
             return Ok(RequestResult::Truncated);
         }
-        if self.happens(|faults| faults.spoil) {
+        if self.should_inject(|faults| faults.spoil) {
             return Ok(RequestResult::Malformed);
         }
         Ok(RequestResult::Value(version))
@@ -471,7 +479,7 @@
     }
 
     /// Draws whether a fault with a configured probability hits this request.
-    fn happens(&self, probability: impl Fn(&Faults) -> f64) -> bool {
+    fn should_inject(&self, probability: impl Fn(&Faults) -> f64) -> bool {
         let probability = probability(&self.faults.borrow());
         probability > 0.0 && lock(&self.rng).f64() < probability
     }
--- a/crates/fleet/src/clients.rs
+++ b/crates/fleet/src/clients.rs
@@ -78,7 +78,8 @@
     pub tenant: Option<String>,
     /// Whether the report contains each request.
     pub keep_requests: bool,
-    /// Fraction of the clients that close the connection before they are answered, most of them early in their timeout.
+    /// Fraction of the clients that close the connection before they are answered, most of them early in their
+    /// timeout.
     pub abandon_fraction: f64,
     /// Protocol of the clients. Over memcached, each key is prefixed with its class.
     pub protocol: CacheProtocol,
@@ -146,8 +147,8 @@
     pub kind: RequestKind,
     /// When it was last sent.
     pub sent: Micros,
-    /// When it was sent again on a new connection, because the node had closed the reused one that it was first sent on.
-    /// If a server received it before this time, the node had read it and lost it.
+    /// When it was sent again on a new connection, because the node had closed the reused one that it was first sent
+    /// on. If a server received it before this time, the node had read it and lost it.
     pub resent: Option<Micros>,
     /// How long its client waits after `sent`.
     pub timeout: Micros,
@@ -326,13 +327,15 @@
         resend_failed || matches!(self.outcome, Outcome::ConnectionClosed | Outcome::TimedOut)
     }
 
-    /// Whether it ended more than `slack` microseconds after its timeout, with an allowance for the scheduling delay.
+    /// Whether it ended more than `slack` microseconds after its timeout, with an allowance for the scheduling
+    /// delay.
     pub fn is_late(&self, slack: Micros) -> bool {
         self.ended > self.sent + self.timeout + slack + self.scheduling_delay
     }
 }
 
-/// Longest time after a client's timeout until the node ends an answer that its server does not finish, in microseconds.
+/// Longest time after a client's timeout until the node ends an answer that its server does not finish, in
+/// microseconds.
 pub const UNFINISHED_ANSWER_GRACE_US: Micros = 500_000;
 
 /// Allowance beyond a time limit for the time spent in sockets, in microseconds.
@@ -398,8 +401,8 @@
     }
 
     /// Sends one request, for a class and a key chosen by two numbers from 0 to 1, and waits for its end. With
-    /// `abandon_after`, its client closes the connection after that fraction of its timeout. Returns the request and its
-    /// latency since it was due.
+    /// `abandon_after`, its client closes the connection after that fraction of its timeout. Returns the request and
+    /// its latency since it was due.
     async fn send_request(
         &self,
         due: Instant,
@@ -409,7 +412,7 @@
     ) -> (ClientRequest, Duration) {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         self.progress.started.fetch_add(1, Ordering::Relaxed);
-        let class = self.class(class_choice);
+        let class = self.choose_class(class_choice);
         let Class { name, kind, timeout: request_timeout, .. } = &self.load.classes[class];
         let key_rank = self.key_distribution.partition_point(|&cumulated| cumulated < key_choice);
         let key = format!("{:016x}", key_rank.min(self.key_distribution.len() - 1));
@@ -502,7 +505,7 @@
     }
 
     /// The index of the class that a number from 0 to 1 selects by the classes' weights.
-    fn class(&self, choice: f64) -> usize {
+    fn choose_class(&self, choice: f64) -> usize {
         let total_weight: f64 = self.load.classes.iter().map(|class| class.weight).sum();
         let mut remaining = choice * total_weight;
         let chosen = self.load.classes.iter().position(|class| {
@@ -602,8 +605,8 @@
         }
     }
 
-    /// The outcome that a memcached answer means. Over memcached the node makes up the request ids itself, so a value for
-    /// this key is accepted with any id; the opaque ties it to the request.
+    /// The outcome that a memcached answer means. Over memcached the node makes up the request ids itself, so a value
+    /// for this key is accepted with any id; the opaque ties it to the request.
     fn classify_packet(&self, packet: &Packet) -> Outcome {
         let for_key = response_value("", &self.key, 0);
         let for_key = for_key.trim_end_matches('0').as_bytes();
--- a/crates/fleet/src/fault.rs
+++ b/crates/fleet/src/fault.rs
@@ -29,7 +29,7 @@
     pub cut: f64,
     /// New connections are refused.
     pub refuse: bool,
-    /// New connections meet a full backlog: the kernel retries the handshake, so that it completes only after this ends.
+    /// New connections meet a full backlog: the kernel retries the handshake, which completes only after this ends.
     pub late: bool,
     /// Faults that only boxes with memcached's protocol have.
     pub memcached: MemcachedFaults,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-in servers for tests, on loopback: cache boxes, the origin, discovery and etcd, and clients that load a node.
+//! Stand-in servers on loopback, for tests and for trying out a node: cache boxes, the origin, discovery and etcd, and
+//! clients that load a node.
 //!
 //! All random choices are seeded. The servers can be given faults while they run, and record what they receive, so
 //! that the four rules of a node can be checked from outside: see [`verdict`]. A [`Fleet`] runs its servers on one
--- a/crates/fleet/src/memcache.rs
+++ b/crates/fleet/src/memcache.rs
@@ -22,8 +22,8 @@
 
 /// Parses a request. An unsupported one gives the error answer to send.
 ///
-/// Boxes report to the origin which keys they have missed, not for which request, since the protocol has no field for an
-/// id.
+/// Boxes report to the origin which keys they have missed, not for which request, since the protocol has no field for
+/// an id.
 pub(crate) fn parse_request(packet: &Packet) -> Result<ReceivedRequest, BytesMut> {
     match (Opcode::of(packet.opcode), std::str::from_utf8(&packet.key)) {
         (Some(Opcode::Get), Ok(key)) if packet.extras.is_empty() && packet.value.is_empty() => {
--- a/crates/fleet/src/origin.rs
+++ b/crates/fleet/src/origin.rs
@@ -1,5 +1,5 @@
-//! A stand-in origin over HTTP/1.1, slow and with limited concurrency. It executes writes, and stores the values that it
-//! returns at the boxes that missed for the request.
+//! A stand-in origin over HTTP/1.1, slow and with limited concurrency. It executes writes, and stores the values that
+//! it returns at the boxes that missed for the request.
 
 use std::collections::{HashMap, VecDeque};
 use std::convert::Infallible;
@@ -190,7 +190,7 @@
 
     async fn answer(&self, request: Request<Incoming>, reset: &CancellationToken) -> Answer {
         self.record(Event::FirstByte);
-        if self.happens(|faults| faults.reset_before) {
+        if self.should_inject(|faults| faults.reset_before) {
             reset.cancel();
             std::future::pending::<()>().await;
         }
@@ -207,7 +207,7 @@
             return http_response(StatusCode::BAD_REQUEST, String::new()).map(Either::Left);
         }
         self.record(Event::Received(received.clone()));
-        if self.happens(|faults| faults.swallow) {
+        if self.should_inject(|faults| faults.swallow) {
             std::future::pending::<()>().await;
         }
         if self.slots.available_permits() == 0
@@ -231,18 +231,18 @@
         sleep(self.config.service_time.mul_f64(slowdown)).await;
         let _ = faults.wait_for(|faults| !faults.stalled).await;
         let version = self.apply(received);
-        if self.happens(|faults| faults.reset_after) {
+        if self.should_inject(|faults| faults.reset_after) {
             reset.cancel();
             std::future::pending::<()>().await;
         }
-        if self.happens(|faults| faults.fail) {
+        if self.should_inject(|faults| faults.fail) {
             return http_response(StatusCode::INTERNAL_SERVER_ERROR, String::new()).map(Either::Left);
         }
-        if self.happens(|faults| faults.spoil) {
+        if self.should_inject(|faults| faults.spoil) {
             // 80 KiB: longer than a value may be.
             return http_response(StatusCode::OK, "x".repeat(80 << 10)).map(Either::Left);
         }
-        if self.happens(|faults| faults.cut) {
+        if self.should_inject(|faults| faults.cut) {
             self.record(Event::AnswerCut(received.clone()));
             let complete = response_value(&received.id, &received.key, version);
             return Response::new(Either::Right(CutBody::new(complete.into())));
@@ -274,7 +274,7 @@
     }
 
     /// Draws whether a fault with a configured probability hits this request.
-    fn happens(&self, probability: impl Fn(&Faults) -> f64) -> bool {
+    fn should_inject(&self, probability: impl Fn(&Faults) -> f64) -> bool {
         let probability = probability(&self.faults.borrow());
         probability > 0.0 && self.state().rng.f64() < probability
     }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -31,11 +31,11 @@
     Executed(ReceivedRequest),
     /// A write was recognised by its idempotency key as a repeat and had no second effect.
     Discarded(ReceivedRequest),
-    /// An answer was sent a second time, on a connection that was still open.
+    /// An answer was sent a second time, on a connection that was still open (fault `twice`).
     AnswerRepeated(ReceivedRequest),
-    /// The beginning of a large value was sent; the rest never will be.
+    /// The beginning of a large value was sent; the rest never will be (fault `halt`).
     AnswerHalted(ReceivedRequest),
-    /// An answer without `Content-Length` ended in the middle.
+    /// An answer without `Content-Length` ended in the middle (fault `cut`).
     AnswerCut(ReceivedRequest),
     /// A malformed or unknown command was received, which no client sends in this form.
     InvalidCommand(String),
@@ -68,8 +68,8 @@
 }
 
 impl ReceivedRequest {
-    /// Parses a request's arguments. `facts` holds attributes as names and values, as in `c=read,d=480`: class `c`, time
-    /// left `d` in milliseconds, idempotency key `k`.
+    /// Parses a request's arguments. `facts` holds attributes as names and values, as in `c=read,d=480`: class `c`,
+    /// time left `d` in milliseconds, idempotency key `k`.
     pub fn new(key: &str, id: &str, facts: &str, is_write: bool) -> Self {
         let fact = |name: &str| {
             let mut pairs = facts.split(',').filter_map(|fact| fact.split_once('='));
--- a/crates/fleet/src/site.rs
+++ b/crates/fleet/src/site.rs
@@ -127,8 +127,8 @@
     etcd: Option<Arc<Etcd>>,
     /// Number of boxes started so far.
     started: u64,
-    /// Boxes to start once the current step has returned, since binding their address is asynchronous. The step's result
-    /// waits for them.
+    /// Boxes to start once the current step has returned, since binding their address is asynchronous. The step's
+    /// result waits for them.
     boxes_to_start: Vec<(String, SocketAddr, CacheProtocol)>,
 }
 
@@ -139,14 +139,14 @@
     /// If a socket or the thread can't be created.
     pub fn start(config: FleetConfig) -> io::Result<Fleet> {
         let (ready, started) = sync::channel();
-        let (jobs, inbox) = mpsc::unbounded_channel();
-        let config_copy = config.clone();
+        let (jobs, job_receiver) = mpsc::unbounded_channel();
+        let thread_config = config.clone();
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(move || {
             let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
                 Ok(runtime) => runtime,
                 Err(error) => return drop(ready.send(Err(error))),
             };
-            runtime.block_on(run(config, ready, inbox));
+            runtime.block_on(run(thread_config, ready, job_receiver));
         })?;
         let started = started.recv().map_err(io::Error::other)??;
         let Started { log, discovery, boxes, origin, etcd, initial_list } = started;
@@ -157,7 +157,7 @@
             origin,
             etcd,
             initial_list,
-            config: config_copy,
+            config,
             jobs: Some(jobs),
             thread: Some(thread),
         })
@@ -236,7 +236,7 @@
 async fn run(
     config: FleetConfig,
     ready: sync::Sender<io::Result<Started>>,
-    mut inbox: mpsc::UnboundedReceiver<(Job, sync::Sender<io::Result<()>>)>,
+    mut job_receiver: mpsc::UnboundedReceiver<(Job, sync::Sender<io::Result<()>>)>,
 ) {
     let log = Log::new(Clock::default(), config.record_events);
     tokio::spawn(log.clock().clone().measure_scheduling_delay());
@@ -249,7 +249,7 @@
     let initial_list = servers.discovery.full_list();
     let etcd = servers.etcd.clone();
     let _ = ready.send(Ok(Started { log, discovery, boxes, origin, etcd, initial_list }));
-    while let Some((job, answer)) = inbox.recv().await {
+    while let Some((job, answer)) = job_receiver.recv().await {
         let mut result = job(&mut servers);
         for (name, addr, protocol) in std::mem::take(&mut servers.boxes_to_start) {
             result = result.and(servers.start_box(&name, addr, protocol, true).await);
--- a/crates/fleet/src/slow_accept.rs
+++ b/crates/fleet/src/slow_accept.rs
@@ -19,6 +19,7 @@
 /// a second.
 pub struct FullListener {
     socket: Socket,
+    /// The connection that fills the backlog.
     _filler: Socket,
 }
 
@@ -43,8 +44,8 @@
         Ok(socket.into())
     }
 
-    /// Fills the backlog of such a listener with a connection of its own, unless another connection already has. Does not
-    /// block.
+    /// Fills the backlog of such a listener with a connection of its own, unless another connection already has. Does
+    /// not block.
     ///
     /// # Errors
     /// If the connection fails.
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Checks all rules. A server may be sent new requests for `drain_grace` microseconds after the node was told of its drain.
+/// Checks all rules. A server may be sent new requests for `drain_grace` microseconds after the node was told of its
+/// drain. `dropped` is the number of records that are missing.
 pub fn check(
     (records, dropped): (&[Record], usize),
     requests: &[ClientRequest],
@@ -119,7 +120,7 @@
         Outcome::WrongValue | Outcome::ConnectionClosed | Outcome::TimedOut => {
             Some(Violation::Unanswered(request.id.clone(), request.outcome))
         }
-        // If the server truncated the answer, the node must still end it in time; otherwise `check_truncated` reports it.
+        // If the server truncated the answer, the node must still end it in time; if not, `check_truncated` reports it.
         Outcome::Truncated => {
             let late_by = request.ended.saturating_sub(request.sent + request.timeout);
             request
