--- a/crates/bench/src/bin/replica.rs
+++ b/crates/bench/src/bin/replica.rs
@@ -14,7 +14,7 @@
 use lilacquay_fleet::cluster::{Trial, TrialPlan};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
-use lilacquay_fleet::{Faults, Plan};
+use lilacquay_fleet::{Faults, FleetConfig};
 use lilacquay_replica::SyncState;
 use lilacquay_replica::orders::Action;
 use lilacquay_replica::simulation::{MS, SEC, Simulation};
@@ -81,7 +81,7 @@
             let before = bytes(&world);
             world.run(10 * SEC);
             let rest = (bytes(&world) - before) / 10 / nodes as u64;
-            let (mut held, mut counted) = (clients::times(), clients::times());
+            let (mut held, mut counted) = (clients::latency_histogram(), clients::latency_histogram());
             let mut storm = 0;
             for round in 0..ROUNDS {
                 let (origin, server) = (world.rng.usize(..nodes), format!("box-{round}"));
@@ -120,7 +120,7 @@
         (0..back).for_each(|node| world.start(node));
         let (start, before) = (world.now, bytes(&world));
         let sent: Vec<u64> = world.nodes.iter().map(|node| node.sent).collect();
-        let mut times = clients::times();
+        let mut times = clients::latency_histogram();
         let mut level = vec![false; back];
         while level.iter().any(|level| !level) && world.now < start + 30 * SEC {
             world.run(10 * MS);
@@ -147,13 +147,13 @@
     raise_descriptors()?;
     let folder = tempfile::tempdir()?;
     let plan = TrialPlan::new(program.into(), nodes, 1);
-    let plan = TrialPlan { fleet: Plan { boxes: 24, ..plan.fleet.clone() }, ..plan };
+    let plan = TrialPlan { fleet: FleetConfig { boxes: 24, ..plan.fleet.clone() }, ..plan };
     let mut trial = Trial::start(plan, folder.path())?;
     let all: Vec<usize> = (0..nodes).collect();
     if !trial.until(|trial| trial.whole(&all)) {
         println!("{nodes} processes: NOT WHOLE WITHIN A MINUTE");
     }
-    let mut times = clients::times();
+    let mut times = clients::latency_histogram();
     for round in 0..16 {
         let node = round % nodes;
         let told = held(&trial, node, &format!("box-{round}"), nodes);
@@ -205,7 +205,11 @@
             trial.until(|trial| trial.whole(&all));
             let load = |node: usize, time: u64, seed: u64| {
                 let time = Duration::from_secs(time);
-                let load = Load { kept: true, rate: 15.0, ..Load::usual(trial.listen(node), time, seed) };
+                let load = Load {
+                    keep_requests: true,
+                    rate: 15.0,
+                    ..Load::standard(trial.listen(node), time, seed)
+                };
                 runtime.spawn(clients::run(load, trial.fleet.clock().clone(), Arc::default()))
             };
             let warm: Vec<_> = all.iter().map(|&node| load(node, 4, node as u64 + 100 * turn / 2)).collect();
@@ -219,10 +223,10 @@
             let (mut late, mut unserved, mut asked) = (0, 0, 0);
             for task in running {
                 let report = runtime.block_on(task)?;
-                let served = report.served();
+                let served = report.served_latencies();
                 late += served.count_between(100_000, 60_000_000);
                 unserved += report.classes.iter().map(|c| c.refused + c.failed + c.broken).sum::<u64>();
-                asked += report.asks.len();
+                asked += report.requests.len();
             }
             let mut sent = [0; 3];
             for record in trial.fleet.records().0 {
