--- a/crates/fleet/src/cluster.rs
+++ b/crates/fleet/src/cluster.rs
@@ -31,7 +31,7 @@
 
 /// How datagrams go from one node to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// None comes.
     pub cut: bool,
     /// The part that is lost.
@@ -42,18 +42,18 @@
     pub delay: Duration,
 }
 
-impl Way {
+impl LinkFaults {
     /// Nothing is lost, late or doubled.
-    pub const GOOD: Way = Way { cut: false, loss: 0.0, doubled: 0.0, delay: Duration::ZERO };
+    pub const NONE: LinkFaults = LinkFaults { cut: false, loss: 0.0, doubled: 0.0, delay: Duration::ZERO };
     /// Nothing comes.
-    pub const CUT: Way = Way { cut: true, ..Way::GOOD };
+    pub const CUT: LinkFaults = LinkFaults { cut: true, ..LinkFaults::NONE };
 }
 
 /// Something that is done to the nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
     /// The ways from each of some nodes to each of others.
-    Ways(Vec<usize>, Vec<usize>, Way),
+    Links(Vec<usize>, Vec<usize>, LinkFaults),
     /// These stop (SIGSTOP), with what they believe.
     Pause(Vec<usize>),
     /// These go on (SIGCONT).
@@ -64,11 +64,16 @@
     Start(Vec<usize>),
 }
 
+/// The text of a fault in the event file. Link faults keep the names `Ways` and `Way` there, as in earlier files.
+fn fault_text(fault: &Fault) -> String {
+    format!("{fault:?}").replace("Links(", "Ways(").replace("LinkFaults {", "LinkFaults {")
+}
+
 /// Faults, and after what time each.
 pub type Script = Vec<(Duration, Fault)>;
 
 /// Faults drawn from a seed, at up to a third of the nodes at a time; in the end all are whole.
-pub fn drawn(seed: u64, nodes: usize, over: Duration) -> Script {
+pub fn random_faults(seed: u64, nodes: usize, over: Duration) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed);
     let all = || (0..nodes).collect::<Vec<usize>>();
     let mut script = Script::new();
@@ -81,11 +86,18 @@
         some.truncate(1 + rng.usize(..nodes.div_ceil(3)));
         let others: Vec<usize> = all().into_iter().filter(|node| !some.contains(node)).collect();
         let (fault, mend) = match rng.u8(0..5) {
-            0 => (Fault::Ways(some.clone(), others.clone(), Way::CUT), Fault::Ways(some, others, Way::GOOD)),
-            1 => (Fault::Ways(others.clone(), some.clone(), Way::CUT), Fault::Ways(others, some, Way::GOOD)),
+            0 => (
+                Fault::Links(some.clone(), others.clone(), LinkFaults::CUT),
+                Fault::Links(some, others, LinkFaults::NONE),
+            ),
+            1 => (
+                Fault::Links(others.clone(), some.clone(), LinkFaults::CUT),
+                Fault::Links(others, some, LinkFaults::NONE),
+            ),
             2 => {
-                let way = Way { loss: 0.2, doubled: 0.1, delay: Duration::from_millis(200), cut: false };
-                (Fault::Ways(all(), all(), way), Fault::Ways(all(), all(), Way::GOOD))
+                let way =
+                    LinkFaults { loss: 0.2, doubled: 0.1, delay: Duration::from_millis(200), cut: false };
+                (Fault::Links(all(), all(), way), Fault::Links(all(), all(), LinkFaults::NONE))
             }
             3 => (Fault::Pause(some.clone()), Fault::Resume(some)),
             _ => (Fault::Kill(some.clone()), Fault::Start(some)),
@@ -97,11 +109,11 @@
 
 /// What the file of a trial says against the nodes: whoever was held to be gone for its silence, though nothing had been done
 /// to it or to any way for so long before.
-pub fn accused(noted: &[Noted], quiet: Duration) -> Vec<String> {
+pub fn false_failure_reports(noted: &[ClusterEvent], quiet: Duration) -> Vec<String> {
     let quiet = quiet.as_micros() as Micros;
     let mut told = Vec::new();
     for (n, noted_) in noted.iter().enumerate() {
-        let words = noted_.what.split_once("siblings: node ").map(|(_, words)| words);
+        let words = noted_.text.split_once("siblings: node ").map(|(_, words)| words);
         let Some(words) =
             words.filter(|words| words.contains("is gone") && words.contains("lease has run out"))
         else {
@@ -115,7 +127,7 @@
                         nodes.split([',', '[', ']', ' ', '(', ')']).any(|w| w == node.to_string())
                     })
                 };
-                before.node.is_none() && (before.what.starts_with("Ways") || hit(&before.what))
+                before.node.is_none() && (before.text.starts_with("Ways") || hit(&before.text))
             });
         if !caused {
             told.push(format!("at {} node {:?}: {words}", noted_.at, noted_.node));
@@ -126,20 +138,21 @@
 
 /// Something that happened, for the file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Noted {
+pub struct ClusterEvent {
     /// When, in microseconds of the trial's clock.
     pub at: Micros,
     /// At which node; at none if it was done to the ways.
     pub node: Option<usize>,
     /// What: a line of the node's log, or a fault.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub text: String,
 }
 
-type Notes = Arc<Mutex<Vec<Noted>>>;
+type Notes = Arc<Mutex<Vec<ClusterEvent>>>;
 
 /// What a trial is.
 #[derive(Debug, Clone)]
-pub struct TrialPlan {
+pub struct ClusterPlan {
     /// The program under trial.
     pub program: PathBuf,
     /// How many nodes, two at least.
@@ -151,16 +164,24 @@
     /// What they all serve.
     pub fleet: Plan,
     /// What they hold in common, as `common` of their options names it; what those say of themselves if it is not named.
-    pub common: Option<Vec<&'static str>>,
+    pub replicated_kinds: Option<Vec<&'static str>>,
     /// These have a discovery that answers nothing: they go by the list that they start with.
-    pub deaf: Vec<usize>,
+    pub without_discovery: Vec<usize>,
 }
 
-impl TrialPlan {
+impl ClusterPlan {
     /// Of so many siblings, with nothing else out of the ordinary.
-    pub fn new(program: PathBuf, nodes: usize, seed: u64) -> TrialPlan {
+    pub fn new(program: PathBuf, nodes: usize, seed: u64) -> ClusterPlan {
         let fleet = Plan { seed, ..Plan::default() };
-        TrialPlan { program, nodes, siblings: true, seed, fleet, common: None, deaf: Vec::new() }
+        ClusterPlan {
+            program,
+            nodes,
+            siblings: true,
+            seed,
+            fleet,
+            replicated_kinds: None,
+            without_discovery: Vec::new(),
+        }
     }
 }
 
@@ -171,10 +192,10 @@
 }
 
 /// Running nodes with all that they meet. They are killed when this is dropped.
-pub struct Trial {
+pub struct Cluster {
     /// What they all serve.
     pub fleet: Fleet,
-    plan: TrialPlan,
+    plan: ClusterPlan,
     processes: Vec<Process>,
     addresses: Vec<SocketAddr>,
     ways: Arc<Ways>,
@@ -185,12 +206,12 @@
     _silence: TcpListener,
 }
 
-impl Trial {
+impl Cluster {
     /// Starts all nodes; returns once each listens to clients.
     ///
     /// # Errors
     /// If a socket, a file or a process can't be had.
-    pub fn start(plan: TrialPlan, folder: &Path) -> io::Result<Trial> {
+    pub fn start(plan: ClusterPlan, folder: &Path) -> io::Result<Cluster> {
         let fleet = Fleet::start(plan.fleet.clone())?;
         let (clock, notes) = (fleet.clock().clone(), Notes::default());
         let number = TRIALS.fetch_add(1, Ordering::Relaxed);
@@ -206,7 +227,7 @@
             let mut configuration: Value =
                 serde_json::from_str(&fleet.configuration(listen, 512)).map_err(io::Error::other)?;
             configuration["settings"]["Siblings"] = json!(plan.nodes);
-            if plan.deaf.contains(&node) {
+            if plan.without_discovery.contains(&node) {
                 configuration["discovery"] = json!(silence.local_addr()?.to_string());
             }
             configuration["seed"] = json!(format!("{:x}", plan.seed ^ (node as u64) << 32));
@@ -214,7 +235,8 @@
             let mut seen: Vec<String> =
                 relay.seen_by[node].iter().map(|addr| format!("\"{addr}\"")).collect();
             seen[node] = format!("\"{}\"", nodes[node]);
-            let common = plan.common.as_ref().map_or(String::new(), |kinds| format!("common = {kinds:?}\n"));
+            let common =
+                plan.replicated_kinds.as_ref().map_or(String::new(), |kinds| format!("common = {kinds:?}\n"));
             let siblings = match plan.siblings {
                 true => format!(
                     "[siblings]\nsite = \"trial\"\nlisten = \"{}\"\nme = {node}\nnodes = [{}]\n{common}",
@@ -227,7 +249,7 @@
             fs::write(folder.join("serve.toml"), options)?;
             processes.push(Process { child: None, folder, listen });
         }
-        let mut trial = Trial {
+        let mut cluster = Cluster {
             fleet,
             plan,
             processes,
@@ -238,9 +260,9 @@
             _relay: relay,
             _silence: silence,
         };
-        let all: Vec<usize> = (0..trial.plan.nodes).collect();
-        trial.start_nodes(&all)?;
-        Ok(trial)
+        let all: Vec<usize> = (0..cluster.plan.nodes).collect();
+        cluster.start_nodes(&all)?;
+        Ok(cluster)
     }
 
     /// How many nodes there are.
@@ -249,28 +271,28 @@
     }
 
     /// Where a node's clients connect, the same after a restart.
-    pub fn listen(&self, node: usize) -> SocketAddr {
+    pub fn client_address(&self, node: usize) -> SocketAddr {
         self.processes[node].listen
     }
 
     /// Where a node listens for the others.
-    pub fn address(&self, node: usize) -> SocketAddr {
+    pub fn sibling_address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
     /// A node's process, while it runs.
-    pub fn process(&self, node: usize) -> Option<u32> {
+    pub fn process_id(&self, node: usize) -> Option<u32> {
         self.processes[node].child.as_ref().map(Child::id)
     }
 
     /// Datagrams that came from nodes, their bytes, and those of more than 256 bytes.
-    pub fn datagrams(&self) -> (u64, u64, u64) {
+    pub fn datagram_counts(&self) -> (u64, u64, u64) {
         let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
         (count(&self.ways.datagrams), count(&self.ways.bytes), count(&self.ways.too_long))
     }
 
     /// All that happened so far, in order.
-    pub fn noted(&self) -> Vec<Noted> {
+    pub fn events(&self) -> Vec<ClusterEvent> {
         lock(&self.notes).clone()
     }
 
@@ -278,9 +300,9 @@
     ///
     /// # Errors
     /// If the file can't be written.
-    pub fn write(&self, file: &Path) -> io::Result<()> {
+    pub fn write_events(&self, file: &Path) -> io::Result<()> {
         let mut text = String::new();
-        for noted in self.noted() {
+        for noted in self.events() {
             text.push_str(&serde_json::to_string(&noted).unwrap_or_default());
             text.push('\n');
         }
@@ -291,10 +313,10 @@
     ///
     /// # Errors
     /// If a process can't be started or signalled.
-    pub fn fault(&mut self, fault: &Fault) -> io::Result<()> {
-        note(&self.notes, &self.clock, None, format!("{fault:?}"));
+    pub fn inject(&mut self, fault: &Fault) -> io::Result<()> {
+        note(&self.notes, &self.clock, None, fault_text(fault));
         match fault {
-            Fault::Ways(from, to, way) => {
+            Fault::Links(from, to, way) => {
                 self.ways.set(from, to, *way);
                 Ok(())
             }
@@ -316,12 +338,12 @@
     /// Plays a script.
     ///
     /// # Errors
-    /// As [`Trial::fault`].
-    pub fn play(&mut self, script: &Script) -> io::Result<()> {
+    /// As [`Cluster::fault`].
+    pub fn run_schedule(&mut self, script: &Script) -> io::Result<()> {
         let start = Instant::now();
         for (at, fault) in script {
             std::thread::sleep((start + *at).saturating_duration_since(Instant::now()));
-            self.fault(fault)?;
+            self.inject(fault)?;
         }
         Ok(())
     }
@@ -332,7 +354,7 @@
     }
 
     /// What a node answers at its control socket; nothing if it doesn't answer.
-    pub fn ask(&self, node: usize, question: &Value) -> Option<Value> {
+    pub fn query(&self, node: usize, question: &Value) -> Option<Value> {
         let mut stream = UnixStream::connect(self.state_folder(node).join("control.sock")).ok()?;
         stream.set_read_timeout(Some(PATIENCE)).ok()?;
         stream.write_all(format!("{question}\n").as_bytes()).ok()?;
@@ -342,25 +364,25 @@
     }
 
     /// What a node sees of the others, as its control socket tells it; nothing if it doesn't answer.
-    pub fn sight(&self, node: usize) -> Option<Value> {
-        self.ask(node, &json!({ "v": 2, "ask": "siblings" }))?.get("sight").cloned()
+    pub fn sibling_view(&self, node: usize) -> Option<Value> {
+        self.query(node, &json!({ "v": 2, "ask": "siblings" }))?.get("sight").cloned()
     }
 
     /// A node's copy of what all hold in common; nothing if it doesn't answer, or holds none.
-    pub fn copy(&self, node: usize) -> Option<Value> {
-        self.ask(node, &json!({ "v": 2, "ask": "replica" }))?.get("copy").cloned()
+    pub fn replica_view(&self, node: usize) -> Option<Value> {
+        self.query(node, &json!({ "v": 2, "ask": "replica" }))?.get("copy").cloned()
     }
 
     /// What one node holds another to be: `here`, `gone` or `unknown`.
-    pub fn state(&self, at: usize, of: usize) -> Option<String> {
-        let sight = self.sight(at)?;
+    pub fn node_state(&self, at: usize, of: usize) -> Option<String> {
+        let sight = self.sibling_view(at)?;
         let fellows = sight["fellows"].as_array()?;
         let fellow = fellows.iter().find(|fellow| fellow["node"] == json!(of))?;
         fellow["state"].as_str().map(str::to_owned)
     }
 
     /// Waits until something holds; tells whether it came to, within a time that no busy machine needs.
-    pub fn until(&self, holds: impl Fn(&Trial) -> bool) -> bool {
+    pub fn wait_until(&self, holds: impl Fn(&Cluster) -> bool) -> bool {
         let start = Instant::now();
         while start.elapsed() < PATIENCE {
             if holds(self) {
@@ -372,8 +394,8 @@
     }
 
     /// Whether all of these nodes hold each other to be here and use all of their parts, and see the same.
-    pub fn whole(&self, nodes: &[usize]) -> bool {
-        let sights: Option<Vec<Value>> = nodes.iter().map(|&node| self.sight(node)).collect();
+    pub fn is_converged(&self, nodes: &[usize]) -> bool {
+        let sights: Option<Vec<Value>> = nodes.iter().map(|&node| self.sibling_view(node)).collect();
         sights.is_some_and(|sights| {
             sights.iter().all(|sight| {
                 let here = |fellow: &Value| {
@@ -389,7 +411,7 @@
 
     fn signal(&self, nodes: &[usize], signal: Signal) -> io::Result<()> {
         for &node in nodes {
-            let id = self.process(node).and_then(|id| Pid::from_raw(id.cast_signed()));
+            let id = self.process_id(node).and_then(|id| Pid::from_raw(id.cast_signed()));
             if let Some(id) = id {
                 kill_process(id, signal)?;
             }
@@ -434,7 +456,7 @@
     }
 }
 
-impl Drop for Trial {
+impl Drop for Cluster {
     fn drop(&mut self) {
         for child in self.processes.iter_mut().filter_map(|process| process.child.as_mut()) {
             let _ = child.kill(); // it may have ended
@@ -443,8 +465,8 @@
     }
 }
 
-fn note(notes: &Notes, clock: &Clock, node: Option<usize>, what: String) {
-    lock(notes).push(Noted { at: clock.now(), node, what });
+fn note(notes: &Notes, clock: &Clock, node: Option<usize>, text: String) {
+    lock(notes).push(ClusterEvent { at: clock.now(), node, text });
 }
 
 fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -453,16 +475,16 @@
 
 /// An address that no other node of any trial has, and that no connection takes by chance: an address of the loopback of its
 /// own for each node, by the process that holds the trial, and a port by the trial.
-fn place(trial: u16, node: usize) -> SocketAddr {
+fn place(cluster: u16, node: usize) -> SocketAddr {
     let [high, low] = ((std::process::id() % 0xFFFF) as u16).to_be_bytes();
     let address = Ipv4Addr::new(127, high.max(1), low, 1 + (node % 250) as u8);
-    (address, 20_000 + trial % 10_000 + (node / 250) as u16).into()
+    (address, 20_000 + cluster % 10_000 + (node / 250) as u16).into()
 }
 
 /// The ways between all ordered pairs.
 struct Ways {
     nodes: usize,
-    ways: Mutex<(Vec<Way>, fastrand::Rng)>,
+    ways: Mutex<(Vec<LinkFaults>, fastrand::Rng)>,
     datagrams: AtomicU64,
     bytes: AtomicU64,
     too_long: AtomicU64,
@@ -470,12 +492,12 @@
 
 impl Ways {
     fn new(nodes: usize, seed: u64) -> Ways {
-        let ways = Mutex::new((vec![Way::GOOD; nodes * nodes], fastrand::Rng::with_seed(seed)));
+        let ways = Mutex::new((vec![LinkFaults::NONE; nodes * nodes], fastrand::Rng::with_seed(seed)));
         let (datagrams, bytes, too_long) = Default::default();
         Ways { nodes, ways, datagrams, bytes, too_long }
     }
 
-    fn set(&self, from: &[usize], to: &[usize], way: Way) {
+    fn set(&self, from: &[usize], to: &[usize], way: LinkFaults) {
         let mut ways = lock(&self.ways);
         for &from in from {
             for &to in to.iter().filter(|&&to| to != from) {
@@ -532,7 +554,7 @@
                         tokio::spawn(relay(sockets.clone(), ways.clone(), nodes.clone(), from, to));
                     }
                 }
-                let _ = stopped.await; // by word, or for the trial has gone
+                let _ = stopped.await; // by word, or for the cluster has gone
             });
         })?;
         Ok(Relay { seen_by, stop: Some(stop), thread: Some(thread) })
--- a/crates/fleet/src/etcd/server.rs
+++ b/crates/fleet/src/etcd/server.rs
@@ -31,7 +31,7 @@
 use tonic::service::Routes;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::store::{Change, Refused, Store};
+use super::store::{Change, Store, StoreError};
 use crate::clock::Micros;
 use crate::record::{Event, Log, Told};
 
@@ -109,17 +109,19 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl From<Refused> for Status {
-    fn from(refused: Refused) -> Self {
+impl From<StoreError> for Status {
+    fn from(refused: StoreError) -> Self {
         match refused {
-            Refused::Compacted => {
+            StoreError::Compacted => {
                 Status::out_of_range("etcdserver: mvcc: required revision has been compacted")
             }
-            Refused::Future => {
+            StoreError::FutureRevision => {
                 Status::out_of_range("etcdserver: mvcc: required revision is a future revision")
             }
-            Refused::NoLease => Status::not_found("etcdserver: requested lease not found"),
-            Refused::Duplicate => Status::invalid_argument("etcdserver: duplicate key given in txn request"),
+            StoreError::LeaseNotFound => Status::not_found("etcdserver: requested lease not found"),
+            StoreError::DuplicateKey => {
+                Status::invalid_argument("etcdserver: duplicate key given in txn request")
+            }
         }
     }
 }
@@ -157,27 +159,27 @@
             while !shared.ended.is_cancelled() {
                 sleep(LEASES).await;
                 let now = shared.log.clock().now();
-                shared.with(|store| store.expire(now));
+                shared.with_store(|store| store.expire_leases(now));
             }
         });
         Ok(etcd)
     }
 
     /// Does something with the store; watches are told what changes.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
-        self.shared.with(work)
+    pub fn with_store<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
+        self.shared.with_store(work)
     }
 
     /// Writes a server's value.
     pub fn put(&self, id: &str, value: &str) {
         let key = self.key(id);
-        self.with(|store| store.put(&key, value.as_bytes(), 0)).expect("it has no lease");
+        self.with_store(|store| store.put(&key, value.as_bytes(), 0)).expect("it has no lease");
     }
 
     /// Removes a server.
     pub fn delete(&self, id: &str) {
         let key = self.key(id);
-        self.with(|store| store.delete(&key));
+        self.with_store(|store| store.delete(&key));
     }
 
     /// The key of a server.
@@ -188,7 +190,7 @@
     /// Forgets all but the newest revision, and cancels each watch with `compact_revision`, as if it had been
     /// behind.
     pub fn compact(&self) {
-        self.with(|store| {
+        self.with_store(|store| {
             let newest = store.revision();
             let _ = store.compact(newest); // compacted there already
         });
@@ -212,7 +214,7 @@
 
     /// Comes back with an older store. Its endpoints should be down meanwhile, as real ones are.
     pub fn restore(&self, backup: Store) {
-        self.with(|store| *store = backup);
+        self.with_store(|store| *store = backup);
     }
 }
 
@@ -223,7 +225,7 @@
 }
 
 impl Shared {
-    fn with<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
+    fn with_store<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = lock(&self.store);
         let done = work(&mut store);
         let newest = store.revision();
@@ -354,8 +356,8 @@
         }
     }
 
-    fn changed<T>(&self, work: impl FnOnce(&mut Store) -> Result<T, Refused>) -> Result<T, Status> {
-        Ok(self.shared.with(work)?)
+    fn changed<T>(&self, work: impl FnOnce(&mut Store) -> Result<T, StoreError>) -> Result<T, Status> {
+        Ok(self.shared.with_store(work)?)
     }
 
     fn header(&self) -> Option<api::ResponseHeader> {
@@ -374,7 +376,7 @@
             match behind {
                 0 => store.range((&key, &range_end), revision, limit)?,
                 behind => {
-                    let old = (store.revision() - behind).max(store.compacted()).max(1);
+                    let old = (store.revision() - behind).max(store.compacted_revision()).max(1);
                     let old = if revision > 0 { revision } else { old };
                     let mut page = store.range((&key, &range_end), old, limit)?;
                     page.header.iter_mut().for_each(|header| header.revision = old);
@@ -392,7 +394,7 @@
         self.ready(&request).await?;
         let PutRequest { key, value, lease, ignore_lease } = request.into_inner();
         let lease = (!ignore_lease).then_some(lease);
-        self.changed(|store| store.change(&[Change::Put { key: &key, value: &value, lease }]))?;
+        self.changed(|store| store.apply(&[Change::Put { key: &key, value: &value, lease }]))?;
         Ok(Response::new(PutResponse { header: self.header() }))
     }
 
@@ -401,7 +403,7 @@
         let DeleteRangeRequest { key, range_end } = request.into_inner();
         let deleted = self.changed(|store| {
             let count = store.range((&key, &range_end), 0, 0)?.count;
-            store.change(&[Change::Delete((&key, &range_end))]).map(|_| count)
+            store.apply(&[Change::Delete((&key, &range_end))]).map(|_| count)
         })?;
         Ok(Response::new(DeleteRangeResponse { header: self.header(), deleted }))
     }
@@ -410,7 +412,7 @@
         self.ready(&request).await?;
         let TxnRequest { compare, success, failure } = request.into_inner();
         let (succeeded, ops) = self.changed(|store| {
-            let succeeded = store.holds(&compare);
+            let succeeded = store.comparisons_hold(&compare);
             let ops = if succeeded { success } else { failure };
             store.txn(&ops).map(|_| (succeeded, ops))
         })?;
@@ -450,14 +452,14 @@
     async fn lease_grant(&self, request: Request<LeaseGrantRequest>) -> Answer<LeaseGrantResponse> {
         self.ready(&request).await?;
         let (now, ttl) = (self.shared.now(), request.into_inner().ttl);
-        let id = self.shared.with(|store| store.grant(now, ttl.max(0) as Micros * 1_000_000));
+        let id = self.shared.with_store(|store| store.grant_lease(now, ttl.max(0) as Micros * 1_000_000));
         Ok(Response::new(LeaseGrantResponse { header: self.header(), id, ttl, error: String::new() }))
     }
 
     async fn lease_revoke(&self, request: Request<LeaseRevokeRequest>) -> Answer<LeaseRevokeResponse> {
         self.ready(&request).await?;
         let id = request.into_inner().id;
-        self.changed(|store| store.revoke(id))?;
+        self.changed(|store| store.revoke_lease(id))?;
         Ok(Response::new(LeaseRevokeResponse { header: self.header() }))
     }
 
@@ -472,7 +474,7 @@
             while let Ok(Some(LeaseKeepAliveRequest { id })) = asked.message().await {
                 endpoint.spoken().await;
                 let now = endpoint.shared.now();
-                let left = endpoint.shared.with(|store| store.renew(now, id));
+                let left = endpoint.shared.with_store(|store| store.renew_lease(now, id));
                 let ttl = left.map_or(0, |ttl| (ttl / 1_000_000) as i64);
                 let answer = LeaseKeepAliveResponse { header: endpoint.header(), id, ttl };
                 if to.send(Ok(answer)).await.is_err() {
@@ -611,7 +613,7 @@
         if self.watch.take().is_none() {
             return Ok(());
         }
-        let compacted = lock(&self.endpoint.shared.store).compacted();
+        let compacted = lock(&self.endpoint.shared.store).compacted_revision();
         let reason = "etcdserver: mvcc: required revision has been compacted".into();
         let answer = WatchResponse {
             canceled: true,
@@ -628,7 +630,7 @@
         let (from, end, next) = (watch.key.clone(), watch.range_end.clone(), *next);
         let (events, newest) = {
             let store = lock(&self.endpoint.shared.store);
-            let events = store.since(next).map(|events| events.flatten().cloned().collect::<Vec<_>>());
+            let events = store.events_since(next).map(|events| events.flatten().cloned().collect::<Vec<_>>());
             (events, store.revision())
         };
         let Ok(events) = events else { return self.cancel().await };
--- a/crates/fleet/src/etcd/store.rs
+++ b/crates/fleet/src/etcd/store.rs
@@ -14,15 +14,15 @@
 
 /// Why a call fails; the words are etcd's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum StoreError {
     /// The revision has been compacted.
     Compacted,
     /// The revision is still to come.
-    Future,
+    FutureRevision,
     /// No such lease.
-    NoLease,
+    LeaseNotFound,
     /// A key stands twice in a transaction.
-    Duplicate,
+    DuplicateKey,
 }
 
 /// A whole store. A clone is a backup.
@@ -79,7 +79,7 @@
     }
 
     /// The oldest revision that can be read.
-    pub fn compacted(&self) -> i64 {
+    pub fn compacted_revision(&self) -> i64 {
         self.compacted
     }
 
@@ -97,34 +97,34 @@
     ///
     /// # Errors
     /// If there is no such lease.
-    pub fn put(&mut self, key: &[u8], value: &[u8], lease: i64) -> Result<i64, Refused> {
-        self.change(&[Change::Put { key, value, lease: Some(lease) }])
+    pub fn put(&mut self, key: &[u8], value: &[u8], lease: i64) -> Result<i64, StoreError> {
+        self.apply(&[Change::Put { key, value, lease: Some(lease) }])
     }
 
     /// Deletes a key; no revision comes of one that isn't there.
     pub fn delete(&mut self, key: &[u8]) -> i64 {
-        self.change(&[Change::Delete((key, b""))]).unwrap_or(self.revision)
+        self.apply(&[Change::Delete((key, b""))]).unwrap_or(self.revision)
     }
 
     /// Does several changes in one revision.
     ///
     /// # Errors
     /// Without any change made.
-    pub fn change(&mut self, changes: &[Change]) -> Result<i64, Refused> {
+    pub fn apply(&mut self, changes: &[Change]) -> Result<i64, StoreError> {
         let mut seen = BTreeSet::new();
         for change in changes {
             match change {
                 Change::Put { key, lease, .. } => {
                     if !seen.insert(*key) {
-                        return Err(Refused::Duplicate);
+                        return Err(StoreError::DuplicateKey);
                     }
                     if lease.is_some_and(|id| id != 0 && !self.leases.contains_key(&id)) {
-                        return Err(Refused::NoLease);
+                        return Err(StoreError::LeaseNotFound);
                     }
                 }
                 Change::Delete(range) => {
                     if seen.iter().any(|key| within(key, *range)) {
-                        return Err(Refused::Duplicate);
+                        return Err(StoreError::DuplicateKey);
                     }
                 }
             }
@@ -190,13 +190,13 @@
     ///
     /// # Errors
     /// If the revision can't be read.
-    pub fn range(&self, range: Range, revision: i64, limit: i64) -> Result<RangeResponse, Refused> {
+    pub fn range(&self, range: Range, revision: i64, limit: i64) -> Result<RangeResponse, StoreError> {
         let old;
         let keys = match revision {
-            revision if revision > self.revision => return Err(Refused::Future),
+            revision if revision > self.revision => return Err(StoreError::FutureRevision),
             revision if revision <= 0 || revision == self.revision => &self.keys,
             revision => {
-                old = self.at(revision)?;
+                old = self.keys_at(revision)?;
                 &old
             }
         };
@@ -212,9 +212,9 @@
     ///
     /// # Errors
     /// If it is compacted.
-    pub fn at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, Refused> {
+    pub fn keys_at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, StoreError> {
         if revision < self.compacted {
-            return Err(Refused::Compacted);
+            return Err(StoreError::Compacted);
         }
         let mut keys = self.base.clone();
         let events = self.events.range(..=revision).flat_map(|(_, events)| events);
@@ -226,9 +226,9 @@
     ///
     /// # Errors
     /// If some of them are compacted.
-    pub fn since(&self, start: i64) -> Result<impl Iterator<Item = &Vec<Event>>, Refused> {
+    pub fn events_since(&self, start: i64) -> Result<impl Iterator<Item = &Vec<Event>>, StoreError> {
         if start <= self.compacted && start > 0 {
-            return Err(Refused::Compacted);
+            return Err(StoreError::Compacted);
         }
         Ok(self.events.range(start..).map(|(_, events)| events))
     }
@@ -237,12 +237,12 @@
     ///
     /// # Errors
     /// If that is forgotten already, or still to come.
-    pub fn compact(&mut self, revision: i64) -> Result<(), Refused> {
+    pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision <= self.compacted {
-            return Err(Refused::Compacted);
+            return Err(StoreError::Compacted);
         }
         if revision > self.revision {
-            return Err(Refused::Future);
+            return Err(StoreError::FutureRevision);
         }
         let later = self.events.split_off(&(revision + 1));
         let past = std::mem::replace(&mut self.events, later);
@@ -252,7 +252,7 @@
     }
 
     /// Whether all these comparisons hold.
-    pub fn holds(&self, compares: &[Compare]) -> bool {
+    pub fn comparisons_hold(&self, compares: &[Compare]) -> bool {
         let none = KeyValue::default();
         compares.iter().all(|compare| {
             let kv = self.keys.get(&compare.key).unwrap_or(&none);
@@ -277,7 +277,7 @@
     ///
     /// # Errors
     /// Without any change made.
-    pub fn txn(&mut self, ops: &[RequestOp]) -> Result<i64, Refused> {
+    pub fn txn(&mut self, ops: &[RequestOp]) -> Result<i64, StoreError> {
         let change = |op: &'_ RequestOp| match op.request.clone()? {
             Request::RequestPut(put) => {
                 Some((put.key, Some((put.value, put.lease, put.ignore_lease)), vec![]))
@@ -296,11 +296,11 @@
                 None => Change::Delete((key, end)),
             })
             .collect();
-        self.change(&changes)
+        self.apply(&changes)
     }
 
     /// Grants a lease; tells its id.
-    pub fn grant(&mut self, now: Micros, ttl: Micros) -> i64 {
+    pub fn grant_lease(&mut self, now: Micros, ttl: Micros) -> i64 {
         self.last_lease += 1;
         let lease = Lease { ttl, ends: now + ttl, keys: BTreeSet::new() };
         self.leases.insert(self.last_lease, lease);
@@ -308,7 +308,7 @@
     }
 
     /// Renews a lease; tells the time that it has from now, nothing if it is gone.
-    pub fn renew(&mut self, now: Micros, id: i64) -> Option<Micros> {
+    pub fn renew_lease(&mut self, now: Micros, id: i64) -> Option<Micros> {
         let lease = self.leases.get_mut(&id)?;
         lease.ends = now + lease.ttl;
         Some(lease.ttl)
@@ -318,17 +318,17 @@
     ///
     /// # Errors
     /// If there is none.
-    pub fn revoke(&mut self, id: i64) -> Result<(), Refused> {
-        let lease = self.leases.remove(&id).ok_or(Refused::NoLease)?;
+    pub fn revoke_lease(&mut self, id: i64) -> Result<(), StoreError> {
+        let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
         let changes: Vec<_> = lease.keys.iter().map(|key| Change::Delete((key, b""))).collect();
-        self.change(&changes).map(drop)
+        self.apply(&changes).map(drop)
     }
 
     /// Ends the leases that have run out.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire_leases(&mut self, now: Micros) {
         let over: Vec<i64> =
             self.leases.iter().filter(|(_, lease)| lease.ends <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| _ = self.revoke(id));
+        over.into_iter().for_each(|id| _ = self.revoke_lease(id));
     }
 }
 
@@ -372,11 +372,11 @@
         assert_eq!(store.range(all, 3, 0).map(keys), Ok(vec![b"a".to_vec(), b"b".to_vec()]));
         let first = store.range(all, 3, 1).unwrap();
         assert!(first.more && first.count == 2 && first.header.unwrap().revision == 4);
-        assert_eq!(store.range(all, 5, 0).map(keys), Err(Refused::Future));
-        assert_eq!(store.since(3).unwrap().count(), 2);
+        assert_eq!(store.range(all, 5, 0).map(keys), Err(StoreError::FutureRevision));
+        assert_eq!(store.events_since(3).unwrap().count(), 2);
         store.compact(3).unwrap();
-        assert_eq!(store.compact(3), Err(Refused::Compacted));
-        assert!(store.since(3).is_err() && store.since(4).is_ok());
+        assert_eq!(store.compact(3), Err(StoreError::Compacted));
+        assert!(store.events_since(3).is_err() && store.events_since(4).is_ok());
         assert!(store.range(all, 2, 0).is_err() && store.range(all, 3, 0).is_ok());
         assert_eq!(store.range(all, 0, 0).map(keys), Ok(vec![b"b".to_vec()]));
     }
@@ -384,33 +384,33 @@
     #[test]
     fn a_lease_takes_its_keys_along_in_one_revision() {
         let mut store = Store::new(1);
-        let lease = store.grant(0, 10);
+        let lease = store.grant_lease(0, 10);
         store.put(b"a", b"1", lease).unwrap();
         store.put(b"b", b"1", lease).unwrap();
-        assert_eq!(store.put(b"c", b"1", 77), Err(Refused::NoLease));
-        assert_eq!(store.renew(5, lease), Some(10));
-        store.expire(14);
+        assert_eq!(store.put(b"c", b"1", 77), Err(StoreError::LeaseNotFound));
+        assert_eq!(store.renew_lease(5, lease), Some(10));
+        store.expire_leases(14);
         assert_eq!(store.revision(), 3);
-        store.expire(15);
+        store.expire_leases(15);
         assert_eq!((store.revision(), store.keys.len()), (4, 0));
-        assert_eq!(store.renew(16, lease), None);
+        assert_eq!(store.renew_lease(16, lease), None);
     }
 
     #[test]
     fn a_transaction_is_one_revision_or_none() {
         let mut store = Store::new(1);
         let put = |key| Change::Put { key, value: b"1", lease: Some(0) };
-        assert_eq!(store.change(&[put(b"a"), put(b"b")]), Ok(2));
-        assert_eq!(store.change(&[put(b"a"), put(b"a")]), Err(Refused::Duplicate));
-        assert_eq!(store.change(&[put(b"a"), Change::Delete((b"a", b"c"))]), Err(Refused::Duplicate));
+        assert_eq!(store.apply(&[put(b"a"), put(b"b")]), Ok(2));
+        assert_eq!(store.apply(&[put(b"a"), put(b"a")]), Err(StoreError::DuplicateKey));
+        assert_eq!(store.apply(&[put(b"a"), Change::Delete((b"a", b"c"))]), Err(StoreError::DuplicateKey));
         let compare = |revision| Compare {
             result: CompareResult::Equal.into(),
             target: CompareTarget::Mod.into(),
             key: b"a".to_vec(),
             target_union: Some(TargetUnion::ModRevision(revision)),
         };
-        assert!(store.holds(&[compare(2)]) && !store.holds(&[compare(1)]));
+        assert!(store.comparisons_hold(&[compare(2)]) && !store.comparisons_hold(&[compare(1)]));
         assert_eq!(store.remove_and_put(b"a", b"2"), 3);
-        assert_eq!(store.since(3).unwrap().map(Vec::len).sum::<usize>(), 2);
+        assert_eq!(store.events_since(3).unwrap().map(Vec::len).sum::<usize>(), 2);
     }
 }
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -31,7 +31,7 @@
 use run_delay::RunDelays;
 use system_calls::SystemCallFaults;
 
-pub use system_calls::{CALLS_FAIL_EVERY, Program};
+pub use system_calls::{Program, SYSCALL_FAULT_SEED_INTERVAL};
 
 /// Nodes of one site.
 const NODES: usize = 24;
@@ -63,14 +63,14 @@
 #[derive(Debug)]
 pub struct Verdict {
     /// What broke, in words; nothing where all invariants held.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// How many requests met what.
     pub coverage: BTreeMap<&'static str, usize>,
 }
 
 impl Verdict {
     /// Whether half at least of the requests that reached a node were served: nodes that refused all would break nothing.
-    pub fn served_enough(&self) -> bool {
+    pub fn served_at_least_half(&self) -> bool {
         self.coverage["served"] * 2 > self.coverage["requests"] - self.coverage["unreached"]
     }
 }
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// If a socket, a file or a process can't be had.
-pub fn play(program: &Program, folder: &Path, seed: u64) -> io::Result<Verdict> {
+pub fn run_seed(program: &Program, folder: &Path, seed: u64) -> io::Result<Verdict> {
     let mut soak = Soak::start(program, folder, seed)?;
     let reports = soak.play()?;
     Ok(soak.judge(reports))
@@ -335,7 +335,7 @@
             ("system calls that failed", self.system_calls.injected()),
             ("lateness granted, ms", most_granted / 1000),
         ]);
-        Verdict { broken: told, coverage }
+        Verdict { violations: told, coverage }
     }
 }
 
--- a/crates/fleet/src/soak/system_calls.rs
+++ b/crates/fleet/src/soak/system_calls.rs
@@ -13,7 +13,7 @@
 }
 
 /// System calls fail on every seed of so many, where the library is given.
-pub const CALLS_FAIL_EVERY: u64 = 2;
+pub const SYSCALL_FAULT_SEED_INTERVAL: u64 = 2;
 /// A wall clock steps by so many seconds.
 const STEP: i64 = 3600;
 
@@ -31,7 +31,8 @@
 impl SystemCallFaults {
     /// Draws which calls fail, and how often; what was injected is counted in a file of the folder.
     pub fn draw(program: &Program, folder: &Path, seed: u64) -> SystemCallFaults {
-        let library = program.fault_library.as_ref().filter(|_| seed.is_multiple_of(CALLS_FAIL_EVERY));
+        let library =
+            program.fault_library.as_ref().filter(|_| seed.is_multiple_of(SYSCALL_FAULT_SEED_INTERVAL));
         let Some(library) = library else { return SystemCallFaults::default() };
         let log = folder.join("system-calls");
         let environment = vec![
--- a/crates/lilacquay/tests/common/nodes.rs
+++ b/crates/lilacquay/tests/common/nodes.rs
@@ -1,24 +1,24 @@
 //! Five processes of the program that are siblings, with a relay between each two.
 #![allow(dead_code)] // not each file needs all of it
 
-use lilacquay_fleet::cluster::{Fault, Trial, TrialPlan, Way};
+use lilacquay_fleet::cluster::{Cluster, ClusterPlan, Fault, LinkFaults};
 
 pub const NODES: usize = 5;
 
 pub struct Site {
-    pub trial: Trial,
+    pub cluster: Cluster,
     pub folder: tempfile::TempDir,
 }
 
 /// What is out of the ordinary at none of them.
-pub fn plan(seed: u64) -> TrialPlan {
-    TrialPlan::new(env!("CARGO_BIN_EXE_lilacquay").into(), NODES, seed)
+pub fn plan(seed: u64) -> ClusterPlan {
+    ClusterPlan::new(env!("CARGO_BIN_EXE_lilacquay").into(), NODES, seed)
 }
 
 impl Site {
-    pub fn of(plan: TrialPlan) -> Site {
+    pub fn of(plan: ClusterPlan) -> Site {
         let folder = tempfile::tempdir().unwrap();
-        Site { trial: Trial::start(plan, folder.path()).unwrap(), folder }
+        Site { cluster: Cluster::start(plan, folder.path()).unwrap(), folder }
     }
 
     /// One whose nodes all hold each other to be here.
@@ -28,31 +28,31 @@
 
     /// Once they do.
     pub fn once_whole(self) -> Site {
-        self.until("all are here", |trial| trial.whole(&all()));
+        self.until("all are here", |cluster| cluster.is_converged(&all()));
         self
     }
 
-    pub fn until(&self, what: &str, holds: impl Fn(&Trial) -> bool) {
-        if !self.trial.until(holds) {
+    pub fn until(&self, what: &str, holds: impl Fn(&Cluster) -> bool) {
+        if !self.cluster.wait_until(holds) {
             let file = self.folder.path().join("events.jsonl");
-            self.trial.write(&file).unwrap();
+            self.cluster.write_events(&file).unwrap();
             panic!("not {what}: {}", std::fs::read_to_string(file).unwrap());
         }
     }
 
     pub fn fault(&mut self, fault: Fault) {
-        self.trial.fault(&fault).unwrap();
+        self.cluster.inject(&fault).unwrap();
     }
 
     /// Cuts all ways between two sides, or mends all ways.
     pub fn split(&mut self, one: &[usize], other: &[usize]) {
         for (from, to) in [(one, other), (other, one)] {
-            self.fault(Fault::Ways(from.into(), to.into(), Way::CUT));
+            self.fault(Fault::Links(from.into(), to.into(), LinkFaults::CUT));
         }
     }
 
     pub fn heal(&mut self) {
-        self.fault(Fault::Ways(all(), all(), Way::GOOD));
+        self.fault(Fault::Links(all(), all(), LinkFaults::NONE));
     }
 
     /// What the nodes use together, of `NODES` whole parts.
@@ -61,13 +61,13 @@
     }
 
     pub fn part(&self, node: usize) -> f64 {
-        self.trial.sight(node).map_or(0.0, |sight| sight["part"].as_f64().unwrap())
+        self.cluster.sibling_view(node).map_or(0.0, |sight| sight["part"].as_f64().unwrap())
     }
 
     /// How often the log of a node says something.
     pub fn said(&self, node: usize, words: &str) -> usize {
-        let noted = self.trial.noted();
-        noted.iter().filter(|noted| noted.node == Some(node) && noted.what.contains(words)).count()
+        let noted = self.cluster.events();
+        noted.iter().filter(|noted| noted.node == Some(node) && noted.text.contains(words)).count()
     }
 
     /// Runs the program's command on a node; tells whether it went well, and what it printed.
@@ -75,7 +75,7 @@
         let out = std::process::Command::new(env!("CARGO_BIN_EXE_lilacquay"))
             .args(words)
             .arg("--state")
-            .arg(self.trial.state_folder(node))
+            .arg(self.cluster.state_folder(node))
             .output()
             .unwrap();
         let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
--- a/crates/lilacquay/tests/members.rs
+++ b/crates/lilacquay/tests/members.rs
@@ -55,7 +55,7 @@
     }
 
     fn listed(&self, id: &str) -> bool {
-        self.etcd.with(|store| store.get(format!("/m/{id}").as_bytes()).is_some())
+        self.etcd.with_store(|store| store.get(format!("/m/{id}").as_bytes()).is_some())
     }
 }
 
@@ -131,8 +131,8 @@
     // A lease that was lost, as after a long cut, is taken anew.
     let _holder = start();
     site.runtime.block_on(async {
-        let lease = site.etcd.with(|store| store.get(b"/m/box-1").map(|kv| kv.lease)).unwrap();
-        site.etcd.with(|store| store.revoke(lease)).unwrap();
+        let lease = site.etcd.with_store(|store| store.get(b"/m/box-1").map(|kv| kv.lease)).unwrap();
+        site.etcd.with_store(|store| store.revoke_lease(lease)).unwrap();
     });
     while !site.listed("box-1") {
         std::thread::sleep(std::time::Duration::from_millis(10));
--- a/crates/lilacquay/tests/soak.rs
+++ b/crates/lilacquay/tests/soak.rs
@@ -34,10 +34,10 @@
     let mut failed = Vec::new();
     for seed in seeds {
         let folder = tempfile::tempdir().unwrap();
-        let verdict = soak::play(&program, folder.path(), seed).unwrap();
-        println!("seed {seed}: {:?}, broken: {}", verdict.coverage, verdict.broken.len());
-        verdict.broken.iter().take(TOLD).for_each(|what| println!("  {what}"));
-        if !verdict.broken.is_empty() || !verdict.served_enough() {
+        let verdict = soak::run_seed(&program, folder.path(), seed).unwrap();
+        println!("seed {seed}: {:?}, broken: {}", verdict.coverage, verdict.violations.len());
+        verdict.violations.iter().take(TOLD).for_each(|what| println!("  {what}"));
+        if !verdict.violations.is_empty() || !verdict.served_at_least_half() {
             failed.push(seed);
         }
     }
@@ -51,6 +51,6 @@
 
 #[test]
 fn the_invariants_hold_while_system_calls_fail_too() {
-    let seeds = seeds().filter(|seed| seed.is_multiple_of(soak::CALLS_FAIL_EVERY));
+    let seeds = seeds().filter(|seed| seed.is_multiple_of(soak::SYSCALL_FAULT_SEED_INTERVAL));
     assert_the_invariants_hold(seeds, Some(common::fault_library()));
 }
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -9,7 +9,7 @@
 use lilacquay_etcd::Fault;
 use lilacquay_etcd::api::{WatchCreateRequest, WatchResponse};
 use lilacquay_fleet::etcd::Store;
-use lilacquay_fleet::etcd::store::{Change as Write, Refused};
+use lilacquay_fleet::etcd::store::{Change as Write, StoreError};
 use lilacquay_members::etcd::follower::{Action, Call, Change, Event, Follower, Options, Pace};
 use lilacquay_members::etcd::list_cache::Kept;
 
@@ -133,7 +133,7 @@
         let comes = comes.and_then(|stream| stream.queue.front()).map_or(Micros::MAX, |(at, _)| *at);
         let wake = self.follower.wake_at();
         self.now = self.now.max(comes.min(wake).min(latest));
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         self.remember();
         if comes <= self.now {
             let event = self.stream.as_mut().and_then(|stream| stream.queue.pop_front());
@@ -167,13 +167,13 @@
             0..=3 => _ = self.store.put(&key, value, 0),
             4 => _ = self.store.delete(&key),
             5 => {
-                let lease = self.store.grant(self.now, self.rng.u64(1..2000) * MS);
+                let lease = self.store.grant_lease(self.now, self.rng.u64(1..2000) * MS);
                 self.store.put(&key, value, lease).unwrap();
             }
             6 => {
                 let (a, b) = (format!("{PREFIX}box-0"), format!("{PREFIX}box-1"));
                 let put = Write::Put { key: a.as_bytes(), value, lease: Some(0) };
-                self.store.change(&[put, Write::Delete((b.as_bytes(), b""))]).unwrap();
+                self.store.apply(&[put, Write::Delete((b.as_bytes(), b""))]).unwrap();
             }
             7 => _ = self.store.remove_and_put(&key, value),
             8 => _ = self.store.put(b"/other", b"not a server", 0),
@@ -230,7 +230,7 @@
 
     /// A watch is cancelled as if its revision were compacted.
     fn cancel(&mut self) {
-        if self.store.compacted() < self.store.revision() {
+        if self.store.compacted_revision() < self.store.revision() {
             self.store.compact(self.store.revision()).unwrap();
         }
         let answer = self.cancelled();
@@ -238,7 +238,7 @@
     }
 
     fn cancelled(&self) -> WatchResponse {
-        let (canceled, compact_revision) = (true, self.store.compacted());
+        let (canceled, compact_revision) = (true, self.store.compacted_revision());
         WatchResponse { header: Some(self.store.header()), canceled, compact_revision, ..Default::default() }
     }
 
@@ -275,7 +275,8 @@
         if self.is_down(endpoint) {
             return self.close(true);
         }
-        let events = self.store.since(next).map(|events| events.flatten().cloned().collect::<Vec<_>>());
+        let events =
+            self.store.events_since(next).map(|events| events.flatten().cloned().collect::<Vec<_>>());
         self.stream.as_mut().unwrap().next = Some(next.max(self.store.revision() + 1));
         let Ok(events) = events else {
             let answer = self.cancelled();
@@ -327,7 +328,7 @@
             Action::Range(call, endpoint, asked) => {
                 self.open(call, endpoint, None);
                 let behind = self.endpoints[endpoint].behind;
-                let old = (self.store.revision() - behind).max(self.store.compacted()).max(1);
+                let old = (self.store.revision() - behind).max(self.store.compacted_revision()).max(1);
                 let at = if asked.revision > 0 || behind == 0 { asked.revision } else { old };
                 let page = self.store.range((&asked.key, &asked.range_end), at, asked.limit);
                 let event = match page {
@@ -338,7 +339,7 @@
                         }
                         Event::Page(call, page)
                     }
-                    Err(Refused::Compacted) => Event::Failed(call, Fault::Compacted, "compacted".into()),
+                    Err(StoreError::Compacted) => Event::Failed(call, Fault::Compacted, "compacted".into()),
                     Err(_) => Event::Failed(call, Fault::Failed, "future".into()),
                 };
                 self.send(event);
