--- a/crates/fleet/src/cluster.rs
+++ b/crates/fleet/src/cluster.rs
@@ -1,6 +1,8 @@
-//! Many nodes, each a process of the program, that see one another through a relay: a way for each ordered pair, which can
-//! be cut, one-sided, lossy, late, out of order and doubling, while processes are paused, killed and started again under
-//! their names. All that happens to them and all that they say goes, on one clock, into one file.
+//! A cluster of node processes whose sibling datagrams pass through a relay.
+//!
+//! The relay has a link for each ordered pair of nodes. A link can be cut in one direction, lose, delay, reorder and
+//! duplicate datagrams, while processes are paused, killed and restarted under the same node numbers. All faults and all
+//! log lines of the nodes are recorded, with the time of one clock, and can be written to one file.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Write};
@@ -21,156 +23,162 @@
 use crate::clock::{Clock, Micros};
 use crate::{Fleet, Plan};
 
-/// The longest datagram that nodes may send, and one byte more to tell a longer one.
-const LONGEST: usize = 256;
-/// A process that says nothing for so long is held to be stuck.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The largest datagram that nodes may send, in bytes. Receive buffers have one byte more, to detect a larger one.
+const MAX_DATAGRAM_BYTES: usize = 256;
+/// A process that does not start, or does not answer, within this time is considered stuck.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Trials that this process has started.
-static TRIALS: AtomicU16 = AtomicU16::new(0);
+/// The number of clusters that this process has started; gives each its own port.
+static CLUSTERS_STARTED: AtomicU16 = AtomicU16::new(0);
 
-/// How datagrams go from one node to another.
+/// The faults of the link from one node to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkFaults {
-    /// None comes.
+    /// No datagram is delivered.
     pub cut: bool,
-    /// The part that is lost.
+    /// The fraction of datagrams that are lost, from 0 to 1.
     pub loss: f64,
-    /// The part that comes twice.
+    /// The fraction of datagrams that are delivered twice, from 0 to 1.
     pub doubled: f64,
-    /// Each takes up to so long, so that they overtake one another.
+    /// The upper bound of each datagram's random delay; different delays reorder datagrams.
     pub delay: Duration,
 }
 
 impl LinkFaults {
-    /// Nothing is lost, late or doubled.
+    /// No datagram is lost, delayed or duplicated.
     pub const NONE: LinkFaults = LinkFaults { cut: false, loss: 0.0, doubled: 0.0, delay: Duration::ZERO };
-    /// Nothing comes.
+    /// No datagram is delivered.
     pub const CUT: LinkFaults = LinkFaults { cut: true, ..LinkFaults::NONE };
 }
 
-/// Something that is done to the nodes.
+/// A fault, or the end of one, at some nodes or links.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// The ways from each of some nodes to each of others.
+    /// Sets the faults of the links from each node of the first list to each node of the second.
     Links(Vec<usize>, Vec<usize>, LinkFaults),
-    /// These stop (SIGSTOP), with what they believe.
+    /// Stops these nodes (SIGSTOP); they keep their state.
     Pause(Vec<usize>),
-    /// These go on (SIGCONT).
+    /// Continues these nodes (SIGCONT).
     Resume(Vec<usize>),
-    /// These are killed (SIGKILL), in one instant.
+    /// Kills these nodes (SIGKILL), all at once.
     Kill(Vec<usize>),
-    /// These start again under their names.
+    /// Starts these nodes again under the same node numbers.
     Start(Vec<usize>),
 }
 
 /// The text of a fault in the event file. Link faults keep the names `Ways` and `Way` there, as in earlier files.
 fn fault_text(fault: &Fault) -> String {
-    format!("{fault:?}").replace("Links(", "Ways(").replace("LinkFaults {", "LinkFaults {")
+    format!("{fault:?}").replace("Links(", "Ways(").replace("LinkFaults {", "Way {")
 }
 
-/// Faults, and after what time each.
-pub type Script = Vec<(Duration, Fault)>;
+/// Faults, each with the time from the start of the schedule at which it is injected.
+pub type FaultSchedule = Vec<(Duration, Fault)>;
 
-/// Faults drawn from a seed, at up to a third of the nodes at a time; in the end all are whole.
-pub fn random_faults(seed: u64, nodes: usize, over: Duration) -> Script {
+/// Draws a schedule of faults from a seed.
+///
+/// There are four rounds of equal length. Each has one fault, for 0.6 of the round. Except for a round in which all links
+/// are lossy, it affects up to a third of the nodes, rounded up. Each fault is undone before the schedule ends.
+pub fn random_faults(seed: u64, nodes: usize, length: Duration) -> FaultSchedule {
     let mut rng = fastrand::Rng::with_seed(seed);
     let all = || (0..nodes).collect::<Vec<usize>>();
-    let mut script = Script::new();
+    let mut schedule = FaultSchedule::new();
     let rounds = 4;
     for round in 0..rounds {
-        let (begin, end) =
-            (over.mul_f64(round as f64 / rounds as f64), over.mul_f64((round as f64 + 0.6) / rounds as f64));
-        let mut some = all();
-        rng.shuffle(&mut some);
-        some.truncate(1 + rng.usize(..nodes.div_ceil(3)));
-        let others: Vec<usize> = all().into_iter().filter(|node| !some.contains(node)).collect();
-        let (fault, mend) = match rng.u8(0..5) {
+        let (begin, end) = (
+            length.mul_f64(round as f64 / rounds as f64),
+            length.mul_f64((round as f64 + 0.6) / rounds as f64),
+        );
+        let mut affected = all();
+        rng.shuffle(&mut affected);
+        affected.truncate(1 + rng.usize(..nodes.div_ceil(3)));
+        let others: Vec<usize> = all().into_iter().filter(|node| !affected.contains(node)).collect();
+        let (fault, repair) = match rng.u8(0..5) {
             0 => (
-                Fault::Links(some.clone(), others.clone(), LinkFaults::CUT),
-                Fault::Links(some, others, LinkFaults::NONE),
+                Fault::Links(affected.clone(), others.clone(), LinkFaults::CUT),
+                Fault::Links(affected, others, LinkFaults::NONE),
             ),
             1 => (
-                Fault::Links(others.clone(), some.clone(), LinkFaults::CUT),
-                Fault::Links(others, some, LinkFaults::NONE),
+                Fault::Links(others.clone(), affected.clone(), LinkFaults::CUT),
+                Fault::Links(others, affected, LinkFaults::NONE),
             ),
             2 => {
-                let way =
+                let lossy =
                     LinkFaults { loss: 0.2, doubled: 0.1, delay: Duration::from_millis(200), cut: false };
-                (Fault::Links(all(), all(), way), Fault::Links(all(), all(), LinkFaults::NONE))
+                (Fault::Links(all(), all(), lossy), Fault::Links(all(), all(), LinkFaults::NONE))
             }
-            3 => (Fault::Pause(some.clone()), Fault::Resume(some)),
-            _ => (Fault::Kill(some.clone()), Fault::Start(some)),
+            3 => (Fault::Pause(affected.clone()), Fault::Resume(affected)),
+            _ => (Fault::Kill(affected.clone()), Fault::Start(affected)),
         };
-        script.extend([(begin, fault), (end, mend)]);
+        schedule.extend([(begin, fault), (end, repair)]);
     }
-    script
+    schedule
 }
 
-/// What the file of a trial says against the nodes: whoever was held to be gone for its silence, though nothing had been done
-/// to it or to any way for so long before.
-pub fn false_failure_reports(noted: &[ClusterEvent], quiet: Duration) -> Vec<String> {
+/// Returns the reports that a node is gone because its lease ran out, although no fault had been injected at that node or
+/// at any link within `quiet` before.
+pub fn false_failure_reports(events: &[ClusterEvent], quiet: Duration) -> Vec<String> {
     let quiet = quiet.as_micros() as Micros;
-    let mut told = Vec::new();
-    for (n, noted_) in noted.iter().enumerate() {
-        let words = noted_.text.split_once("siblings: node ").map(|(_, words)| words);
-        let Some(words) =
-            words.filter(|words| words.contains("is gone") && words.contains("lease has run out"))
+    let mut reports = Vec::new();
+    for (n, event) in events.iter().enumerate() {
+        let message = event.text.split_once("siblings: node ").map(|(_, message)| message);
+        let Some(message) =
+            message.filter(|message| message.contains("is gone") && message.contains("lease has run out"))
         else {
             continue;
         };
-        let whom: Option<usize> = words.split(' ').next().and_then(|node| node.parse().ok());
-        let caused =
-            noted[..n].iter().rev().take_while(|before| before.at + quiet > noted_.at).any(|before| {
-                let hit = |nodes: &str| {
-                    whom.is_some_and(|node| {
+        let reported: Option<usize> = message.split(' ').next().and_then(|node| node.parse().ok());
+        let explained =
+            events[..n].iter().rev().take_while(|before| before.at + quiet > event.at).any(|before| {
+                let names_reported = |nodes: &str| {
+                    reported.is_some_and(|node| {
                         nodes.split([',', '[', ']', ' ', '(', ')']).any(|w| w == node.to_string())
                     })
                 };
-                before.node.is_none() && (before.text.starts_with("Ways") || hit(&before.text))
+                before.node.is_none() && (before.text.starts_with("Ways") || names_reported(&before.text))
             });
-        if !caused {
-            told.push(format!("at {} node {:?}: {words}", noted_.at, noted_.node));
+        if !explained {
+            reports.push(format!("at {} node {:?}: {message}", event.at, event.node));
         }
     }
-    told
+    reports
 }
 
-/// Something that happened, for the file.
+/// An injected fault or a log line of a node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClusterEvent {
-    /// When, in microseconds of the trial's clock.
+    /// The time, in microseconds of the cluster's clock.
     pub at: Micros,
-    /// At which node; at none if it was done to the ways.
+    /// The node that logged the line; none for an injected fault.
     pub node: Option<usize>,
-    /// What: a line of the node's log, or a fault.
+    /// A line of the node's log, or the fault.
     #[serde(rename = "what")]
     pub text: String,
 }
 
-type Notes = Arc<Mutex<Vec<ClusterEvent>>>;
+type EventLog = Arc<Mutex<Vec<ClusterEvent>>>;
 
-/// What a trial is.
+/// The configuration of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterPlan {
-    /// The program under trial.
+    /// The program under test.
     pub program: PathBuf,
-    /// How many nodes, two at least.
+    /// The number of nodes, at least two.
     pub nodes: usize,
-    /// Whether they are siblings: without, no node knows of another.
+    /// Whether the nodes are configured as siblings; otherwise no node knows of another.
     pub siblings: bool,
-    /// For the ways' random choices.
+    /// Seeds the random choices of the links.
     pub seed: u64,
-    /// What they all serve.
+    /// The servers and the origin that all nodes use.
     pub fleet: Plan,
-    /// What they hold in common, as `common` of their options names it; what those say of themselves if it is not named.
+    /// The record kinds that the nodes replicate, written as `common` in their options; the options' default if none are
+    /// given.
     pub replicated_kinds: Option<Vec<&'static str>>,
-    /// These have a discovery that answers nothing: they go by the list that they start with.
+    /// The nodes whose discovery accepts connections but never answers, so that they keep their initial server list.
     pub without_discovery: Vec<usize>,
 }
 
 impl ClusterPlan {
-    /// Of so many siblings, with nothing else out of the ordinary.
+    /// A cluster of `nodes` siblings, with defaults for the rest.
     pub fn new(program: PathBuf, nodes: usize, seed: u64) -> ClusterPlan {
         let fleet = Plan { seed, ..Plan::default() };
         ClusterPlan {
@@ -191,34 +199,34 @@
     listen: SocketAddr,
 }
 
-/// Running nodes with all that they meet. They are killed when this is dropped.
+/// Running nodes with the servers they use and the relay between them. Dropping it kills the nodes.
 pub struct Cluster {
-    /// What they all serve.
+    /// The servers and the origin that all nodes use.
     pub fleet: Fleet,
     plan: ClusterPlan,
     processes: Vec<Process>,
     addresses: Vec<SocketAddr>,
-    ways: Arc<Ways>,
-    notes: Notes,
+    links: Arc<Links>,
+    event_log: EventLog,
     clock: Clock,
     _relay: Relay,
-    /// Listens, and answers nothing.
-    _silence: TcpListener,
+    /// Listens but never answers; see [`ClusterPlan::without_discovery`].
+    _unresponsive_discovery: TcpListener,
 }
 
 impl Cluster {
-    /// Starts all nodes; returns once each listens to clients.
+    /// Starts all nodes; returns once each is in service and listens to clients.
     ///
     /// # Errors
-    /// If a socket, a file or a process can't be had.
+    /// If a socket or a file can't be created, or a process can't be started.
     pub fn start(plan: ClusterPlan, folder: &Path) -> io::Result<Cluster> {
         let fleet = Fleet::start(plan.fleet.clone())?;
-        let (clock, notes) = (fleet.clock().clone(), Notes::default());
-        let number = TRIALS.fetch_add(1, Ordering::Relaxed);
-        let nodes: Vec<SocketAddr> = (0..plan.nodes).map(|node| place(number, node)).collect();
-        let ways = Arc::new(Ways::new(plan.nodes, plan.seed));
-        let relay = Relay::start(nodes.clone(), ways.clone())?;
-        let silence = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
+        let (clock, event_log) = (fleet.clock().clone(), EventLog::default());
+        let number = CLUSTERS_STARTED.fetch_add(1, Ordering::Relaxed);
+        let nodes: Vec<SocketAddr> = (0..plan.nodes).map(|node| node_address(number, node)).collect();
+        let links = Arc::new(Links::new(plan.nodes, plan.seed));
+        let relay = Relay::start(nodes.clone(), links.clone())?;
+        let unresponsive_discovery = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let mut processes = Vec::new();
         for node in 0..plan.nodes {
             let folder = folder.join(format!("node-{node}"));
@@ -228,20 +236,20 @@
                 serde_json::from_str(&fleet.configuration(listen, 512)).map_err(io::Error::other)?;
             configuration["settings"]["Siblings"] = json!(plan.nodes);
             if plan.without_discovery.contains(&node) {
-                configuration["discovery"] = json!(silence.local_addr()?.to_string());
+                configuration["discovery"] = json!(unresponsive_discovery.local_addr()?.to_string());
             }
             configuration["seed"] = json!(format!("{:x}", plan.seed ^ (node as u64) << 32));
             fs::write(folder.join("node.json"), configuration.to_string())?;
-            let mut seen: Vec<String> =
-                relay.seen_by[node].iter().map(|addr| format!("\"{addr}\"")).collect();
-            seen[node] = format!("\"{}\"", nodes[node]);
+            let mut sibling_addresses: Vec<String> =
+                relay.peer_addresses[node].iter().map(|addr| format!("\"{addr}\"")).collect();
+            sibling_addresses[node] = format!("\"{}\"", nodes[node]);
             let common =
                 plan.replicated_kinds.as_ref().map_or(String::new(), |kinds| format!("common = {kinds:?}\n"));
             let siblings = match plan.siblings {
                 true => format!(
                     "[siblings]\nsite = \"trial\"\nlisten = \"{}\"\nme = {node}\nnodes = [{}]\n{common}",
                     nodes[node],
-                    seen.join(", ")
+                    sibling_addresses.join(", ")
                 ),
                 false => String::new(),
             };
@@ -254,70 +262,70 @@
             plan,
             processes,
             addresses: nodes,
-            ways,
-            notes,
+            links,
+            event_log,
             clock,
             _relay: relay,
-            _silence: silence,
+            _unresponsive_discovery: unresponsive_discovery,
         };
         let all: Vec<usize> = (0..cluster.plan.nodes).collect();
         cluster.start_nodes(&all)?;
         Ok(cluster)
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn nodes(&self) -> usize {
         self.plan.nodes
     }
 
-    /// Where a node's clients connect, the same after a restart.
+    /// The address at which a node's clients connect; it stays the same after a restart.
     pub fn client_address(&self, node: usize) -> SocketAddr {
         self.processes[node].listen
     }
 
-    /// Where a node listens for the others.
+    /// The address at which a node receives datagrams from its siblings.
     pub fn sibling_address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
-    /// A node's process, while it runs.
+    /// The process id of a node, while it runs.
     pub fn process_id(&self, node: usize) -> Option<u32> {
         self.processes[node].child.as_ref().map(Child::id)
     }
 
-    /// Datagrams that came from nodes, their bytes, and those of more than 256 bytes.
+    /// The number of datagrams received from the nodes, of their bytes, and of datagrams larger than 256 bytes.
     pub fn datagram_counts(&self) -> (u64, u64, u64) {
-        let count = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        (count(&self.ways.datagrams), count(&self.ways.bytes), count(&self.ways.too_long))
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        (load(&self.links.datagrams), load(&self.links.bytes), load(&self.links.oversized))
     }
 
-    /// All that happened so far, in order.
+    /// The events so far, in order.
     pub fn events(&self) -> Vec<ClusterEvent> {
-        lock(&self.notes).clone()
+        lock(&self.event_log).clone()
     }
 
-    /// Writes all that happened so far, a line of JSON each.
+    /// Writes the events so far to a file, one JSON object per line.
     ///
     /// # Errors
     /// If the file can't be written.
     pub fn write_events(&self, file: &Path) -> io::Result<()> {
         let mut text = String::new();
-        for noted in self.events() {
-            text.push_str(&serde_json::to_string(&noted).unwrap_or_default());
+        for event in self.events() {
+            text.push_str(&serde_json::to_string(&event).unwrap_or_default());
             text.push('\n');
         }
         fs::write(file, text)
     }
 
-    /// Does one thing to the nodes now.
+    /// Injects a fault now.
     ///
     /// # Errors
     /// If a process can't be started or signalled.
     pub fn inject(&mut self, fault: &Fault) -> io::Result<()> {
-        note(&self.notes, &self.clock, None, fault_text(fault));
+        record_event(&self.event_log, &self.clock, None, fault_text(fault));
         match fault {
-            Fault::Links(from, to, way) => {
-                self.ways.set(from, to, *way);
+            Fault::Links(from, to, faults) => {
+                self.links.set_faults(from, to, *faults);
                 Ok(())
             }
             Fault::Pause(nodes) => self.signal(nodes, Signal::STOP),
@@ -335,57 +343,57 @@
         }
     }
 
-    /// Plays a script.
+    /// Injects the faults of a schedule at their times, and returns after the last one.
     ///
     /// # Errors
     /// As [`Cluster::fault`].
-    pub fn run_schedule(&mut self, script: &Script) -> io::Result<()> {
+    pub fn run_schedule(&mut self, schedule: &FaultSchedule) -> io::Result<()> {
         let start = Instant::now();
-        for (at, fault) in script {
+        for (at, fault) in schedule {
             std::thread::sleep((start + *at).saturating_duration_since(Instant::now()));
             self.inject(fault)?;
         }
         Ok(())
     }
 
-    /// A node's state folder.
+    /// The state folder of a node.
     pub fn state_folder(&self, node: usize) -> PathBuf {
         self.processes[node].folder.join("state")
     }
 
-    /// What a node answers at its control socket; nothing if it doesn't answer.
-    pub fn query(&self, node: usize, question: &Value) -> Option<Value> {
+    /// Sends a request to a node's control socket; returns `None` if it does not answer.
+    pub fn query(&self, node: usize, request: &Value) -> Option<Value> {
         let mut stream = UnixStream::connect(self.state_folder(node).join("control.sock")).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
-        stream.write_all(format!("{question}\n").as_bytes()).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
+        stream.write_all(format!("{request}\n").as_bytes()).ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
         serde_json::from_str(&line).ok()
     }
 
-    /// What a node sees of the others, as its control socket tells it; nothing if it doesn't answer.
+    /// A node's view of its siblings, from its control socket; `None` if it does not answer.
     pub fn sibling_view(&self, node: usize) -> Option<Value> {
         self.query(node, &json!({ "v": 2, "ask": "siblings" }))?.get("sight").cloned()
     }
 
-    /// A node's copy of what all hold in common; nothing if it doesn't answer, or holds none.
+    /// A node's copy of the replicated records; `None` if it does not answer or has no copy.
     pub fn replica_view(&self, node: usize) -> Option<Value> {
         self.query(node, &json!({ "v": 2, "ask": "replica" }))?.get("copy").cloned()
     }
 
-    /// What one node holds another to be: `here`, `gone` or `unknown`.
-    pub fn node_state(&self, at: usize, of: usize) -> Option<String> {
-        let sight = self.sibling_view(at)?;
-        let fellows = sight["fellows"].as_array()?;
-        let fellow = fellows.iter().find(|fellow| fellow["node"] == json!(of))?;
-        fellow["state"].as_str().map(str::to_owned)
+    /// The state of `node` in the view of `observer`: `here`, `gone` or `unknown`.
+    pub fn node_state(&self, observer: usize, node: usize) -> Option<String> {
+        let view = self.sibling_view(observer)?;
+        let siblings = view["fellows"].as_array()?;
+        let sibling = siblings.iter().find(|sibling| sibling["node"] == json!(node))?;
+        sibling["state"].as_str().map(str::to_owned)
     }
 
-    /// Waits until something holds; tells whether it came to, within a time that no busy machine needs.
-    pub fn wait_until(&self, holds: impl Fn(&Cluster) -> bool) -> bool {
+    /// Waits until a condition holds, for 60 s at most, which is ample even on a busy machine; returns whether it held.
+    pub fn wait_until(&self, condition: impl Fn(&Cluster) -> bool) -> bool {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
-            if holds(self) {
+        while start.elapsed() < WAIT_TIMEOUT {
+            if condition(self) {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -393,18 +401,18 @@
         false
     }
 
-    /// Whether all of these nodes hold each other to be here and use all of their parts, and see the same.
+    /// Whether all of these nodes consider each other `here`, use their full share of each limit, and agree on the epoch.
     pub fn is_converged(&self, nodes: &[usize]) -> bool {
-        let sights: Option<Vec<Value>> = nodes.iter().map(|&node| self.sibling_view(node)).collect();
-        sights.is_some_and(|sights| {
-            sights.iter().all(|sight| {
-                let here = |fellow: &Value| {
-                    let node = fellow["node"].as_u64().map_or(usize::MAX, |node| node as usize);
-                    !nodes.contains(&node) || fellow["state"] == "here"
+        let views: Option<Vec<Value>> = nodes.iter().map(|&node| self.sibling_view(node)).collect();
+        views.is_some_and(|views| {
+            views.iter().all(|view| {
+                let here = |sibling: &Value| {
+                    let node = sibling["node"].as_u64().map_or(usize::MAX, |node| node as usize);
+                    !nodes.contains(&node) || sibling["state"] == "here"
                 };
-                sight["epoch"] == sights[0]["epoch"]
-                    && sight["confirmed"] == json!(true)
-                    && sight["fellows"].as_array().is_some_and(|all| all.iter().all(here))
+                view["epoch"] == views[0]["epoch"]
+                    && view["confirmed"] == json!(true)
+                    && view["fellows"].as_array().is_some_and(|all| all.iter().all(here))
             })
         })
     }
@@ -419,7 +427,7 @@
         Ok(())
     }
 
-    /// Starts these at once; returns once each listens.
+    /// Starts these nodes at the same time; returns once each is in service.
     fn start_nodes(&mut self, nodes: &[usize]) -> io::Result<()> {
         let mut starting = Vec::new();
         for &node in nodes {
@@ -429,110 +437,117 @@
             let mut command = Command::new(&self.plan.program);
             command.arg("serve").arg("--config").arg(self.processes[node].folder.join("serve.toml"));
             let mut child = command.stderr(Stdio::piped()).spawn()?;
-            let log = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
+            let log = child
+                .stderr
+                .take()
+                .ok_or_else(|| io::Error::other("standard error of the node is not piped"))?;
             self.processes[node].child = Some(child);
             starting.push((node, log));
         }
         for (node, log) in starting {
-            self.follow(node, log)?;
+            self.follow_log(node, log)?;
         }
         Ok(())
     }
 
-    /// Notes what a process says; returns once it listens.
-    fn follow(&self, node: usize, log: ChildStderr) -> io::Result<()> {
-        let (notes, clock) = (self.notes.clone(), self.clock.clone());
-        let (ready, listens) = std::sync::mpsc::channel();
+    /// Records the log lines of a node in the background; returns once the node is in service.
+    fn follow_log(&self, node: usize, log: ChildStderr) -> io::Result<()> {
+        let (event_log, clock) = (self.event_log.clone(), self.clock.clone());
+        let (ready, in_service) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for line in BufReader::new(log).lines().map_while(Result::ok) {
-                let listens = line.contains("the node is in service");
-                note(&notes, &clock, Some(node), line);
-                if listens {
-                    let _ = ready.send(()); // who waited may have given up
+                let is_in_service = line.contains("the node is in service");
+                record_event(&event_log, &clock, Some(node), line);
+                if is_in_service {
+                    let _ = ready.send(()); // the receiver may have timed out
                 }
             }
         });
-        listens.recv_timeout(PATIENCE).map_err(|_| io::Error::other(format!("node {node} doesn't come up")))
+        in_service
+            .recv_timeout(WAIT_TIMEOUT)
+            .map_err(|_| io::Error::other(format!("node {node} did not enter service within 60 s")))
     }
 }
 
 impl Drop for Cluster {
     fn drop(&mut self) {
         for child in self.processes.iter_mut().filter_map(|process| process.child.as_mut()) {
-            let _ = child.kill(); // it may have ended
+            let _ = child.kill(); // it may already have exited
             let _ = child.wait();
         }
     }
 }
 
-fn note(notes: &Notes, clock: &Clock, node: Option<usize>, text: String) {
-    lock(notes).push(ClusterEvent { at: clock.now(), node, text });
+fn record_event(event_log: &EventLog, clock: &Clock, node: Option<usize>, text: String) {
+    lock(event_log).push(ClusterEvent { at: clock.now(), node, text });
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// An address that no other node of any trial has, and that no connection takes by chance: an address of the loopback of its
-/// own for each node, by the process that holds the trial, and a port by the trial.
-fn place(cluster: u16, node: usize) -> SocketAddr {
+/// An address that no other node of any cluster has, and that no outgoing connection is given by chance: the loopback
+/// address depends on this process and the node, the port on the number of the cluster.
+fn node_address(cluster: u16, node: usize) -> SocketAddr {
     let [high, low] = ((std::process::id() % 0xFFFF) as u16).to_be_bytes();
     let address = Ipv4Addr::new(127, high.max(1), low, 1 + (node % 250) as u8);
     (address, 20_000 + cluster % 10_000 + (node / 250) as u16).into()
 }
 
-/// The ways between all ordered pairs.
-struct Ways {
+/// The links between all ordered pairs of nodes.
+struct Links {
     nodes: usize,
-    ways: Mutex<(Vec<LinkFaults>, fastrand::Rng)>,
+    /// The faults by sender, then by receiver; and the source of random choices.
+    faults: Mutex<(Vec<LinkFaults>, fastrand::Rng)>,
     datagrams: AtomicU64,
     bytes: AtomicU64,
-    too_long: AtomicU64,
+    oversized: AtomicU64,
 }
 
-impl Ways {
-    fn new(nodes: usize, seed: u64) -> Ways {
-        let ways = Mutex::new((vec![LinkFaults::NONE; nodes * nodes], fastrand::Rng::with_seed(seed)));
-        let (datagrams, bytes, too_long) = Default::default();
-        Ways { nodes, ways, datagrams, bytes, too_long }
+impl Links {
+    fn new(nodes: usize, seed: u64) -> Links {
+        let faults = Mutex::new((vec![LinkFaults::NONE; nodes * nodes], fastrand::Rng::with_seed(seed)));
+        let (datagrams, bytes, oversized) = Default::default();
+        Links { nodes, faults, datagrams, bytes, oversized }
     }
 
-    fn set(&self, from: &[usize], to: &[usize], way: LinkFaults) {
-        let mut ways = lock(&self.ways);
+    fn set_faults(&self, from: &[usize], to: &[usize], link_faults: LinkFaults) {
+        let mut faults = lock(&self.faults);
         for &from in from {
             for &to in to.iter().filter(|&&to| to != from) {
-                ways.0[from * self.nodes + to] = way;
+                faults.0[from * self.nodes + to] = link_faults;
             }
         }
     }
 
-    /// After which times a datagram comes: nothing if it is lost, two if it is doubled.
-    fn carry(&self, from: usize, to: usize, length: usize) -> Vec<Duration> {
+    /// The delay of each delivery of a datagram: none if it is lost, two if it is duplicated.
+    fn delivery_delays(&self, from: usize, to: usize, length: usize) -> Vec<Duration> {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(length as u64, Ordering::Relaxed);
-        if length > LONGEST {
-            self.too_long.fetch_add(1, Ordering::Relaxed);
+        if length > MAX_DATAGRAM_BYTES {
+            self.oversized.fetch_add(1, Ordering::Relaxed);
         }
-        let (ways, rng) = &mut *lock(&self.ways);
-        let way = ways[from * self.nodes + to];
-        if way.cut || length > LONGEST || rng.f64() < way.loss {
+        let (faults, rng) = &mut *lock(&self.faults);
+        let link = faults[from * self.nodes + to];
+        if link.cut || length > MAX_DATAGRAM_BYTES || rng.f64() < link.loss {
             return Vec::new();
         }
-        let times = if rng.f64() < way.doubled { 2 } else { 1 };
-        (0..times).map(|_| way.delay.mul_f64(rng.f64())).collect()
+        let deliveries = if rng.f64() < link.doubled { 2 } else { 1 };
+        (0..deliveries).map(|_| link.delay.mul_f64(rng.f64())).collect()
     }
 }
 
-/// Carries datagrams between nodes, on a thread of its own: node `i` reaches `j` at an address that is no other's.
+/// Forwards datagrams between nodes, on a thread of its own. Each ordered pair of nodes has its own relay socket: node `i`
+/// reaches node `j` at an address that is used by no other pair.
 struct Relay {
-    /// By node, the addresses at which it sees the others.
-    seen_by: Vec<Vec<SocketAddr>>,
+    /// By node, the relay addresses that stand for the other nodes.
+    peer_addresses: Vec<Vec<SocketAddr>>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Relay {
-    fn start(nodes: Vec<SocketAddr>, ways: Arc<Ways>) -> io::Result<Relay> {
+    fn start(nodes: Vec<SocketAddr>, links: Arc<Links>) -> io::Result<Relay> {
         let mut sockets = Vec::new();
         for _ in 0..nodes.len() * nodes.len() {
             let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
@@ -541,7 +556,7 @@
         }
         let addresses: Vec<SocketAddr> =
             sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<_>>()?;
-        let seen_by = addresses.chunks(nodes.len()).map(<[SocketAddr]>::to_vec).collect();
+        let peer_addresses = addresses.chunks(nodes.len()).map(<[SocketAddr]>::to_vec).collect();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (stop, stopped) = oneshot::channel::<()>();
         let thread = std::thread::Builder::new().name("relay".into()).spawn(move || {
@@ -551,13 +566,13 @@
                 let Ok(sockets) = sockets.map(Arc::new) else { return };
                 for from in 0..nodes.len() {
                     for to in (0..nodes.len()).filter(|&to| to != from) {
-                        tokio::spawn(relay(sockets.clone(), ways.clone(), nodes.clone(), from, to));
+                        tokio::spawn(relay_link(sockets.clone(), links.clone(), nodes.clone(), from, to));
                     }
                 }
-                let _ = stopped.await; // by word, or for the cluster has gone
+                let _ = stopped.await; // ends when the relay is dropped
             });
         })?;
-        Ok(Relay { seen_by, stop: Some(stop), thread: Some(thread) })
+        Ok(Relay { peer_addresses, stop: Some(stop), thread: Some(thread) })
     }
 }
 
@@ -570,30 +585,30 @@
     }
 }
 
-/// Carries what one node sends to another.
-async fn relay(
+/// Forwards the datagrams from one node to another.
+async fn relay_link(
     sockets: Arc<Vec<tokio::net::UdpSocket>>,
-    ways: Arc<Ways>,
+    links: Arc<Links>,
     nodes: Vec<SocketAddr>,
     from: usize,
     to: usize,
 ) {
-    let (into, back) = (from * nodes.len() + to, to * nodes.len() + from);
-    let mut datagram = [0; LONGEST + 1];
+    let (receiving, sending) = (from * nodes.len() + to, to * nodes.len() + from);
+    let mut datagram = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        // A node that has died makes the next receive fail once.
-        let Ok((length, sender)) = sockets[into].recv_from(&mut datagram).await else { continue };
+        // After a send to a node that has exited, the next receive fails once.
+        let Ok((length, sender)) = sockets[receiving].recv_from(&mut datagram).await else { continue };
         if sender != nodes[from] {
             continue;
         }
-        for delay in ways.carry(from, to, length) {
-            let (sockets, text, at) = (sockets.clone(), datagram[..length].to_vec(), nodes[to]);
+        for delay in links.delivery_delays(from, to, length) {
+            let (sockets, payload, destination) = (sockets.clone(), datagram[..length].to_vec(), nodes[to]);
             if delay.is_zero() {
-                let _ = sockets[back].send_to(&text, at).await; // as if it were lost
+                let _ = sockets[sending].send_to(&payload, destination).await; // a failure counts as a loss
             } else {
                 tokio::spawn(async move {
                     tokio::time::sleep(delay).await;
-                    let _ = sockets[back].send_to(&text, at).await; // as if it were lost
+                    let _ = sockets[sending].send_to(&payload, destination).await; // a failure counts as a loss
                 });
             }
         }
