--- a/crates/fleet/src/etcd/mod.rs
+++ b/crates/fleet/src/etcd/mod.rs
@@ -1,4 +1,5 @@
-//! A stand-in etcd: one revisioned store behind several endpoints, from the public API's words, with faults.
+//! A stand-in for etcd: one revisioned store behind several gRPC endpoints, each with injectable faults. It is written
+//! from etcd's public API documentation.
 
 pub mod server;
 pub mod store;
--- a/crates/fleet/src/etcd/server.rs
+++ b/crates/fleet/src/etcd/server.rs
@@ -1,4 +1,6 @@
-//! The endpoints: etcd's services over gRPC, each with faults of its own.
+//! The endpoints of the stand-in: etcd's KV, watch, lease and auth services over gRPC, on one store.
+//!
+//! Each endpoint has its own faults. What callers are told about servers is recorded in a [`Log`].
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,7 +13,7 @@
 use hyper_util::service::TowerToHyperService;
 use lilacquay_etcd::api::event::EventType;
 use lilacquay_etcd::api::request_op::Request as Op;
-use lilacquay_etcd::api::response_op::Response as OpAnswer;
+use lilacquay_etcd::api::response_op::Response as OpResponse;
 use lilacquay_etcd::api::watch_request::RequestUnion;
 use lilacquay_etcd::api::{
     self, AuthenticateRequest, AuthenticateResponse, CompactionRequest, CompactionResponse,
@@ -35,83 +37,83 @@
 use crate::clock::Micros;
 use crate::record::{Event, Log, Told};
 
-/// Watches that ask for it are told so often how far they are. etcd's own is ten minutes.
-const PROGRESS: Duration = Duration::from_secs(1);
-/// Leases are looked at so often.
-const LEASES: Duration = Duration::from_millis(20);
-/// Answers of a watch that wait for a slow reader.
-const QUEUE: usize = 16;
+/// How long a watch that asked for progress notifications is idle before it gets one. etcd's own default is ten minutes.
+const PROGRESS_NOTIFY_INTERVAL: Duration = Duration::from_secs(1);
+/// How often leases are checked for expiry.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How many responses of a stream may wait for a slow reader.
+const RESPONSE_QUEUE_CAPACITY: usize = 16;
 
-/// The faults of one endpoint. All at rest by default; shares are parts of a watch's answers, from 0 to 1.
+/// The faults of one endpoint; none by default. Fractions are of a watch's responses with events, from 0 to 1.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EtcdFaults {
-    /// New connections are refused, and those that stand are broken.
+    /// New connections are refused and existing ones are closed.
     pub refuse: bool,
-    /// Nothing is answered, on connections that stay open.
+    /// Connections stay open, but nothing is answered.
     pub silent: bool,
-    /// Answers come so many milliseconds later.
+    /// The additional delay of each response, in milliseconds.
     pub late_ms: u64,
-    /// Whole lists are of so many revisions ago, with the header of then: a member that lies.
+    /// Range responses are this many revisions old, with the header of that revision, as from a stale member.
     pub behind: i64,
-    /// Streams that break in place of an answer.
+    /// The fraction of responses in place of which the stream breaks.
     pub drop_before: f64,
-    /// Streams that break behind an answer.
+    /// The fraction of responses after which the stream breaks.
     pub drop_after: f64,
-    /// Answers that come twice.
+    /// The fraction of responses that are sent twice.
     pub twice: f64,
-    /// Answers that come in parts, an event each.
+    /// The fraction of responses that are sent in fragments of one event each.
     pub split: f64,
 }
 
-/// What an etcd is.
+/// The configuration of a stand-in etcd.
 #[derive(Clone, Default)]
 pub struct EtcdPlan {
-    /// How many endpoints it has.
+    /// The number of endpoints.
     pub endpoints: usize,
-    /// Keys that begin with this are servers, whose states are noted as they are told.
+    /// Keys with this prefix are servers; each state that a caller is told is recorded.
     pub prefix: String,
-    /// A user's name and password, if callers must tell them.
+    /// The user name and password that callers must authenticate with, if any.
     pub user: Option<(String, String)>,
-    /// TLS, which must offer `h2`.
+    /// The TLS configuration, which must offer `h2`; without it connections are plain.
     pub tls: Option<Arc<ServerConfig>>,
-    /// For all its random choices.
+    /// Seeds all random choices.
     pub seed: u64,
 }
 
-/// A running etcd. It ends when it is dropped.
+/// A running stand-in etcd. Dropping it stops all endpoints.
 pub struct Etcd {
     shared: Arc<Shared>,
     faults: Vec<watch::Sender<EtcdFaults>>,
-    /// Where its endpoints listen.
+    /// The addresses at which the endpoints listen.
     pub endpoints: Vec<SocketAddr>,
 }
 
-/// What all endpoints have in common.
+/// The state that all endpoints share.
 struct Shared {
     store: Mutex<Store>,
-    /// The newest revision; and a count of the times at which all watches were cancelled.
-    changed: watch::Sender<(i64, u64)>,
+    /// The newest revision, and how often all watches have been cancelled.
+    updates: watch::Sender<(i64, u64)>,
     prefix: Vec<u8>,
-    /// All ids that were ever listed.
-    ids: Mutex<BTreeSet<String>>,
+    /// The ids of all servers that any caller was ever told about.
+    known_ids: Mutex<BTreeSet<String>>,
     log: Log,
     rng: Mutex<fastrand::Rng>,
-    /// A user's name and password, if callers must tell them.
+    /// The user name and password that callers must authenticate with, if any.
     user: Option<(String, String)>,
-    ended: CancellationToken,
+    shutdown: CancellationToken,
 }
 
-/// The token that a user is given.
-const TOKEN: &str = "stand-in.1";
+/// The token that an authenticated user gets.
+const AUTH_TOKEN: &str = "stand-in.1";
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl From<StoreError> for Status {
-    fn from(refused: StoreError) -> Self {
-        match refused {
+    fn from(error: StoreError) -> Self {
+        match error {
             StoreError::Compacted => {
                 Status::out_of_range("etcdserver: mvcc: required revision has been compacted")
             }
@@ -127,37 +129,37 @@
 }
 
 impl Etcd {
-    /// Starts its endpoints on the runtime of the caller.
+    /// Starts the endpoints on the runtime of the caller.
     ///
     /// # Errors
-    /// If no socket can be had.
+    /// If a socket can't be opened.
     pub async fn start(plan: EtcdPlan, log: Log) -> io::Result<Etcd> {
         let EtcdPlan { endpoints, prefix, user, tls, seed } = plan;
         let tls = tls.map(TlsAcceptor::from);
         let store = Store::new(0x5eed ^ seed);
         let shared = Arc::new(Shared {
-            changed: watch::Sender::new((store.revision(), 0)),
+            updates: watch::Sender::new((store.revision(), 0)),
             store: Mutex::new(store),
             prefix: prefix.into_bytes(),
-            ids: Mutex::default(),
+            known_ids: Mutex::default(),
             log,
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
             user,
-            ended: CancellationToken::new(),
+            shutdown: CancellationToken::new(),
         });
         let mut etcd = Etcd { shared: shared.clone(), faults: Vec::new(), endpoints: Vec::new() };
         for _ in 0..endpoints {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
             etcd.endpoints.push(listener.local_addr()?);
             let faults = watch::Sender::default();
-            let (shared, faults_) = (shared.clone(), faults.subscribe());
-            let endpoint = Endpoint { shared, faults: faults_, tls: tls.clone() };
+            let (shared, subscription) = (shared.clone(), faults.subscribe());
+            let endpoint = Endpoint { shared, faults: subscription, tls: tls.clone() };
             etcd.faults.push(faults);
             tokio::spawn(endpoint.accept(listener));
         }
         tokio::spawn(async move {
-            while !shared.ended.is_cancelled() {
-                sleep(LEASES).await;
+            while !shared.shutdown.is_cancelled() {
+                sleep(LEASE_CHECK_INTERVAL).await;
                 let now = shared.log.clock().now();
                 shared.with_store(|store| store.expire_leases(now));
             }
@@ -165,15 +167,16 @@
         Ok(etcd)
     }
 
-    /// Does something with the store; watches are told what changes.
+    /// Runs `work` on the store; watches are told of the changes.
     pub fn with_store<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
         self.shared.with_store(work)
     }
 
-    /// Writes a server's value.
+    /// Writes the value of a server, without a lease.
     pub fn put(&self, id: &str, value: &str) {
         let key = self.key(id);
-        self.with_store(|store| store.put(&key, value.as_bytes(), 0)).expect("it has no lease");
+        self.with_store(|store| store.put(&key, value.as_bytes(), 0))
+            .expect("a put without a lease succeeds");
     }
 
     /// Removes a server.
@@ -187,32 +190,32 @@
         [&self.shared.prefix, id.as_bytes()].concat()
     }
 
-    /// Forgets all but the newest revision, and cancels each watch with `compact_revision`, as if it had been
+    /// Compacts the store up to the newest revision, and cancels each watch with `compact_revision`, as if it had fallen
     /// behind.
     pub fn compact(&self) {
         self.with_store(|store| {
             let newest = store.revision();
-            let _ = store.compact(newest); // compacted there already
+            let _ = store.compact(newest); // may be compacted already
         });
-        self.shared.changed.send_modify(|(_, cancelled)| *cancelled += 1);
+        self.shared.updates.send_modify(|(_, cancellations)| *cancellations += 1);
     }
 
-    /// Sets an endpoint's faults; each counts as an answer's from now on.
+    /// Replaces the faults of one endpoint; they apply to all responses from now on.
     pub fn set_faults(&self, endpoint: usize, faults: EtcdFaults) {
         self.faults[endpoint].send_replace(faults);
     }
 
-    /// Sets the faults of all endpoints.
+    /// Replaces the faults of all endpoints.
     pub fn set_all_faults(&self, faults: &EtcdFaults) {
         (0..self.faults.len()).for_each(|endpoint| self.set_faults(endpoint, faults.clone()));
     }
 
-    /// The store as it is, to come back with.
+    /// A copy of the store, for [`Etcd::restore`].
     pub fn backup(&self) -> Store {
         lock(&self.shared.store).clone()
     }
 
-    /// Comes back with an older store. Its endpoints should be down meanwhile, as real ones are.
+    /// Restores a backup of the store. The endpoints should be down meanwhile, as those of a real etcd are.
     pub fn restore(&self, backup: Store) {
         self.with_store(|store| *store = backup);
     }
@@ -220,62 +223,64 @@
 
 impl Drop for Etcd {
     fn drop(&mut self) {
-        self.shared.ended.cancel();
+        self.shared.shutdown.cancel();
     }
 }
 
 impl Shared {
     fn with_store<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = lock(&self.store);
-        let done = work(&mut store);
+        let result = work(&mut store);
         let newest = store.revision();
         drop(store);
-        self.changed.send_if_modified(|(revision, _)| std::mem::replace(revision, newest) != newest);
-        done
+        self.updates.send_if_modified(|(revision, _)| std::mem::replace(revision, newest) != newest);
+        result
     }
 
     fn now(&self) -> Micros {
         self.log.clock().now()
     }
 
-    fn happens(&self, share: f64) -> bool {
-        share > 0.0 && lock(&self.rng).f64() < share
+    /// Draws whether a fault with this probability occurs.
+    fn draw(&self, probability: f64) -> bool {
+        probability > 0.0 && lock(&self.rng).f64() < probability
     }
 
-    fn id(&self, kv: &KeyValue) -> Option<String> {
+    /// The id of the server that a key stands for, if it has the prefix.
+    fn server_id(&self, kv: &KeyValue) -> Option<String> {
         Some(String::from_utf8_lossy(kv.key.strip_prefix(&*self.prefix)?).into_owned())
     }
 
-    /// Notes that a caller is told this key.
-    fn note(&self, kv: &KeyValue, kind: EventType) {
-        let Some(id) = self.id(kv) else { return };
+    /// Records that a caller is told the state of the server in this entry.
+    fn record_told(&self, kv: &KeyValue, kind: EventType) {
+        let Some(id) = self.server_id(kv) else { return };
         let told = match kind {
             EventType::Delete => Told::Deleted,
-            EventType::Put if memmem(&kv.value, b"draining") => Told::Draining,
+            EventType::Put if contains(&kv.value, b"draining") => Told::Draining,
             EventType::Put => Told::Serving,
         };
         self.log.note(&id.as_str().into(), Event::Told(told));
-        lock(&self.ids).insert(id);
+        lock(&self.known_ids).insert(id);
     }
 
-    /// Notes a page of a list, and by its last one who is no longer in it.
-    fn note_page(&self, page: &RangeResponse) {
-        page.kvs.iter().for_each(|kv| self.note(kv, EventType::Put));
+    /// Records a page of a list; with the last page, also records the known servers that are no longer listed as deleted.
+    fn record_page(&self, page: &RangeResponse) {
+        page.kvs.iter().for_each(|kv| self.record_told(kv, EventType::Put));
         if !page.more {
             let gone =
                 |id: &&String| lock(&self.store).get(&[&self.prefix, id.as_bytes()].concat()).is_none();
-            for id in lock(&self.ids).iter().filter(gone) {
+            for id in lock(&self.known_ids).iter().filter(gone) {
                 self.log.note(&id.as_str().into(), Event::Told(Told::Deleted));
             }
         }
     }
 }
 
-fn memmem(text: &[u8], word: &[u8]) -> bool {
-    text.windows(word.len()).any(|part| part == word)
+fn contains(text: &[u8], word: &[u8]) -> bool {
+    text.windows(word.len()).any(|window| window == word)
 }
 
-/// One endpoint.
+/// One endpoint; a clone serves each connection.
 #[derive(Clone)]
 struct Endpoint {
     shared: Arc<Shared>,
@@ -283,8 +288,8 @@
     tls: Option<TlsAcceptor>,
 }
 
-/// Serves a connection until its end; one whose TLS fails is closed.
-async fn serve(stream: TcpStream, tls: Option<TlsAcceptor>, routes: Routes) {
+/// Serves HTTP/2 on a connection until it ends; closes it if the TLS handshake fails.
+async fn serve_http2(stream: TcpStream, tls: Option<TlsAcceptor>, routes: Routes) {
     let http = http2::Builder::new(TokioExecutor::new());
     let service = TowerToHyperService::new(routes);
     let _ = match tls {
@@ -296,67 +301,76 @@
     };
 }
 
-type Answer<T> = Result<Response<T>, Status>;
-type Answers<T> = ReceiverStream<Result<T, Status>>;
+type RpcResult<T> = Result<Response<T>, Status>;
+type ResponseStream<T> = ReceiverStream<Result<T, Status>>;
 
 impl Endpoint {
+    /// Accepts connections until shutdown. While connections are refused it has no listening socket.
     async fn accept(mut self, listener: TcpListener) {
         let Ok(addr) = listener.local_addr() else { return };
         let mut listener = Some(listener);
-        let ended = self.shared.ended.clone();
+        let shutdown = self.shared.shutdown.clone();
         loop {
             let refuse = self.faults.borrow_and_update().refuse;
             if refuse {
-                listener = None; // what connects now is refused
+                listener = None; // closes the socket: new connections are refused
             } else if listener.is_none() {
                 listener = TcpListener::bind(addr).await.ok();
             }
             tokio::select! {
-                () = ended.cancelled() => return,
+                () = shutdown.cancelled() => return,
                 _ = self.faults.changed() => {}
-                () = sleep(Duration::from_millis(5)), if listener.is_none() && !refuse => {} // tried again
+                () = sleep(Duration::from_millis(5)), if listener.is_none() && !refuse => {} // retry of a failed bind
                 accepted = crate::cache::accept_on(listener.as_ref()) => if let Ok(stream) = accepted {
-                    tokio::spawn(self.clone().attend(stream));
+                    tokio::spawn(self.clone().serve_connection(stream));
                 },
             }
         }
     }
 
-    async fn attend(self, stream: TcpStream) {
+    async fn serve_connection(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let (ended, mut faults, tls) = (self.shared.ended.clone(), self.faults.clone(), self.tls.clone());
+        let (shutdown, mut faults, tls) =
+            (self.shared.shutdown.clone(), self.faults.clone(), self.tls.clone());
         let routes = Routes::new(kv_server::KvServer::new(self.clone()))
             .add_service(watch_server::WatchServer::new(self.clone()))
             .add_service(lease_server::LeaseServer::new(self.clone()))
             .add_service(auth_server::AuthServer::new(self));
         tokio::select! {
-            () = ended.cancelled() => {}
+            () = shutdown.cancelled() => {}
             _ = faults.wait_for(|faults| faults.refuse) => {}
-            () = serve(stream, tls, routes) => {}
+            () = serve_http2(stream, tls, routes) => {}
         }
     }
 
-    /// Waits until something may be answered; an error if the caller must not ask.
-    async fn ready<T>(&self, request: &Request<T>) -> Result<(), Status> {
-        if self.shared.user.is_some() && request.metadata().get("token").is_none_or(|token| token != TOKEN) {
+    /// Checks the caller's token, then waits as long as the faults delay the response.
+    ///
+    /// # Errors
+    /// If a user is configured and the token is missing or wrong.
+    async fn admit<T>(&self, request: &Request<T>) -> Result<(), Status> {
+        if self.shared.user.is_some()
+            && request.metadata().get("token").is_none_or(|token| token != AUTH_TOKEN)
+        {
             return Err(Status::unauthenticated("etcdserver: invalid auth token"));
         }
-        self.spoken().await;
+        self.delay_response().await;
         Ok(())
     }
 
-    async fn spoken(&self) {
+    /// Waits as long as the endpoint's faults delay a response: until it is no longer silent, then for `late_ms`.
+    async fn delay_response(&self) {
         let mut faults = self.faults.clone();
-        let late = match faults.wait_for(|faults| !faults.silent).await {
+        let late_ms = match faults.wait_for(|faults| !faults.silent).await {
             Ok(faults) => faults.late_ms,
             Err(_) => return,
         };
-        if late > 0 {
-            sleep(Duration::from_millis(late)).await;
+        if late_ms > 0 {
+            sleep(Duration::from_millis(late_ms)).await;
         }
     }
 
-    fn changed<T>(&self, work: impl FnOnce(&mut Store) -> Result<T, StoreError>) -> Result<T, Status> {
+    /// Runs `work` on the store, and turns its error into a status.
+    fn update<T>(&self, work: impl FnOnce(&mut Store) -> Result<T, StoreError>) -> Result<T, Status> {
         Ok(self.shared.with_store(work)?)
     }
 
@@ -367,8 +381,8 @@
 
 #[tonic::async_trait]
 impl kv_server::Kv for Endpoint {
-    async fn range(&self, request: Request<RangeRequest>) -> Answer<RangeResponse> {
-        self.ready(&request).await?;
+    async fn range(&self, request: Request<RangeRequest>) -> RpcResult<RangeResponse> {
+        self.admit(&request).await?;
         let RangeRequest { key, range_end, limit, revision } = request.into_inner();
         let behind = self.faults.borrow().behind;
         let page = {
@@ -385,60 +399,60 @@
             }
         };
         if behind == 0 {
-            self.shared.note_page(&page);
+            self.shared.record_page(&page);
         }
         Ok(Response::new(page))
     }
 
-    async fn put(&self, request: Request<PutRequest>) -> Answer<PutResponse> {
-        self.ready(&request).await?;
+    async fn put(&self, request: Request<PutRequest>) -> RpcResult<PutResponse> {
+        self.admit(&request).await?;
         let PutRequest { key, value, lease, ignore_lease } = request.into_inner();
         let lease = (!ignore_lease).then_some(lease);
-        self.changed(|store| store.apply(&[Change::Put { key: &key, value: &value, lease }]))?;
+        self.update(|store| store.apply(&[Change::Put { key: &key, value: &value, lease }]))?;
         Ok(Response::new(PutResponse { header: self.header() }))
     }
 
-    async fn delete_range(&self, request: Request<DeleteRangeRequest>) -> Answer<DeleteRangeResponse> {
-        self.ready(&request).await?;
+    async fn delete_range(&self, request: Request<DeleteRangeRequest>) -> RpcResult<DeleteRangeResponse> {
+        self.admit(&request).await?;
         let DeleteRangeRequest { key, range_end } = request.into_inner();
-        let deleted = self.changed(|store| {
+        let deleted = self.update(|store| {
             let count = store.range((&key, &range_end), 0, 0)?.count;
             store.apply(&[Change::Delete((&key, &range_end))]).map(|_| count)
         })?;
         Ok(Response::new(DeleteRangeResponse { header: self.header(), deleted }))
     }
 
-    async fn txn(&self, request: Request<TxnRequest>) -> Answer<TxnResponse> {
-        self.ready(&request).await?;
+    async fn txn(&self, request: Request<TxnRequest>) -> RpcResult<TxnResponse> {
+        self.admit(&request).await?;
         let TxnRequest { compare, success, failure } = request.into_inner();
-        let (succeeded, ops) = self.changed(|store| {
+        let (succeeded, ops) = self.update(|store| {
             let succeeded = store.comparisons_hold(&compare);
             let ops = if succeeded { success } else { failure };
             store.txn(&ops).map(|_| (succeeded, ops))
         })?;
-        let responses = ops.iter().map(|op| self.op_answer(op)).collect();
+        let responses = ops.iter().map(|op| self.op_response(op)).collect();
         Ok(Response::new(TxnResponse { header: self.header(), succeeded, responses }))
     }
 
-    async fn compact(&self, request: Request<CompactionRequest>) -> Answer<CompactionResponse> {
-        self.ready(&request).await?;
+    async fn compact(&self, request: Request<CompactionRequest>) -> RpcResult<CompactionResponse> {
+        self.admit(&request).await?;
         let revision = request.into_inner().revision;
-        self.changed(|store| store.compact(revision))?;
+        self.update(|store| store.compact(revision))?;
         Ok(Response::new(CompactionResponse { header: self.header() }))
     }
 }
 
 impl Endpoint {
-    fn op_answer(&self, op: &RequestOp) -> ResponseOp {
+    fn op_response(&self, op: &RequestOp) -> ResponseOp {
         let header = self.header();
         let response = op.request.as_ref().map(|op| match op {
             Op::RequestRange(range) => {
                 let found = lock(&self.shared.store).range((&range.key, &range.range_end), 0, range.limit);
-                OpAnswer::ResponseRange(found.unwrap_or_default())
+                OpResponse::ResponseRange(found.unwrap_or_default())
             }
-            Op::RequestPut(_) => OpAnswer::ResponsePut(PutResponse { header }),
+            Op::RequestPut(_) => OpResponse::ResponsePut(PutResponse { header }),
             Op::RequestDeleteRange(_) => {
-                OpAnswer::ResponseDeleteRange(DeleteRangeResponse { header, deleted: 1 })
+                OpResponse::ResponseDeleteRange(DeleteRangeResponse { header, deleted: 1 })
             }
         });
         ResponseOp { response }
@@ -447,185 +461,191 @@
 
 #[tonic::async_trait]
 impl lease_server::Lease for Endpoint {
-    type LeaseKeepAliveStream = Answers<LeaseKeepAliveResponse>;
+    type LeaseKeepAliveStream = ResponseStream<LeaseKeepAliveResponse>;
 
-    async fn lease_grant(&self, request: Request<LeaseGrantRequest>) -> Answer<LeaseGrantResponse> {
-        self.ready(&request).await?;
+    async fn lease_grant(&self, request: Request<LeaseGrantRequest>) -> RpcResult<LeaseGrantResponse> {
+        self.admit(&request).await?;
         let (now, ttl) = (self.shared.now(), request.into_inner().ttl);
         let id = self.shared.with_store(|store| store.grant_lease(now, ttl.max(0) as Micros * 1_000_000));
         Ok(Response::new(LeaseGrantResponse { header: self.header(), id, ttl, error: String::new() }))
     }
 
-    async fn lease_revoke(&self, request: Request<LeaseRevokeRequest>) -> Answer<LeaseRevokeResponse> {
-        self.ready(&request).await?;
+    async fn lease_revoke(&self, request: Request<LeaseRevokeRequest>) -> RpcResult<LeaseRevokeResponse> {
+        self.admit(&request).await?;
         let id = request.into_inner().id;
-        self.changed(|store| store.revoke_lease(id))?;
+        self.update(|store| store.revoke_lease(id))?;
         Ok(Response::new(LeaseRevokeResponse { header: self.header() }))
     }
 
     async fn lease_keep_alive(
         &self,
         request: Request<Streaming<LeaseKeepAliveRequest>>,
-    ) -> Answer<Self::LeaseKeepAliveStream> {
-        self.ready(&request).await?;
-        let (mut asked, endpoint) = (request.into_inner(), self.clone());
-        let (to, answers) = mpsc::channel(QUEUE);
+    ) -> RpcResult<Self::LeaseKeepAliveStream> {
+        self.admit(&request).await?;
+        let (mut requests, endpoint) = (request.into_inner(), self.clone());
+        let (sender, responses) = mpsc::channel(RESPONSE_QUEUE_CAPACITY);
         tokio::spawn(async move {
-            while let Ok(Some(LeaseKeepAliveRequest { id })) = asked.message().await {
-                endpoint.spoken().await;
+            while let Ok(Some(LeaseKeepAliveRequest { id })) = requests.message().await {
+                endpoint.delay_response().await;
                 let now = endpoint.shared.now();
-                let left = endpoint.shared.with_store(|store| store.renew_lease(now, id));
-                let ttl = left.map_or(0, |ttl| (ttl / 1_000_000) as i64);
-                let answer = LeaseKeepAliveResponse { header: endpoint.header(), id, ttl };
-                if to.send(Ok(answer)).await.is_err() {
+                let renewed = endpoint.shared.with_store(|store| store.renew_lease(now, id));
+                let ttl = renewed.map_or(0, |ttl| (ttl / 1_000_000) as i64);
+                let response = LeaseKeepAliveResponse { header: endpoint.header(), id, ttl };
+                if sender.send(Ok(response)).await.is_err() {
                     return;
                 }
             }
         });
-        Ok(Response::new(ReceiverStream::new(answers)))
+        Ok(Response::new(ReceiverStream::new(responses)))
     }
 }
 
 #[tonic::async_trait]
 impl auth_server::Auth for Endpoint {
-    async fn authenticate(&self, request: Request<AuthenticateRequest>) -> Answer<AuthenticateResponse> {
+    async fn authenticate(&self, request: Request<AuthenticateRequest>) -> RpcResult<AuthenticateResponse> {
         let AuthenticateRequest { name, password } = request.into_inner();
         if self.shared.user.as_ref().is_some_and(|user| *user != (name, password)) {
             return Err(Status::invalid_argument(
                 "etcdserver: authentication failed, invalid user ID or password",
             ));
         }
-        Ok(Response::new(AuthenticateResponse { header: self.header(), token: TOKEN.into() }))
+        Ok(Response::new(AuthenticateResponse { header: self.header(), token: AUTH_TOKEN.into() }))
     }
 }
 
 #[tonic::async_trait]
 impl watch_server::Watch for Endpoint {
-    type WatchStream = Answers<WatchResponse>;
+    type WatchStream = ResponseStream<WatchResponse>;
 
-    async fn watch(&self, request: Request<Streaming<WatchRequest>>) -> Answer<Self::WatchStream> {
-        self.ready(&request).await?;
-        let (to, answers) = mpsc::channel(QUEUE);
-        let watching = Watching {
+    async fn watch(&self, request: Request<Streaming<WatchRequest>>) -> RpcResult<Self::WatchStream> {
+        self.admit(&request).await?;
+        let (sender, responses) = mpsc::channel(RESPONSE_QUEUE_CAPACITY);
+        let session = WatchSession {
             endpoint: self.clone(),
-            changed: self.shared.changed.subscribe(),
-            to,
+            updates: self.shared.updates.subscribe(),
+            sender,
             watch: None,
-            told: Instant::now(),
+            last_sent_at: Instant::now(),
         };
-        tokio::spawn(watching.run(request.into_inner()));
-        Ok(Response::new(ReceiverStream::new(answers)))
+        tokio::spawn(session.run(request.into_inner()));
+        Ok(Response::new(ReceiverStream::new(responses)))
     }
 }
 
-/// The stream has ended.
-struct Ended;
+/// The stream has ended: its reader is gone, or a fault broke it.
+struct StreamEnded;
 
-/// A stream with at most one watch, which is all that a follower asks for.
-struct Watching {
+/// A watch stream. It has at most one watch, which is all that the follower in lilacquay-members needs.
+struct WatchSession {
     endpoint: Endpoint,
-    changed: watch::Receiver<(i64, u64)>,
-    to: mpsc::Sender<Result<WatchResponse, Status>>,
+    updates: watch::Receiver<(i64, u64)>,
+    sender: mpsc::Sender<Result<WatchResponse, Status>>,
+    /// The watch, and the next revision that it is to be told.
     watch: Option<(WatchCreateRequest, i64)>,
-    told: Instant,
+    last_sent_at: Instant,
 }
 
-impl Watching {
-    async fn run(mut self, mut asked: Streaming<WatchRequest>) {
-        let mut cancelled = self.changed.borrow().1;
+impl WatchSession {
+    async fn run(mut self, mut requests: Streaming<WatchRequest>) {
+        let mut cancellations = self.updates.borrow().1;
         loop {
             let progress = self.watch.as_ref().is_some_and(|(watch, _)| watch.progress_notify);
-            let done = tokio::select! {
-                () = self.to.closed() => return,
-                message = asked.message() => match message {
-                    Ok(Some(WatchRequest { request_union: Some(request) })) => self.asked(request).await,
+            let result = tokio::select! {
+                () = self.sender.closed() => return,
+                message = requests.message() => match message {
+                    Ok(Some(WatchRequest { request_union: Some(request) })) => self.handle_request(request).await,
                     _ => return,
                 },
-                Ok(()) = self.changed.changed() => {
-                    let now = self.changed.borrow_and_update().1;
-                    match std::mem::replace(&mut cancelled, now) == now {
-                        true => self.pump().await,
-                        false => self.cancel().await,
+                Ok(()) = self.updates.changed() => {
+                    let now = self.updates.borrow_and_update().1;
+                    match std::mem::replace(&mut cancellations, now) == now {
+                        true => self.send_events().await,
+                        false => self.cancel_compacted().await,
                     }
                 }
-                () = sleep_until(self.told + PROGRESS), if progress => self.progress().await,
+                () = sleep_until(self.last_sent_at + PROGRESS_NOTIFY_INTERVAL), if progress => self.send_progress().await,
             };
-            if done.is_err() {
+            if result.is_err() {
                 return;
             }
         }
     }
 
-    async fn asked(&mut self, request: RequestUnion) -> Result<(), Ended> {
+    async fn handle_request(&mut self, request: RequestUnion) -> Result<(), StreamEnded> {
         match request {
             RequestUnion::CreateRequest(create) => {
                 let newest = lock(&self.endpoint.shared.store).revision();
                 let start = if create.start_revision > 0 { create.start_revision } else { newest + 1 };
                 self.watch = Some((create, start));
-                self.say(WatchResponse { created: true, ..self.answer() }).await?;
-                self.pump().await
+                self.send(WatchResponse { created: true, ..self.response() }).await?;
+                self.send_events().await
             }
             RequestUnion::CancelRequest(_) => {
                 self.watch = None;
-                self.say(WatchResponse { canceled: true, ..self.answer() }).await
+                self.send(WatchResponse { canceled: true, ..self.response() }).await
             }
             RequestUnion::ProgressRequest(_) => {
-                self.pump().await?;
-                self.progress().await
+                self.send_events().await?;
+                self.send_progress().await
             }
         }
     }
 
-    fn answer(&self) -> WatchResponse {
+    /// An empty response with the newest revision in its header.
+    fn response(&self) -> WatchResponse {
         WatchResponse { header: self.endpoint.header(), ..WatchResponse::default() }
     }
 
-    async fn say(&mut self, answer: WatchResponse) -> Result<(), Ended> {
-        self.endpoint.spoken().await;
-        self.told = Instant::now();
-        for event in &answer.events {
+    /// Sends a response after the delay that the faults demand, and records the server states in it.
+    async fn send(&mut self, response: WatchResponse) -> Result<(), StreamEnded> {
+        self.endpoint.delay_response().await;
+        self.last_sent_at = Instant::now();
+        for event in &response.events {
             if let Some(kv) = &event.kv {
-                self.endpoint.shared.note(kv, event.r#type());
+                self.endpoint.shared.record_told(kv, event.r#type());
             }
         }
-        self.to.send(Ok(answer)).await.map_err(|_| Ended)
+        self.sender.send(Ok(response)).await.map_err(|_| StreamEnded)
     }
 
-    /// Tells how far the watch is; it is as far as the store, or it would have been told.
-    async fn progress(&mut self) -> Result<(), Ended> {
+    /// Sends a progress notification. If the store has newer events they are sent instead, as progress means that the watch
+    /// has been told all events up to the revision in the header.
+    async fn send_progress(&mut self) -> Result<(), StreamEnded> {
         if self.watch.is_none() {
             return Ok(());
         }
-        let answer = self.answer();
-        let behind = answer.header.is_some_and(|header| Some(header.revision) > self.position());
-        if behind {
-            return self.pump().await;
+        let response = self.response();
+        let is_behind =
+            response.header.is_some_and(|header| Some(header.revision) > self.last_sent_revision());
+        if is_behind {
+            return self.send_events().await;
         }
-        self.say(WatchResponse { watch_id: -1, ..answer }).await
+        self.send(WatchResponse { watch_id: -1, ..response }).await
     }
 
-    /// The newest revision that was told.
-    fn position(&self) -> Option<i64> {
+    /// The newest revision that the watch has been told.
+    fn last_sent_revision(&self) -> Option<i64> {
         self.watch.as_ref().map(|(_, next)| next - 1)
     }
 
-    async fn cancel(&mut self) -> Result<(), Ended> {
+    /// Cancels the watch because its next revision has been compacted.
+    async fn cancel_compacted(&mut self) -> Result<(), StreamEnded> {
         if self.watch.take().is_none() {
             return Ok(());
         }
         let compacted = lock(&self.endpoint.shared.store).compacted_revision();
         let reason = "etcdserver: mvcc: required revision has been compacted".into();
-        let answer = WatchResponse {
+        let response = WatchResponse {
             canceled: true,
             compact_revision: compacted,
             cancel_reason: reason,
-            ..self.answer()
+            ..self.response()
         };
-        self.say(answer).await
+        self.send(response).await
     }
 
-    /// Tells what is new to the watch, with the faults that the endpoint has.
-    async fn pump(&mut self) -> Result<(), Ended> {
+    /// Sends the events that are new to the watch, subject to the faults of the endpoint.
+    async fn send_events(&mut self) -> Result<(), StreamEnded> {
         let Some((watch, next)) = &self.watch else { return Ok(()) };
         let (from, end, next) = (watch.key.clone(), watch.range_end.clone(), *next);
         let (events, newest) = {
@@ -633,35 +653,34 @@
             let events = store.events_since(next).map(|events| events.flatten().cloned().collect::<Vec<_>>());
             (events, store.revision())
         };
-        let Ok(events) = events else { return self.cancel().await };
+        let Ok(events) = events else { return self.cancel_compacted().await };
         self.watch.iter_mut().for_each(|(_, next)| *next = (*next).max(newest + 1));
         let wanted = |event: &api::Event| {
-            event.kv.as_ref().is_some_and(|kv| super::store::within(&kv.key, (&from, &end)))
+            event.kv.as_ref().is_some_and(|kv| super::store::is_in_range(&kv.key, (&from, &end)))
         };
         let events: Vec<_> = events.into_iter().filter(wanted).collect();
         if events.is_empty() {
             return Ok(());
         }
         let EtcdFaults { drop_before, drop_after, twice, split, .. } = self.endpoint.faults.borrow().clone();
-        let happens = |share| self.endpoint.shared.happens(share);
-        let (before, after, twice, split) =
-            (happens(drop_before), happens(drop_after), happens(twice), happens(split));
+        let draw = |probability| self.endpoint.shared.draw(probability);
+        let (before, after, twice, split) = (draw(drop_before), draw(drop_after), draw(twice), draw(split));
         if before {
-            return Err(Ended);
+            return Err(StreamEnded);
         }
-        let answer = WatchResponse { events, ..self.answer() };
+        let response = WatchResponse { events, ..self.response() };
         for _ in 0..=usize::from(twice) {
             match split {
-                false => self.say(answer.clone()).await?,
+                false => self.send(response.clone()).await?,
                 true => {
-                    let last = answer.events.len() - 1;
-                    for (n, event) in answer.events.iter().enumerate() {
+                    let last = response.events.len() - 1;
+                    for (n, event) in response.events.iter().enumerate() {
                         let events = vec![event.clone()];
-                        self.say(WatchResponse { events, fragment: n < last, ..answer.clone() }).await?;
+                        self.send(WatchResponse { events, fragment: n < last, ..response.clone() }).await?;
                     }
                 }
             }
         }
-        if after { Err(Ended) } else { Ok(()) }
+        if after { Err(StreamEnded) } else { Ok(()) }
     }
 }
--- a/crates/fleet/src/etcd/store.rs
+++ b/crates/fleet/src/etcd/store.rs
@@ -1,7 +1,7 @@
-//! The store: keys with revisions, leases and compaction, without I/O or clock.
+//! The stand-in's key-value store: keys with revisions, leases and compaction, without I/O; callers pass the time.
 //!
-//! As the public documentation words it ("etcd v3 API", "Data model"): each change raises the revision by one,
-//! the changes of a transaction share one, and what is older than the compacted revision can't be read.
+//! It follows etcd's public documentation ("etcd v3 API", "Data model"): each change raises the revision by one, the
+//! changes of a transaction share one revision, and revisions older than the compacted revision can't be read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,30 +12,30 @@
 
 use crate::clock::Micros;
 
-/// Why a call fails; the words are etcd's.
+/// Why a call fails; the variants match errors of etcd.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreError {
     /// The revision has been compacted.
     Compacted,
-    /// The revision is still to come.
+    /// The revision is newer than the newest one.
     FutureRevision,
-    /// No such lease.
+    /// There is no lease with this id.
     LeaseNotFound,
-    /// A key stands twice in a transaction.
+    /// A transaction changes the same key twice.
     DuplicateKey,
 }
 
-/// A whole store. A clone is a backup.
+/// The store with all its keys, leases and history. A clone serves as a backup.
 #[derive(Debug, Clone)]
 pub struct Store {
-    cluster: u64,
+    cluster_id: u64,
     revision: i64,
     compacted: i64,
-    /// All that happened since the compacted revision, by revision.
+    /// The events since the compacted revision, by revision.
     events: BTreeMap<i64, Vec<Event>>,
-    /// The keys as they are now.
+    /// The keys at the newest revision.
     keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// The keys as they were at the compacted revision.
+    /// The keys at the compacted revision.
     base: BTreeMap<Vec<u8>, KeyValue>,
     leases: BTreeMap<i64, Lease>,
     last_lease: i64,
@@ -44,13 +44,15 @@
 #[derive(Debug, Clone)]
 struct Lease {
     ttl: Micros,
-    ends: Micros,
+    expires_at: Micros,
     keys: BTreeSet<Vec<u8>>,
 }
 
+/// A range of keys as in etcd's API: its first key and its exclusive end. An empty end selects the first key only, an end
+/// of one zero byte all keys from the first on.
 type Range<'a> = (&'a [u8], &'a [u8]);
 
-pub(super) fn within(key: &[u8], (from, end): Range) -> bool {
+pub(super) fn is_in_range(key: &[u8], (from, end): Range) -> bool {
     match end {
         [] => key == from,
         [0] => key >= from,
@@ -59,10 +61,10 @@
 }
 
 impl Store {
-    /// An empty store, at revision 1 as a new etcd is.
-    pub fn new(cluster: u64) -> Self {
+    /// An empty store, at revision 1 like a new etcd.
+    pub fn new(cluster_id: u64) -> Self {
         Store {
-            cluster,
+            cluster_id,
             revision: 1,
             compacted: 0,
             events: BTreeMap::new(),
@@ -78,38 +80,38 @@
         self.revision
     }
 
-    /// The oldest revision that can be read.
+    /// The compacted revision, which is the oldest that can be read; 0 if nothing was compacted.
     pub fn compacted_revision(&self) -> i64 {
         self.compacted
     }
 
-    /// The header of an answer that is made now.
+    /// The header of a response made at the newest revision.
     pub fn header(&self) -> ResponseHeader {
-        ResponseHeader { cluster_id: self.cluster, member_id: 1, revision: self.revision, raft_term: 2 }
+        ResponseHeader { cluster_id: self.cluster_id, member_id: 1, revision: self.revision, raft_term: 2 }
     }
 
-    /// What is stored under a key.
+    /// The newest entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&KeyValue> {
         self.keys.get(key)
     }
 
-    /// Writes a key; 0 is no lease. Tells the revision.
+    /// Writes a key, attached to a lease unless that is 0; returns the new revision.
     ///
     /// # Errors
-    /// If there is no such lease.
+    /// If the lease does not exist.
     pub fn put(&mut self, key: &[u8], value: &[u8], lease: i64) -> Result<i64, StoreError> {
         self.apply(&[Change::Put { key, value, lease: Some(lease) }])
     }
 
-    /// Deletes a key; no revision comes of one that isn't there.
+    /// Deletes a key; returns the newest revision, which does not change if the key does not exist.
     pub fn delete(&mut self, key: &[u8]) -> i64 {
         self.apply(&[Change::Delete((key, b""))]).unwrap_or(self.revision)
     }
 
-    /// Does several changes in one revision.
+    /// Applies several changes in one revision; returns the newest revision.
     ///
     /// # Errors
-    /// Without any change made.
+    /// If a key is changed twice or a lease does not exist; then no change is made.
     pub fn apply(&mut self, changes: &[Change]) -> Result<i64, StoreError> {
         let mut seen = BTreeSet::new();
         for change in changes {
@@ -123,7 +125,7 @@
                     }
                 }
                 Change::Delete(range) => {
-                    if seen.iter().any(|key| within(key, *range)) {
+                    if seen.iter().any(|key| is_in_range(key, *range)) {
                         return Err(StoreError::DuplicateKey);
                     }
                 }
@@ -135,8 +137,9 @@
             match *change {
                 Change::Put { key, value, lease } => events.push(self.write(revision, key, value, lease)),
                 Change::Delete(range) => {
-                    let keys: Vec<_> = self.keys.keys().filter(|key| within(key, range)).cloned().collect();
-                    events.extend(keys.into_iter().map(|key| self.strike(revision, key)));
+                    let keys: Vec<_> =
+                        self.keys.keys().filter(|key| is_in_range(key, range)).cloned().collect();
+                    events.extend(keys.into_iter().map(|key| self.remove(revision, key)));
                 }
             }
         }
@@ -147,12 +150,13 @@
         Ok(self.revision)
     }
 
-    /// Makes what etcd itself never makes: events of one revision that remove a key and write it again.
+    /// Removes a key and writes it again in one revision. etcd itself never produces such events; tests use them to check
+    /// that a watcher applies the events of one revision in order.
     pub fn remove_and_put(&mut self, key: &[u8], value: &[u8]) -> i64 {
         let revision = self.revision + 1;
         let mut events = Vec::new();
         if self.keys.contains_key(key) {
-            events.push(self.strike(revision, key.to_vec()));
+            events.push(self.remove(revision, key.to_vec()));
         }
         events.push(self.write(revision, key, value, Some(0)));
         self.revision = revision;
@@ -179,36 +183,36 @@
         Event { r#type: EventType::Put.into(), kv: Some(kv) }
     }
 
-    fn strike(&mut self, revision: i64, key: Vec<u8>) -> Event {
+    fn remove(&mut self, revision: i64, key: Vec<u8>) -> Event {
         self.keys.remove(&key);
         self.leases.values_mut().for_each(|lease| _ = lease.keys.remove(&key));
         let kv = KeyValue { key, mod_revision: revision, ..KeyValue::default() };
         Event { r#type: EventType::Delete.into(), kv: Some(kv) }
     }
 
-    /// Reads keys at a revision, 0 for the newest. The header is of now, as etcd's.
+    /// Reads keys at a revision, 0 for the newest. As in etcd, the header has the newest revision.
     ///
     /// # Errors
-    /// If the revision can't be read.
+    /// If the revision is compacted or newer than the newest one.
     pub fn range(&self, range: Range, revision: i64, limit: i64) -> Result<RangeResponse, StoreError> {
-        let old;
+        let old_keys;
         let keys = match revision {
             revision if revision > self.revision => return Err(StoreError::FutureRevision),
             revision if revision <= 0 || revision == self.revision => &self.keys,
             revision => {
-                old = self.keys_at(revision)?;
-                &old
+                old_keys = self.keys_at(revision)?;
+                &old_keys
             }
         };
-        let found = keys.values().filter(|kv| within(&kv.key, range));
+        let found = keys.values().filter(|kv| is_in_range(&kv.key, range));
         let count = found.clone().count();
-        let most = if limit > 0 { limit as usize } else { usize::MAX };
-        let kvs: Vec<_> = found.take(most).cloned().collect();
+        let max_keys = if limit > 0 { limit as usize } else { usize::MAX };
+        let kvs: Vec<_> = found.take(max_keys).cloned().collect();
         let more = kvs.len() < count;
         Ok(RangeResponse { header: Some(self.header()), kvs, more, count: count as i64 })
     }
 
-    /// The keys as they were at a revision.
+    /// The keys at a revision.
     ///
     /// # Errors
     /// If it is compacted.
@@ -218,11 +222,11 @@
         }
         let mut keys = self.base.clone();
         let events = self.events.range(..=revision).flat_map(|(_, events)| events);
-        events.for_each(|event| replay(&mut keys, event));
+        events.for_each(|event| apply_event(&mut keys, event));
         Ok(keys)
     }
 
-    /// The events from a revision on, by revision.
+    /// The events from revision `start` on, grouped by revision.
     ///
     /// # Errors
     /// If some of them are compacted.
@@ -233,10 +237,10 @@
         Ok(self.events.range(start..).map(|(_, events)| events))
     }
 
-    /// Forgets what was before a revision.
+    /// Discards the history before a revision.
     ///
     /// # Errors
-    /// If that is forgotten already, or still to come.
+    /// If the revision is compacted already, or newer than the newest one.
     pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
         if revision <= self.compacted {
             return Err(StoreError::Compacted);
@@ -246,16 +250,16 @@
         }
         let later = self.events.split_off(&(revision + 1));
         let past = std::mem::replace(&mut self.events, later);
-        past.values().flatten().for_each(|event| replay(&mut self.base, event));
+        past.values().flatten().for_each(|event| apply_event(&mut self.base, event));
         self.compacted = revision;
         Ok(())
     }
 
-    /// Whether all these comparisons hold.
-    pub fn comparisons_hold(&self, compares: &[Compare]) -> bool {
-        let none = KeyValue::default();
-        compares.iter().all(|compare| {
-            let kv = self.keys.get(&compare.key).unwrap_or(&none);
+    /// Whether all comparisons of a transaction hold.
+    pub fn comparisons_hold(&self, comparisons: &[Compare]) -> bool {
+        let missing = KeyValue::default();
+        comparisons.iter().all(|compare| {
+            let kv = self.keys.get(&compare.key).unwrap_or(&missing);
             let order = match (compare.target(), &compare.target_union) {
                 (CompareTarget::Version, Some(TargetUnion::Version(n))) => kv.version.cmp(n),
                 (CompareTarget::Create, Some(TargetUnion::CreateRevision(n))) => kv.create_revision.cmp(n),
@@ -273,24 +277,24 @@
         })
     }
 
-    /// Does the changes among a transaction's operations, in one revision.
+    /// Applies the puts and deletes among a transaction's operations, in one revision; returns the newest revision.
     ///
     /// # Errors
-    /// Without any change made.
+    /// As [`Store::apply`]; then no change is made.
     pub fn txn(&mut self, ops: &[RequestOp]) -> Result<i64, StoreError> {
-        let change = |op: &'_ RequestOp| match op.request.clone()? {
+        let to_change = |op: &'_ RequestOp| match op.request.clone()? {
             Request::RequestPut(put) => {
                 Some((put.key, Some((put.value, put.lease, put.ignore_lease)), vec![]))
             }
             Request::RequestDeleteRange(delete) => Some((delete.key, None, delete.range_end)),
             Request::RequestRange(_) => None,
         };
-        let ops: Vec<_> = ops.iter().filter_map(change).collect();
+        let ops: Vec<_> = ops.iter().filter_map(to_change).collect();
         let changes: Vec<Change> = ops
             .iter()
             .map(|(key, put, end)| match put {
-                Some((value, lease, kept)) => {
-                    let lease = (!kept).then_some(*lease);
+                Some((value, lease, ignore_lease)) => {
+                    let lease = (!ignore_lease).then_some(*lease);
                     Change::Put { key, value, lease }
                 }
                 None => Change::Delete((key, end)),
@@ -299,56 +303,56 @@
         self.apply(&changes)
     }
 
-    /// Grants a lease; tells its id.
+    /// Grants a lease for `ttl` from `now` on; returns its id.
     pub fn grant_lease(&mut self, now: Micros, ttl: Micros) -> i64 {
         self.last_lease += 1;
-        let lease = Lease { ttl, ends: now + ttl, keys: BTreeSet::new() };
+        let lease = Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() };
         self.leases.insert(self.last_lease, lease);
         self.last_lease
     }
 
-    /// Renews a lease; tells the time that it has from now, nothing if it is gone.
+    /// Renews a lease; returns its time to live from `now` on, or `None` if it does not exist.
     pub fn renew_lease(&mut self, now: Micros, id: i64) -> Option<Micros> {
         let lease = self.leases.get_mut(&id)?;
-        lease.ends = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Some(lease.ttl)
     }
 
-    /// Ends a lease and deletes its keys, in one revision.
+    /// Revokes a lease and deletes its keys, in one revision.
     ///
     /// # Errors
-    /// If there is none.
+    /// If the lease does not exist.
     pub fn revoke_lease(&mut self, id: i64) -> Result<(), StoreError> {
         let lease = self.leases.remove(&id).ok_or(StoreError::LeaseNotFound)?;
         let changes: Vec<_> = lease.keys.iter().map(|key| Change::Delete((key, b""))).collect();
         self.apply(&changes).map(drop)
     }
 
-    /// Ends the leases that have run out.
+    /// Revokes the leases that have expired by `now`.
     pub fn expire_leases(&mut self, now: Micros) {
-        let over: Vec<i64> =
-            self.leases.iter().filter(|(_, lease)| lease.ends <= now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|id| _ = self.revoke_lease(id));
+        let expired: Vec<i64> =
+            self.leases.iter().filter(|(_, lease)| lease.expires_at <= now).map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|id| _ = self.revoke_lease(id));
     }
 }
 
-/// A change of a transaction.
+/// One change of a transaction.
 #[derive(Debug, Clone, Copy)]
 pub enum Change<'a> {
-    /// Writes a key; without a lease named it keeps its own.
+    /// Writes a key.
     Put {
         /// The key.
         key: &'a [u8],
-        /// Its value.
+        /// Its new value.
         value: &'a [u8],
-        /// Its lease, 0 for none.
+        /// The id of its new lease, 0 to detach it; `None` keeps its present lease.
         lease: Option<i64>,
     },
-    /// Deletes the keys of a range.
+    /// Deletes the keys in a range.
     Delete(Range<'a>),
 }
 
-fn replay(keys: &mut BTreeMap<Vec<u8>, KeyValue>, event: &Event) {
+fn apply_event(keys: &mut BTreeMap<Vec<u8>, KeyValue>, event: &Event) {
     let Some(kv) = &event.kv else { return };
     match event.r#type() {
         EventType::Put => drop(keys.insert(kv.key.clone(), kv.clone())),
@@ -361,14 +365,14 @@
     use super::*;
 
     #[test]
-    fn a_revision_is_read_as_it_was_until_it_is_compacted() {
+    fn an_old_revision_can_be_read_until_it_is_compacted() {
         let mut store = Store::new(1);
         let all: Range = (b"a", b"z");
         assert_eq!(store.put(b"a", b"1", 0), Ok(2));
         assert_eq!(store.put(b"b", b"1", 0), Ok(3));
         assert_eq!(store.delete(b"a"), 4);
-        assert_eq!(store.delete(b"a"), 4, "nothing there, no revision");
-        let keys = |told: RangeResponse| told.kvs.into_iter().map(|kv| kv.key).collect::<Vec<_>>();
+        assert_eq!(store.delete(b"a"), 4, "deleting a missing key makes no revision");
+        let keys = |response: RangeResponse| response.kvs.into_iter().map(|kv| kv.key).collect::<Vec<_>>();
         assert_eq!(store.range(all, 3, 0).map(keys), Ok(vec![b"a".to_vec(), b"b".to_vec()]));
         let first = store.range(all, 3, 1).unwrap();
         assert!(first.more && first.count == 2 && first.header.unwrap().revision == 4);
@@ -382,7 +386,7 @@
     }
 
     #[test]
-    fn a_lease_takes_its_keys_along_in_one_revision() {
+    fn an_expired_lease_deletes_all_its_keys_in_one_revision() {
         let mut store = Store::new(1);
         let lease = store.grant_lease(0, 10);
         store.put(b"a", b"1", lease).unwrap();
@@ -397,7 +401,7 @@
     }
 
     #[test]
-    fn a_transaction_is_one_revision_or_none() {
+    fn a_transaction_makes_one_revision_or_no_change() {
         let mut store = Store::new(1);
         let put = |key| Change::Put { key, value: b"1", lease: Some(0) };
         assert_eq!(store.apply(&[put(b"a"), put(b"b")]), Ok(2));
