--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -70,7 +70,7 @@
 
 impl Verdict {
     /// Whether half at least of the requests that reached a node were served: nodes that refused all would break nothing.
-    pub fn served_at_least_half(&self) -> bool {
+    pub fn served_more_than_half(&self) -> bool {
         self.coverage["served"] * 2 > self.coverage["requests"] - self.coverage["unreached"]
     }
 }
--- a/crates/lilacquay/tests/soak.rs
+++ b/crates/lilacquay/tests/soak.rs
@@ -37,7 +37,7 @@
         let verdict = soak::run_seed(&program, folder.path(), seed).unwrap();
         println!("seed {seed}: {:?}, broken: {}", verdict.coverage, verdict.violations.len());
         verdict.violations.iter().take(TOLD).for_each(|what| println!("  {what}"));
-        if !verdict.violations.is_empty() || !verdict.served_at_least_half() {
+        if !verdict.violations.is_empty() || !verdict.served_more_than_half() {
             failed.push(seed);
         }
     }
