--- a/crates/fleet/src/soak/faults.rs
+++ b/crates/fleet/src/soak/faults.rs
@@ -1,136 +1,151 @@
-//! What a seed does to the processes and to the servers, and when.
+//! Draws the faults of a seed: actions on the node processes and a script of server faults, each with its time from the
+//! start of the run.
 
 use std::time::Duration;
 
 use rustix::process::Signal;
 
-use super::{CACHES, FAULTS, HELD_UP, KILL, LONGEST, NODES};
+use super::{CACHE_SERVERS, FAULT_PERIOD, KILL_DELAY, MAX_DEADLINE, MAX_PAUSE, NODES};
 use crate::fault::Faults;
 use crate::script::{Script, Step, troubles};
 
-/// What is done to a node's process.
+/// An action on a node's process.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Act {
+pub(super) enum ProcessAction {
     Signal(Signal),
-    /// SIGKILL, for one that was told to end; none should be left.
+    /// SIGKILL after an earlier SIGTERM; the process should have exited already.
     Kill,
+    /// Starts the next process.
     Start,
-    /// Nothing: a step of the script is due.
-    Look,
-    /// Clients that connect, send half a command or nothing, and stay.
-    Crowd(usize),
+    /// Does nothing to the process, but lets the step of the server script that is due now run.
+    AdvanceScript,
+    /// Opens this many connections that send half a command or nothing and stay open.
+    OpenIdleConnections(usize),
 }
 
-/// What is done to the processes: when, to which node, what.
-pub(super) type Acts = Vec<(Duration, usize, Act)>;
+/// Actions with their times and nodes.
+pub(super) type ProcessActions = Vec<(Duration, usize, ProcessAction)>;
 
-/// A planned restart: SIGTERM in a series with itself and SIGHUP, the kill at its earliest, and the next process.
-fn restart(rng: &mut fastrand::Rng, at: Duration, node: usize) -> Acts {
-    let mut acts = vec![(at, node, Act::Signal(Signal::TERM))];
+/// A planned restart: SIGTERM, perhaps repeated and with SIGHUP before or after it; then SIGKILL at the earliest time at which
+/// the platform sends it, and the start of the next process.
+fn restart(rng: &mut fastrand::Rng, at: Duration, node: usize) -> ProcessActions {
+    let mut actions = vec![(at, node, ProcessAction::Signal(Signal::TERM))];
     for (signal, chance) in [(Signal::TERM, 0.5), (Signal::HUP, 0.5), (Signal::HUP, 0.3)] {
         if rng.f64() < chance {
             let before = Duration::from_millis(rng.u64(0..30));
             let after = Duration::from_millis(rng.u64(1..600));
             let when =
                 if rng.bool() && signal == Signal::HUP { at.saturating_sub(before) } else { at + after };
-            acts.push((when, node, Act::Signal(signal)));
+            actions.push((when, node, ProcessAction::Signal(signal)));
         }
     }
-    let killed = at + LONGEST + KILL;
-    acts.extend([(killed, node, Act::Kill), (killed, node, Act::Start)]);
-    acts
+    let killed_at = at + MAX_DEADLINE + KILL_DELAY;
+    actions.extend([(killed_at, node, ProcessAction::Kill), (killed_at, node, ProcessAction::Start)]);
+    actions
 }
 
-/// Draws what is done to the processes.
-pub(super) fn acts(seed: u64) -> Acts {
+/// Draws the actions on the processes.
+pub(super) fn process_actions(seed: u64) -> ProcessActions {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x50ac);
-    let mut acts = Acts::new();
-    let mut order: Vec<usize> = (0..NODES).collect();
-    rng.shuffle(&mut order);
-    for &node in &order[..NODES / 3] {
+    let mut actions = ProcessActions::new();
+    let mut shuffled: Vec<usize> = (0..NODES).collect();
+    rng.shuffle(&mut shuffled);
+    for &node in &shuffled[..NODES / 3] {
         let at = Duration::from_millis(rng.u64(300..3000));
-        acts.extend(restart(&mut rng, at, node));
+        actions.extend(restart(&mut rng, at, node));
         if rng.bool() {
-            acts.extend(hold_up(node, at + Duration::from_millis(rng.u64(0..1500))));
+            actions.extend(pause(node, at + Duration::from_millis(rng.u64(0..1500))));
         }
     }
-    for &node in &order[NODES / 3..NODES * 2 / 3] {
+    for &node in &shuffled[NODES / 3..NODES * 2 / 3] {
         match rng.u8(0..3) {
-            0 => acts.extend(hold_up(node, Duration::from_millis(rng.u64(300..5500)))),
+            0 => actions.extend(pause(node, Duration::from_millis(rng.u64(300..5500)))),
             1 => {
                 let at = Duration::from_millis(rng.u64(300..4000));
-                let again = |n: u64| (at + Duration::from_millis(300 * n), node, Act::Signal(Signal::HUP));
-                acts.extend((0..5).map(again));
+                let reload =
+                    |n: u64| (at + Duration::from_millis(300 * n), node, ProcessAction::Signal(Signal::HUP));
+                actions.extend((0..5).map(reload));
             }
             _ => {}
         }
     }
     if seed.is_multiple_of(3) {
-        acts.push((Duration::from_millis(500), order[0], Act::Crowd(150)));
-        acts.push((Duration::from_millis(500), order[NODES - 1], Act::Crowd(150)));
+        actions.push((Duration::from_millis(500), shuffled[0], ProcessAction::OpenIdleConnections(150)));
+        actions.push((
+            Duration::from_millis(500),
+            shuffled[NODES - 1],
+            ProcessAction::OpenIdleConnections(150),
+        ));
     }
-    acts.sort_by_key(|(at, node, act)| (*at, *node, *act == Act::Start));
-    acts
+    actions.sort_by_key(|(at, node, action)| (*at, *node, *action == ProcessAction::Start));
+    actions
 }
 
-fn hold_up(node: usize, at: Duration) -> Acts {
-    vec![(at, node, Act::Signal(Signal::STOP)), (at + HELD_UP, node, Act::Signal(Signal::CONT))]
+/// A pause of a node (SIGSTOP to SIGCONT), as long as the invariants must tolerate.
+fn pause(node: usize, at: Duration) -> ProcessActions {
+    vec![
+        (at, node, ProcessAction::Signal(Signal::STOP)),
+        (at + MAX_PAUSE, node, ProcessAction::Signal(Signal::CONT)),
+    ]
 }
 
-/// Draws the servers' faults: two scripts that overlap, and connections that come up late.
-pub(super) fn script(seed: u64) -> Script {
+/// Draws the server faults: two scripts that overlap, connections that are established late, duplicate and truncated answers,
+/// and faults while the nodes end.
+pub(super) fn server_script(seed: u64) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5c71);
-    let mut script = troubles(seed, CACHES, FAULTS);
-    let more = troubles(seed ^ 0xfeed, CACHES, FAULTS);
+    let mut script = troubles(seed, CACHE_SERVERS, FAULT_PERIOD);
+    let more = troubles(seed ^ 0xfeed, CACHE_SERVERS, FAULT_PERIOD);
     script.extend(more.into_iter().filter(|(_, step)| matches!(step, Step::Faults { .. })));
     for _ in 0..4 {
-        let server = format!("box-{}", rng.usize(..CACHES));
+        let server = format!("box-{}", rng.usize(..CACHE_SERVERS));
         let at = Duration::from_millis(rng.u64(200..4500));
         let late = Faults { late: true, ..Faults::default() };
         script.push((at, Step::Faults { server: server.clone(), faults: late }));
         let after = at + Duration::from_millis(rng.u64(50..900));
         script.push((after, Step::Faults { server, faults: Faults::default() }));
     }
-    script.extend(odd_answers(&mut rng));
-    script.extend(at_the_end());
+    script.extend(duplicate_and_truncated_answers(&mut rng));
+    script.extend(faults_during_shutdown());
     script.sort_by_key(|(at, _)| *at);
     script
 }
 
-/// Answers that come twice or stop in the middle at some servers, and answers of no told length that break off.
-fn odd_answers(rng: &mut fastrand::Rng) -> Script {
+/// At some servers, answers that are sent twice or stop in the middle; at the origin, answers of undeclared length that are
+/// truncated.
+fn duplicate_and_truncated_answers(rng: &mut fastrand::Rng) -> Script {
     let mut script = Script::new();
-    let odd = [
+    let box_faults = [
         Faults { twice: 0.3, ..Faults::default() },
         Faults { halt: 0.2, ..Faults::default() },
         Faults { twice: 0.15, halt: 0.1, ..Faults::default() },
     ];
-    for faults in odd {
-        let server = format!("box-{}", rng.usize(..CACHES));
+    for faults in box_faults {
+        let server = format!("box-{}", rng.usize(..CACHE_SERVERS));
         let at = Duration::from_millis(rng.u64(100..3500));
         let after = at + Duration::from_millis(rng.u64(800..2000));
         script.push((at, Step::Faults { server: server.clone(), faults }));
         script.push((after, Step::Faults { server, faults: Faults::default() }));
     }
     let cut = Faults { cut: 0.2, ..Faults::default() };
-    let at = FAULTS.mul_f64(0.5) + Duration::from_millis(rng.u64(50..1500));
+    let at = FAULT_PERIOD.mul_f64(0.5) + Duration::from_millis(rng.u64(50..1500));
     script.push((at, Step::Faults { server: "origin".into(), faults: cut }));
     script
 }
 
-/// While all nodes end: servers that hang, swallow requests, and fail what they held.
-fn at_the_end() -> Script {
-    let before = FAULTS - Duration::from_millis(150);
-    let (fails, again) = (FAULTS + Duration::from_millis(350), FAULTS + Duration::from_millis(900));
+/// Faults while all nodes end: servers hang or leave requests unanswered, and later fail the requests that they held.
+fn faults_during_shutdown() -> Script {
+    let before = FAULT_PERIOD - Duration::from_millis(150);
+    let (failing_at, stalled_again_at) =
+        (FAULT_PERIOD + Duration::from_millis(350), FAULT_PERIOD + Duration::from_millis(900));
     let stalled = Faults { stalled: true, ..Faults::default() };
     let failing = Faults { fail: 1.0, ..Faults::default() };
     let mut script = vec![(before, Step::Faults { server: "origin".into(), faults: stalled.clone() })];
-    for n in 0..CACHES {
+    for n in 0..CACHE_SERVERS {
         let fault = |faults: &Faults| Step::Faults { server: format!("box-{n}"), faults: faults.clone() };
         let swallowing = Faults { swallow: 0.6, ..Faults::default() };
         script.push((before, fault(if n % 2 == 0 { &stalled } else { &swallowing })));
-        script.push((fails, fault(&failing)));
-        script.push((again, fault(&stalled)));
+        script.push((failing_at, fault(&failing)));
+        script.push((stalled_again_at, fault(&stalled)));
     }
     script
 }
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -1,5 +1,7 @@
-//! Soak: two dozen nodes, each a process of the program, under overlapping faults that a seed draws, judged by the
-//! invariants.
+//! Soak test: 24 nodes of one site, each a process of the program, under load and overlapping faults drawn from a seed.
+//!
+//! [`run_seed`] plays one seed and returns the violations of the invariants, as seen by the clients and the stand-in
+//! servers, with counts of how often each fault met a request.
 
 mod faults;
 mod pipelined;
@@ -25,87 +27,89 @@
 use crate::verdict::{Broken, check};
 use crate::{Fleet, Plan};
 
-use faults::{Act, acts, script};
-use pipelined::{Pace, Pipelined, pipelined};
+use faults::{ProcessAction, process_actions, server_script};
+use pipelined::{Pace, PipelineReport, run_pipelining_client};
 use process::Process;
 use run_delay::RunDelays;
 use system_calls::SystemCallFaults;
 
 pub use system_calls::{Program, SYSCALL_FAULT_SEED_INTERVAL};
 
-/// Nodes of one site.
+/// The number of nodes of the site.
 const NODES: usize = 24;
-/// Cache servers of one site.
-const CACHES: usize = 8;
-/// Faults begin and end within this time.
-const FAULTS: Duration = Duration::from_secs(6);
-/// The longest deadline of the settings.
-const LONGEST: Duration = Duration::from_secs(2);
-/// The platform kills so long after SIGTERM at the earliest, beside the longest deadline.
-const KILL: Duration = Duration::from_millis(700);
-/// The longest that a node may be held up.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// The longest that the machine's lateness is allowed for beside what was sampled.
-const LONGEST_HOLD_UP: Duration = HELD_UP;
-/// A change of the list counts as told so long after discovery had it, at the latest, and may be followed for the grace
-/// of the settings, in microseconds.
-const TOLD: Micros = 6_000_000 + 500_000;
-/// Fronts deal out new connections for so long after word to end, at most, in microseconds ...
-const LAST_NEW: Micros = 400_000;
-/// ... and a node takes them for so long.
-const LISTENER_CLOSES: Micros = 500_000;
-/// Descriptors that a node may hold.
-const SOCKETS: usize = 512;
-/// Each node of so many has a pipelined client.
-const PIPELINED_EVERY: usize = 3;
+/// The number of cache servers of the site.
+const CACHE_SERVERS: usize = 8;
+/// The drawn faults begin and end within this time; then all nodes are told to end.
+const FAULT_PERIOD: Duration = Duration::from_secs(6);
+/// The longest request deadline in the settings.
+const MAX_DEADLINE: Duration = Duration::from_secs(2);
+/// How long the platform waits at least, in addition to the longest deadline, between SIGTERM and SIGKILL.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// The longest pause (SIGSTOP) of a node that the invariants must tolerate.
+const MAX_PAUSE: Duration = Duration::from_millis(150);
+/// The allowance for delays of the machine beyond the sampled run delays.
+const UNSAMPLED_DELAY_ALLOWANCE: Duration = MAX_PAUSE;
+/// How long after a change of the server list a node may still go by the old list, in microseconds: the change counts as
+/// told at most 6 s after discovery has it, and the settings allow a grace of 0.5 s to follow it.
+const LIST_CHANGE_GRACE_US: Micros = 6_000_000 + 500_000;
+/// The load balancers in front of a node assign new connections to it for at most this long after SIGTERM, in microseconds.
+const MAX_NEW_CONNECTION_DELAY_US: Micros = 400_000;
+/// A node accepts new connections for this long after SIGTERM, in microseconds.
+const LISTENER_CLOSE_DELAY_US: Micros = 500_000;
+/// The number of descriptors that a node may hold.
+const MAX_DESCRIPTORS: usize = 512;
+/// One in this many nodes has a pipelining client.
+const PIPELINING_CLIENT_INTERVAL: usize = 3;
 
-/// What came of a seed.
+/// The result of one seed.
 #[derive(Debug)]
 pub struct Verdict {
-    /// What broke, in words; nothing where all invariants held.
+    /// Descriptions of the violations; empty if all invariants held.
     pub violations: Vec<String>,
-    /// How many requests met what.
+    /// How many requests there were, by outcome and by the fault they met.
     pub coverage: BTreeMap<&'static str, usize>,
 }
 
 impl Verdict {
-    /// Whether half at least of the requests that reached a node were served: nodes that refused all would break nothing.
+    /// Whether more than half of the requests that reached a node were served. Without this check, nodes that refuse every
+    /// request would pass, because they violate no invariant.
     pub fn served_more_than_half(&self) -> bool {
         self.coverage["served"] * 2 > self.coverage["requests"] - self.coverage["unreached"]
     }
 }
 
-/// Plays one seed against a program, whose nodes' files go into a folder. It takes some nine seconds.
+/// Plays one seed against a program, with the files of its nodes in a folder. It takes about nine seconds.
 ///
 /// # Errors
-/// If a socket, a file or a process can't be had.
+/// If a socket or a file can't be created, or a process can't be started or signalled.
 pub fn run_seed(program: &Program, folder: &Path, seed: u64) -> io::Result<Verdict> {
     let mut soak = Soak::start(program, folder, seed)?;
-    let reports = soak.play()?;
-    Ok(soak.judge(reports))
+    let reports = soak.run_under_load()?;
+    Ok(soak.evaluate(reports))
 }
 
-/// A node's place: its process while it runs, and what it did before.
-struct Place {
+/// A node of the site: its address, its process while one runs, and the record of its processes so far.
+struct NodeSlot {
     process: Option<Process>,
     listen: SocketAddr,
-    file: PathBuf,
-    /// When its process was held up, on the fleet's clock.
-    held_up: Vec<(Micros, Micros)>,
-    /// When its processes were first told to end.
-    told_to_end: Vec<Micros>,
-    /// Whether the process that runs has been told to.
-    ends: bool,
-    /// What its processes told of rules that they broke.
+    config_file: PathBuf,
+    /// The begin and end of each pause (SIGSTOP to SIGCONT), on the fleet's clock.
+    pauses: Vec<(Micros, Micros)>,
+    /// When each of its processes got its first SIGTERM, on the fleet's clock.
+    terminated_at: Vec<Micros>,
+    /// Whether the running process has been sent SIGTERM.
+    is_terminating: bool,
+    /// The log lines in which its processes report broken rules.
     violations: Vec<String>,
 }
 
-impl Place {
+impl NodeSlot {
     fn start(&mut self, program: &Path, faults: &SystemCallFaults, fleet: &Fleet) -> io::Result<()> {
-        let configuration = fleet.configuration(self.listen, SOCKETS);
-        let process = Process::start(program, &configuration, self.file.clone(), faults.environment())?;
+        let configuration = fleet.configuration(self.listen, MAX_DESCRIPTORS);
+        let process =
+            Process::start(program, &configuration, self.config_file.clone(), faults.environment())?;
         self.listen = process.listen;
-        (self.process, self.ends) = (Some(process), false);
+        (self.process, self.is_terminating) = (Some(process), false);
         Ok(())
     }
 
@@ -115,201 +119,236 @@
             return Ok(());
         }
         match signal {
-            Signal::TERM if !std::mem::replace(&mut self.ends, true) => self.told_to_end.push(now),
-            Signal::STOP => self.held_up.push((now, Micros::MAX)),
-            Signal::CONT => self.held_up.iter_mut().for_each(|(_, end)| *end = now.min(*end)),
+            Signal::TERM if !std::mem::replace(&mut self.is_terminating, true) => {
+                self.terminated_at.push(now)
+            }
+            Signal::STOP => self.pauses.push((now, Micros::MAX)),
+            Signal::CONT => self.pauses.iter_mut().for_each(|(_, end)| *end = now.min(*end)),
             _ => {}
         }
         Ok(())
     }
 
-    /// The end of a process that was told to end. Tells whether it came by itself, and as a success.
-    fn end(&mut self) -> io::Result<bool> {
+    /// Kills the process, which was sent SIGTERM earlier, if it still runs; returns whether it had exited by itself with
+    /// success.
+    fn kill(&mut self) -> io::Result<bool> {
         let Some(process) = self.process.take() else { return Ok(true) };
-        let ended = process.end()?;
-        self.violations.extend(ended.violations);
-        Ok(ended.well)
+        let exit = process.kill()?;
+        self.violations.extend(exit.violations);
+        Ok(exit.succeeded)
     }
 }
 
-/// One seed's site.
+/// The running site of one seed.
 struct Soak {
     seed: u64,
     fleet: Fleet,
     program: PathBuf,
     system_calls: SystemCallFaults,
-    places: Vec<Place>,
-    crowd: Vec<TcpStream>,
-    pipelined: Vec<Pipelined>,
+    slots: Vec<NodeSlot>,
+    idle_connections: Vec<TcpStream>,
+    pipeline_reports: Vec<PipelineReport>,
     run_delays: RunDelays,
-    /// What broke, besides what the records show.
-    told: Vec<String>,
+    /// Descriptions of violations that are found while the faults are played.
+    violations: Vec<String>,
 }
 
 impl Soak {
     fn start(program: &Program, folder: &Path, seed: u64) -> io::Result<Soak> {
         let system_calls = SystemCallFaults::draw(program, folder, seed);
         let delay = Duration::from_millis(seed % 4 * 100);
-        let fleet = Fleet::start(Plan { seed, boxes: CACHES, delay, ..Plan::default() })?;
-        let place = |node: usize| {
-            // Addresses of their own: no client's connection takes a node's port while it is down.
+        let fleet = Fleet::start(Plan { seed, boxes: CACHE_SERVERS, delay, ..Plan::default() })?;
+        let slot = |node: usize| {
+            // Each node has its own loopback address, so that no outgoing connection takes its port while it is down.
             let listen = SocketAddr::from(([127, 77, (seed % 250) as u8, node as u8 + 1], 0));
-            let file = folder.join(format!("node-{node}.json"));
-            let (held_up, told_to_end, violations) = Default::default();
-            Place { process: None, listen, file, held_up, told_to_end, ends: false, violations }
+            let config_file = folder.join(format!("node-{node}.json"));
+            let (pauses, terminated_at, violations) = Default::default();
+            NodeSlot {
+                process: None,
+                listen,
+                config_file,
+                pauses,
+                terminated_at,
+                is_terminating: false,
+                violations,
+            }
         };
-        let mut places: Vec<Place> = (0..NODES).map(place).collect();
-        for place in &mut places {
-            place.start(&program.path, &system_calls, &fleet)?;
+        let mut slots: Vec<NodeSlot> = (0..NODES).map(slot).collect();
+        for slot in &mut slots {
+            slot.start(&program.path, &system_calls, &fleet)?;
         }
-        let (crowd, pipelined, run_delays, told) = Default::default();
+        let (idle_connections, pipeline_reports, run_delays, violations) = Default::default();
         let program = program.path.clone();
-        Ok(Soak { seed, fleet, program, system_calls, places, crowd, pipelined, run_delays, told })
+        Ok(Soak {
+            seed,
+            fleet,
+            program,
+            system_calls,
+            slots,
+            idle_connections,
+            pipeline_reports,
+            run_delays,
+            violations,
+        })
     }
 
     fn load(&self, node: usize) -> Load {
         let seed = self.seed * 1000 + node as u64;
-        let time = FAULTS + LONGEST + KILL; // up to the kill
-        let usual = Load::usual(self.places[node].listen, time, seed);
-        let short = |share, wait| {
+        let time = FAULT_PERIOD + MAX_DEADLINE + KILL_DELAY; // until the nodes are killed
+        let usual = Load::usual(self.slots[node].listen, time, seed);
+        let impatient = |share, wait| {
             let wait = Duration::from_millis(wait);
             Class { name: "lookup".into(), share, kind: Kind::Read, wait }
         };
         let mut classes = usual.classes.clone();
-        classes.extend([short(0.15, 40), short(0.15, 250), short(0.05, 5)]);
+        classes.extend([impatient(0.15, 40), impatient(0.15, 250), impatient(0.05, 5)]);
         Load { classes, kept: true, rate: 10.0, leaving: 0.25, keys: 300, ..usual }
     }
 
-    /// The processes that run, by node.
-    fn processes(&self) -> Vec<Option<u32>> {
-        self.places.iter().map(|place| place.process.as_ref().map(Process::id)).collect()
+    /// The ids of the running processes, by node.
+    fn process_ids(&self) -> Vec<Option<u32>> {
+        self.slots.iter().map(|slot| slot.process.as_ref().map(Process::id)).collect()
     }
 
-    fn act(&mut self, node: usize, act: Act) -> io::Result<()> {
+    fn apply(&mut self, node: usize, action: ProcessAction) -> io::Result<()> {
         let now = self.fleet.clock().now();
-        let place = &mut self.places[node];
-        match act {
-            Act::Signal(signal) => place.signal(signal, now)?,
-            Act::Kill => {
-                if !place.end()? {
-                    self.told.push(format!("{} did not end by itself when it was told to", place.listen));
+        let slot = &mut self.slots[node];
+        match action {
+            ProcessAction::Signal(signal) => slot.signal(signal, now)?,
+            ProcessAction::Kill => {
+                if !slot.kill()? {
+                    let message =
+                        format!("{} did not exit by itself with success after SIGTERM", slot.listen);
+                    self.violations.push(message);
                 }
             }
-            Act::Start => place.start(&self.program, &self.system_calls, &self.fleet)?,
-            Act::Look => {}
-            Act::Crowd(size) => self.crowd.extend(crowd(place.listen, size)),
+            ProcessAction::Start => slot.start(&self.program, &self.system_calls, &self.fleet)?,
+            ProcessAction::AdvanceScript => {}
+            ProcessAction::OpenIdleConnections(count) => {
+                self.idle_connections.extend(open_idle_connections(slot.listen, count));
+            }
         }
         Ok(())
     }
 
-    /// Plays all faults under the loads; tells what the clients saw, by node.
-    fn play(&mut self) -> io::Result<Vec<Report>> {
+    /// Plays all faults while the clients run; returns what the clients saw, by node.
+    fn run_under_load(&mut self) -> io::Result<Vec<Report>> {
         let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         let (start, clock) = (Instant::now(), self.fleet.clock().clone());
         let loads: Vec<_> = (0..NODES)
             .map(|node| runtime.spawn(clients::run(self.load(node), clock.clone(), Arc::default())))
             .collect();
-        let until = start + FAULTS + LONGEST + KILL;
+        let until = start + FAULT_PERIOD + MAX_DEADLINE + KILL_DELAY;
         let pipelines: Vec<_> = (0..NODES)
-            .step_by(PIPELINED_EVERY)
+            .step_by(PIPELINING_CLIENT_INTERVAL)
             .map(|node| {
                 let pace = if node % 2 == 0 { Pace::Steady } else { Pace::Bursts };
-                runtime.spawn(pipelined(
-                    self.places[node].listen,
+                runtime.spawn(run_pipelining_client(
+                    self.slots[node].listen,
                     self.seed * 1000 + node as u64,
                     pace,
                     until,
                 ))
             })
             .collect();
-        let processes = Arc::new(Mutex::new(self.processes()));
+        let processes = Arc::new(Mutex::new(self.process_ids()));
         let ended = Arc::new(AtomicBool::new(false));
         let sampling = {
             let (processes, clock, ended) = (processes.clone(), clock.clone(), ended.clone());
             std::thread::spawn(move || RunDelays::sample(&processes, &clock, &ended))
         };
-        let played = self.play_faults(start, &processes);
-        for seen in pipelines {
-            self.pipelined.push(runtime.block_on(seen).map_err(io::Error::other)?);
+        let faults_played = self.play_faults(start, &processes);
+        for pipeline in pipelines {
+            self.pipeline_reports.push(runtime.block_on(pipeline).map_err(io::Error::other)?);
         }
         let mut reports = Vec::new();
         for load in loads {
             reports.push(runtime.block_on(load).map_err(io::Error::other)?);
         }
         ended.store(true, Ordering::Relaxed);
-        self.run_delays = sampling.join().map_err(|_| io::Error::other("the sampling has failed"))?;
-        played.map(|()| reports)
+        self.run_delays = sampling
+            .join()
+            .map_err(|_| io::Error::other("the thread that samples run delays has panicked"))?;
+        faults_played.map(|()| reports)
     }
 
-    /// Plays what the seed has drawn, and the end of all nodes.
+    /// Plays the server faults and process actions of the seed, then ends all nodes.
     fn play_faults(&mut self, start: Instant, processes: &Mutex<Vec<Option<u32>>>) -> io::Result<()> {
-        let (mut script, mut acts) = (script(self.seed).into_iter().peekable(), acts(self.seed));
-        acts.extend((0..NODES).map(|node| (FAULTS, node, Act::Signal(Signal::TERM))));
-        acts.extend((0..NODES).map(|node| (FAULTS + LONGEST + KILL, node, Act::Kill)));
-        let steps = script.clone().map(|(at, _)| at).filter(|at| *at > FAULTS);
-        acts.extend(steps.map(|at| (at, 0, Act::Look)));
-        acts.sort_by_key(|(at, ..)| *at);
-        for (at, node, act) in acts {
+        let (mut script, mut actions) =
+            (server_script(self.seed).into_iter().peekable(), process_actions(self.seed));
+        actions.extend((0..NODES).map(|node| (FAULT_PERIOD, node, ProcessAction::Signal(Signal::TERM))));
+        actions.extend(
+            (0..NODES).map(|node| (FAULT_PERIOD + MAX_DEADLINE + KILL_DELAY, node, ProcessAction::Kill)),
+        );
+        let steps = script.clone().map(|(at, _)| at).filter(|at| *at > FAULT_PERIOD);
+        actions.extend(steps.map(|at| (at, 0, ProcessAction::AdvanceScript)));
+        actions.sort_by_key(|(at, ..)| *at);
+        for (at, node, action) in actions {
             while let Some((due, step)) = script.next_if(|(due, _)| *due <= at) {
                 sleep((start + due).saturating_duration_since(Instant::now()));
-                let _ = self.fleet.step(step); // of a server that is gone meanwhile
+                let _ = self.fleet.step(step); // an error means that the server has been removed meanwhile
             }
             sleep((start + at).saturating_duration_since(Instant::now()));
-            self.act(node, act)?;
-            *processes.lock().unwrap_or_else(PoisonError::into_inner) = self.processes();
+            self.apply(node, action)?;
+            *processes.lock().unwrap_or_else(PoisonError::into_inner) = self.process_ids();
         }
         Ok(())
     }
 
-    /// What broke, and how often each fault really met a request.
-    fn judge(self, reports: Vec<Report>) -> Verdict {
+    /// Checks the invariants, and counts how often each fault actually met a request.
+    fn evaluate(self, reports: Vec<Report>) -> Verdict {
         let (mut asks, mut doubled) = (Vec::new(), 0);
         for (node, report) in reports.into_iter().enumerate() {
             doubled += report.doubled;
-            let held_up = &self.places[node].held_up;
-            let granted = report.asks.into_iter().map(|mut ask| {
-                // The machine's lateness is not the node's.
-                ask.late += self.run_delays.between(node, ask.sent, ask.ended);
-                (node, allow_for_hold_ups(ask, held_up))
+            let pauses = &self.slots[node].pauses;
+            let adjusted = report.asks.into_iter().map(|mut ask| {
+                // Time spent waiting for a core is a delay of the machine, not of the node.
+                ask.late += self.run_delays.max_delay(node, ask.sent, ask.ended);
+                (node, allow_for_pauses(ask, pauses))
             });
-            asks.extend(granted);
+            asks.extend(adjusted);
         }
-        let before = asks.len();
-        asks.retain(|(node, ask)| !came_as_the_listener_closed(ask, &self.places[*node].told_to_end));
-        let as_it_closed = before - asks.len();
+        let asks_before = asks.len();
+        asks.retain(|(node, ask)| !arrived_while_listener_closed(ask, &self.slots[*node].terminated_at));
+        let lost_at_listener_close = asks_before - asks.len();
         let asks: Vec<Ask> = asks.into_iter().map(|(_, ask)| ask).collect();
-        let most_granted = asks.iter().map(|ask| ask.late).max().unwrap_or(0) as usize;
+        let max_allowance_us = asks.iter().map(|ask| ask.late).max().unwrap_or(0) as usize;
         let (records, dropped) = self.fleet.records();
-        let mut told = self.told;
-        let broken = check((&records, dropped), &asks, doubled, TOLD);
-        told.extend(broken.iter().map(Broken::to_string));
-        // Of a node that the script held up, the records are judged above, with what is granted.
-        for place in self.places.iter().filter(|place| place.held_up.is_empty()) {
-            told.extend(place.violations.iter().map(|line| format!("{}: {line}", place.listen)));
+        let mut violations = self.violations;
+        let broken = check((&records, dropped), &asks, doubled, LIST_CHANGE_GRACE_US);
+        violations.extend(broken.iter().map(Broken::to_string));
+        // A paused node may report broken rules that are due to its pause. For such nodes only the check above counts, which
+        // allows for pauses.
+        for slot in self.slots.iter().filter(|slot| slot.pauses.is_empty()) {
+            violations.extend(slot.violations.iter().map(|line| format!("{}: {line}", slot.listen)));
         }
-        let sent_on: BTreeSet<&str> = records
+        let forwarded: BTreeSet<&str> = records
             .iter()
             .filter_map(|record| match &record.event {
                 Event::Asked(asked) => Some(asked.id.as_str()),
                 _ => None,
             })
             .collect();
-        for seen in &self.pipelined {
-            let granted = LONGEST_HOLD_UP + Duration::from_micros(most_granted as u64);
-            for unanswered in &seen.unanswered {
+        for report in &self.pipeline_reports {
+            let allowance = UNSAMPLED_DELAY_ALLOWANCE + Duration::from_micros(max_allowance_us as u64);
+            for unanswered in &report.unanswered {
                 let id = &unanswered.id;
-                if sent_on.contains(id.as_str()) {
-                    told.push(format!("lost: {id} was read, sent on and never answered"));
-                } else if unanswered.has_lain(granted) {
-                    told.push(format!("lost: {id} lay for long when its connection ended"));
+                if forwarded.contains(id.as_str()) {
+                    violations.push(format!("lost: {id} was read and forwarded but never answered"));
+                } else if unanswered.is_overdue(allowance) {
+                    violations.push(format!("lost: {id} had waited too long when its connection ended"));
                 }
             }
-            told.extend(seen.foreign.iter().map(|id| format!("{id} got another's answer")));
+            violations.extend(
+                report.foreign_answers.iter().map(|id| format!("{id} got the answer of another request")),
+            );
         }
-        let pipelined: usize = self.pipelined.iter().map(|seen| seen.answered).sum();
-        let behind = |seen: &Pipelined| seen.unanswered.iter().filter(|one| one.behind_broken).count();
-        let behind_broken: usize = self.pipelined.iter().map(behind).sum();
-        let large: usize = self.pipelined.iter().map(|seen| seen.large).sum();
+        let pipelined: usize = self.pipeline_reports.iter().map(|report| report.answered).sum();
+        let after_partial_value = |report: &PipelineReport| {
+            report.unanswered.iter().filter(|unanswered| unanswered.after_partial_value).count()
+        };
+        let after_partial_value: usize = self.pipeline_reports.iter().map(after_partial_value).sum();
+        let large_writes: usize = self.pipeline_reports.iter().map(|report| report.large_writes).sum();
         let repeated = records.iter().filter(|record| matches!(record.event, Event::Repeated(_))).count();
         let halted = records.iter().filter(|record| matches!(record.event, Event::Halted(_))).count();
         let cut = records.iter().filter(|record| matches!(record.event, Event::Cut(_))).count();
@@ -325,47 +364,49 @@
             ("sent again", asks.iter().filter(|ask| ask.resent.is_some()).count()),
             ("attempts", asked),
             ("pipelined", pipelined),
-            ("large writes in pipelines", large),
-            ("unread behind a broken value", behind_broken),
-            ("lost as the listener closed", as_it_closed),
+            ("large writes in pipelines", large_writes),
+            ("unread behind a broken value", after_partial_value),
+            ("lost as the listener closed", lost_at_listener_close),
             ("answers sent twice", repeated),
             ("values that stopped", halted),
             ("answers cut, of no length", cut),
             ("broken off at a client", ended(End::Broken)),
-            ("system calls that failed", self.system_calls.injected()),
-            ("lateness granted, ms", most_granted / 1000),
+            ("system calls that failed", self.system_calls.injected_count()),
+            ("lateness granted, ms", max_allowance_us / 1000),
         ]);
-        Verdict { violations: told, coverage }
+        Verdict { violations, coverage }
     }
 }
 
-/// Clients that connect, send half a command or nothing, and stay.
-fn crowd(listen: SocketAddr, size: usize) -> Vec<TcpStream> {
+/// Opens connections that send half a command or nothing and stay open.
+fn open_idle_connections(listen: SocketAddr, count: usize) -> Vec<TcpStream> {
     let connect = |n: usize| {
-        // One that is held up may have no room for more: the others' faults must not wait for it.
-        let mut stream = TcpStream::connect_timeout(&listen, HELD_UP).ok()?;
+        // The backlog of a paused node may be full; the time limit keeps that from delaying the faults of the others.
+        let mut stream = TcpStream::connect_timeout(&listen, MAX_PAUSE).ok()?;
         if n.is_multiple_of(2) {
             let _ = stream.write_all(b"*4\r\n$9\r\nCACHE.G"); // half a command
         }
         Some(stream)
     };
-    (0..size).map_while(connect).collect()
+    (0..count).map_while(connect).collect()
 }
 
-/// Whether a new connection came as its node closed its listener, and got no answer: between the last look at the backlog and
-/// the close. New connections come for 0.4 s after word to end at most, and the node takes them for 0.5 s.
-fn came_as_the_listener_closed(ask: &Ask, told_to_end: &[Micros]) -> bool {
-    let closing = |told: &Micros| {
-        let since = ask.sent.saturating_sub(*told);
-        (LAST_NEW..=LISTENER_CLOSES + HELD_UP.as_micros() as Micros + ask.late).contains(&since)
+/// Whether a request was lost because its new connection arrived between its node's last accept and the close of the
+/// listener. New connections arrive for at most 0.4 s after SIGTERM, and the node accepts them for 0.5 s.
+fn arrived_while_listener_closed(ask: &Ask, terminated_at: &[Micros]) -> bool {
+    let is_closing = |sigterm_at: &Micros| {
+        let since_sigterm = ask.sent.saturating_sub(*sigterm_at);
+        (MAX_NEW_CONNECTION_DELAY_US..=LISTENER_CLOSE_DELAY_US + MAX_PAUSE.as_micros() as Micros + ask.late)
+            .contains(&since_sigterm)
     };
-    ask.end == End::Lost && ask.resent.is_none() && told_to_end.iter().any(closing)
+    ask.end == End::Lost && ask.resent.is_none() && terminated_at.iter().any(is_closing)
 }
 
-/// A node that is held up acts that much later, which the operators grant.
-fn allow_for_hold_ups(mut ask: Ask, held_up: &[(Micros, Micros)]) -> Ask {
-    let met = |(begin, end): &&(Micros, Micros)| *begin <= ask.ended && ask.sent <= *end;
-    let granted = held_up.iter().filter(met).map(|(begin, end)| end.saturating_sub(*begin)).max();
-    ask.late += granted.unwrap_or(0);
+/// Adds the longest pause of the node that overlaps a request to the lateness that the check tolerates, because the operators
+/// accept that a paused node acts that much later.
+fn allow_for_pauses(mut ask: Ask, pauses: &[(Micros, Micros)]) -> Ask {
+    let overlaps = |(begin, end): &&(Micros, Micros)| *begin <= ask.ended && ask.sent <= *end;
+    let allowance = pauses.iter().filter(overlaps).map(|(begin, end)| end.saturating_sub(*begin)).max();
+    ask.late += allowance.unwrap_or(0);
     ask
 }
--- a/crates/fleet/src/soak/pipelined.rs
+++ b/crates/fleet/src/soak/pipelined.rs
@@ -1,5 +1,5 @@
-//! Clients that pipeline on a connection which they keep up to the node's end: steadily or in bursts, some large writes among
-//! their commands.
+//! RESP2 clients that pipeline commands, with some large writes among them, steadily or in bursts, on a connection that they
+//! keep until the node closes it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,175 +13,187 @@
 
 use crate::clients::{command_of, made_for};
 
-/// Requests that a client has under way.
-const IN_FLIGHT: usize = 3;
-/// A burst has so many commands, written at once.
-const BURST: std::ops::Range<usize> = 4..11;
-/// After a burst is answered its client rests for up to so long, in milliseconds.
-const REST_MS: u64 = 150;
-/// One command in so many is a large write.
-const LARGE_EVERY: usize = 9;
-/// The value of a large write, in bytes.
-const LARGE: usize = 40_000;
-/// What they say of themselves: with nearly the longest deadline of the settings.
-const READ: &str = "c=lookup,d=1990";
-const WRITE: &str = "c=signup,d=1990";
-/// A command that has lain for so long was not crossed by its connection's end: longer than a node reads nothing while it
-/// waits for its own end, and than it may be held up.
-const LAIN: Duration = Duration::from_millis(400);
-/// A client that hears nothing for so long has been forgotten: longer than any answer may take.
-const SILENCE: Duration = Duration::from_millis(2500);
-/// The longest answer that a client reads, in bytes.
-const LONGEST_ANSWER: usize = 1 << 20;
+/// The number of requests that a steady client keeps in flight.
+const STEADY_IN_FLIGHT: usize = 3;
+/// The range of the number of commands in a burst, which are written at once.
+const COMMANDS_PER_BURST: std::ops::Range<usize> = 4..11;
+/// The upper bound of a client's random pause between the last answer to a burst and the next burst, in milliseconds.
+const MAX_BURST_PAUSE_MS: u64 = 150;
+/// One in this many commands is a large write.
+const LARGE_WRITE_INTERVAL: usize = 9;
+/// The size of the value of a large write, in bytes.
+const LARGE_VALUE_BYTES: usize = 40_000;
+/// The class and deadline that the requests state: 1990 ms is nearly the longest deadline of the settings.
+const READ_FACTS: &str = "c=lookup,d=1990";
+const WRITE_FACTS: &str = "c=signup,d=1990";
+/// A command that was written at least this long before its connection ended did not cross the close on the network, so the
+/// node should have answered it. It is longer than the time for which an ending node stops reading, and than a node may be
+/// paused.
+const UNANSWERED_LIMIT: Duration = Duration::from_millis(400);
+/// How long a client waits for data before it gives the connection up: longer than any answer may take.
+const READ_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The largest answer that a client reads, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// How a client pipelines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Pace {
-    /// It always has some requests under way.
+    /// Always keeps [`STEADY_IN_FLIGHT`] requests in flight.
     Steady,
-    /// It writes several at once, waits for all answers and rests.
+    /// Writes several requests at once, waits for all answers, and pauses.
     Bursts,
 }
 
-/// A client that pipelines on one connection, up to the node's end; then it connects again.
-pub(super) async fn pipelined(to: SocketAddr, seed: u64, pace: Pace, until: Instant) -> Pipelined {
-    let mut client = Client { seed, pace, number: 0, rng: fastrand::Rng::with_seed(seed), until };
-    let mut seen = Pipelined::default();
+/// Runs a client until a time. It pipelines on one connection until that ends, then connects again.
+pub(super) async fn run_pipelining_client(
+    node: SocketAddr,
+    seed: u64,
+    pace: Pace,
+    until: Instant,
+) -> PipelineReport {
+    let mut client = Client { seed, pace, next_number: 0, rng: fastrand::Rng::with_seed(seed), until };
+    let mut report = PipelineReport::default();
     while Instant::now() < until {
-        match TcpStream::connect(to).await {
-            Ok(stream) => client.ask_on(stream, &mut seen).await,
-            Err(_) => sleep(Duration::from_millis(20)).await, // it starts again
+        match TcpStream::connect(node).await {
+            Ok(stream) => client.run_connection(stream, &mut report).await,
+            Err(_) => sleep(Duration::from_millis(20)).await, // the node may be restarting
         }
     }
-    seen
+    report
 }
 
-/// What a pipelined client saw.
+/// What a pipelining client saw.
 #[derive(Default)]
-pub(super) struct Pipelined {
+pub(super) struct PipelineReport {
     pub answered: usize,
-    /// Large writes that were written whole.
-    pub large: usize,
-    /// Without an answer when the connection ended.
+    /// The number of large writes that were written completely.
+    pub large_writes: usize,
+    /// Requests that had no answer when their connection ended.
     pub unanswered: Vec<Unanswered>,
-    /// Answers made for other requests.
-    pub foreign: Vec<String>,
+    /// The ids of requests that were answered with the value of another request.
+    pub foreign_answers: Vec<String>,
 }
 
 /// A request without an answer.
 pub(super) struct Unanswered {
     pub id: String,
-    /// When it was written, and when its connection ended.
-    pub written: Instant,
-    pub ended: Instant,
-    /// Whether a value that had begun broke off before it: no answer can follow on that connection.
-    pub behind_broken: bool,
+    pub written_at: Instant,
+    /// When its connection ended.
+    pub ended_at: Instant,
+    /// Whether the connection ended within the value of an earlier request, so that no later answer could follow.
+    pub after_partial_value: bool,
 }
 
 impl Unanswered {
-    /// Whether it had lain for longer than an end that crosses it explains.
-    pub fn has_lain(&self, granted: Duration) -> bool {
-        !self.behind_broken && self.ended.duration_since(self.written) > LAIN + granted
+    /// Whether it had waited for longer than a request that crosses the close of its connection may.
+    pub fn is_overdue(&self, allowance: Duration) -> bool {
+        !self.after_partial_value
+            && self.ended_at.duration_since(self.written_at) > UNANSWERED_LIMIT + allowance
     }
 }
 
-/// A request under way.
-struct Asked {
+/// A request in flight.
+struct InFlight {
     id: String,
     key: String,
-    written: Instant,
+    written_at: Instant,
 }
 
 struct Client {
     seed: u64,
     pace: Pace,
-    /// The number of the next request.
-    number: usize,
+    /// The number of the next request; part of its id.
+    next_number: usize,
     rng: fastrand::Rng,
     until: Instant,
 }
 
 impl Client {
-    /// Asks on one connection until it ends.
-    async fn ask_on(&mut self, mut stream: TcpStream, seen: &mut Pipelined) {
-        let (mut owed, mut buffer) = (VecDeque::new(), BytesMut::new());
+    /// Sends requests on one connection until it ends.
+    async fn run_connection(&mut self, mut stream: TcpStream, report: &mut PipelineReport) {
+        let (mut in_flight, mut buffer) = (VecDeque::new(), BytesMut::new());
         loop {
-            if !self.write_next(&mut stream, &mut owed, seen).await || owed.is_empty() {
+            if !self.write_next(&mut stream, &mut in_flight, report).await || in_flight.is_empty() {
                 break;
             }
-            let read = timeout(SILENCE, stream.read_buf(&mut buffer)).await;
+            let read = timeout(READ_TIMEOUT, stream.read_buf(&mut buffer)).await;
             let open = matches!(read, Ok(Ok(1..)));
-            while let Ok(Some(frame)) = next_frame(&mut buffer, LONGEST_ANSWER) {
-                let Some(asked) = owed.pop_front() else { break };
-                seen.answer(&asked, &frame);
+            while let Ok(Some(frame)) = next_frame(&mut buffer, MAX_ANSWER_BYTES) {
+                let Some(request) = in_flight.pop_front() else { break };
+                report.record_answer(&request, &frame);
             }
             if !open {
                 break;
             }
         }
-        // Behind the beginning of a value its own request has had its end.
-        let behind_broken = !buffer.is_empty();
-        if behind_broken {
-            owed.pop_front();
+        // The request whose value has begun counts as answered in part, not as unanswered.
+        let after_partial_value = !buffer.is_empty();
+        if after_partial_value {
+            in_flight.pop_front();
         }
-        let ended = Instant::now();
-        let unanswered = |Asked { id, written, .. }: Asked| Unanswered { id, written, ended, behind_broken };
-        seen.unanswered.extend(owed.into_iter().map(unanswered));
+        let ended_at = Instant::now();
+        let unanswered = |InFlight { id, written_at, .. }: InFlight| Unanswered {
+            id,
+            written_at,
+            ended_at,
+            after_partial_value,
+        };
+        report.unanswered.extend(in_flight.into_iter().map(unanswered));
     }
 
-    /// Writes what its pace asks for now; tells whether the connection took it.
+    /// Writes the requests that are due by its pace; returns whether the connection accepted them.
     async fn write_next(
         &mut self,
         stream: &mut TcpStream,
-        owed: &mut VecDeque<Asked>,
-        seen: &mut Pipelined,
+        in_flight: &mut VecDeque<InFlight>,
+        report: &mut PipelineReport,
     ) -> bool {
-        let wanted = match self.pace {
-            Pace::Steady => IN_FLIGHT - IN_FLIGHT.min(owed.len()),
-            Pace::Bursts if owed.is_empty() => {
-                sleep(Duration::from_millis(self.rng.u64(0..REST_MS))).await;
-                self.rng.usize(BURST)
+        let due = match self.pace {
+            Pace::Steady => STEADY_IN_FLIGHT - STEADY_IN_FLIGHT.min(in_flight.len()),
+            Pace::Bursts if in_flight.is_empty() => {
+                sleep(Duration::from_millis(self.rng.u64(0..MAX_BURST_PAUSE_MS))).await;
+                self.rng.usize(COMMANDS_PER_BURST)
             }
             Pace::Bursts => 0,
         };
-        if wanted == 0 || Instant::now() >= self.until {
+        if due == 0 || Instant::now() >= self.until {
             return true;
         }
         let mut text = BytesMut::new();
-        let large = seen.large;
-        for _ in 0..wanted {
-            let (asked, command) = self.command(seen);
+        let large_writes = report.large_writes;
+        for _ in 0..due {
+            let (request, command) = self.next_command(report);
             text.unsplit(command);
-            owed.push_back(asked);
+            in_flight.push_back(request);
         }
         let written = stream.write_all(&text).await.is_ok();
         if !written {
-            seen.large = large;
+            report.large_writes = large_writes;
         }
         written
     }
 
-    fn command(&mut self, seen: &mut Pipelined) -> (Asked, BytesMut) {
-        let id = format!("p{:08x}-{}", self.seed, self.number);
-        let key = format!("{:016x}", self.number % 50);
-        self.number += 1;
-        let text = if self.number.is_multiple_of(LARGE_EVERY) {
-            seen.large += 1;
-            command_of(&key, &id, &format!("{WRITE},k={id}"), Some(&[b'x'; LARGE]))
+    fn next_command(&mut self, report: &mut PipelineReport) -> (InFlight, BytesMut) {
+        let id = format!("p{:08x}-{}", self.seed, self.next_number);
+        let key = format!("{:016x}", self.next_number % 50);
+        self.next_number += 1;
+        let text = if self.next_number.is_multiple_of(LARGE_WRITE_INTERVAL) {
+            report.large_writes += 1;
+            command_of(&key, &id, &format!("{WRITE_FACTS},k={id}"), Some(&[b'x'; LARGE_VALUE_BYTES]))
         } else {
-            command_of(&key, &id, READ, None)
+            command_of(&key, &id, READ_FACTS, None)
         };
-        (Asked { id, key, written: Instant::now() }, text)
+        (InFlight { id, key, written_at: Instant::now() }, text)
     }
 }
 
-impl Pipelined {
-    fn answer(&mut self, asked: &Asked, frame: &Frame) {
+impl PipelineReport {
+    fn record_answer(&mut self, request: &InFlight, frame: &Frame) {
         self.answered += 1;
         if let Frame::BulkString(value) = frame
-            && !made_for(value, &asked.id, &asked.key)
+            && !made_for(value, &request.id, &request.key)
         {
-            self.foreign.push(asked.id.clone());
+            self.foreign_answers.push(request.id.clone());
         }
     }
 }
--- a/crates/fleet/src/soak/process.rs
+++ b/crates/fleet/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! One node as a process of the program, and what its log says of rules that it broke.
+//! One node as a process of the program. Its log is read for the address it listens at and for broken rules.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -11,30 +11,30 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A process that says nothing for so long is held to be stuck.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How a node words that it broke a rule.
-const VIOLATION: &str = "a rule was broken";
+/// A process that does not listen within this time is considered stuck.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
+/// The text by which a node's log reports that it broke a rule.
+const VIOLATION_MESSAGE: &str = "a rule was broken";
 
-/// A running node. It is killed when it is dropped.
+/// A running node. Dropping it kills the process.
 pub(super) struct Process {
     child: Child,
-    /// Where it listens.
+    /// The address it listens at.
     pub listen: SocketAddr,
-    /// Reads its log to the end; tells the lines on broken rules.
+    /// The thread that reads the log to its end; returns the lines that report broken rules.
     log: Option<JoinHandle<Vec<String>>>,
 }
 
-/// How a process ended that was told to.
-pub(super) struct Ended {
-    /// Whether by itself, and as a success.
-    pub well: bool,
-    /// What it told of rules that it broke.
+/// How a process ended.
+pub(super) struct ExitReport {
+    /// Whether it exited by itself, with success.
+    pub succeeded: bool,
+    /// The log lines that report broken rules.
     pub violations: Vec<String>,
 }
 
 impl Process {
-    /// Starts a node with a configuration, which is written to a file, and an environment; returns once it listens.
+    /// Writes the configuration to a file and starts a node with it and an environment; returns once it listens.
     pub fn start(
         program: &Path,
         configuration: &str,
@@ -45,55 +45,57 @@
         let mut command = Command::new(program);
         command.env_clear().envs(environment.iter().cloned()).env("EDGE_CONFIG", file).stderr(Stdio::piped());
         let mut child = command.spawn()?;
-        let log = child.stderr.take().ok_or_else(|| io::Error::other("no log"))?;
-        let (ready, listens) = mpsc::channel();
-        let log = std::thread::spawn(move || follow(log, &ready));
-        let listen =
-            listens.recv_timeout(PATIENCE).map_err(|_| io::Error::other("a node doesn't come up"))?;
+        let log =
+            child.stderr.take().ok_or_else(|| io::Error::other("standard error of the node is not piped"))?;
+        let (ready, listen_address) = mpsc::channel();
+        let log = std::thread::spawn(move || follow_log(log, &ready));
+        let listen = listen_address
+            .recv_timeout(STARTUP_TIMEOUT)
+            .map_err(|_| io::Error::other("a node did not listen within 60 s of its start"))?;
         Ok(Process { child, listen, log: Some(log) })
     }
 
-    /// The process's number.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Signals it, unless it has ended; tells whether it had not.
+    /// Sends a signal unless the process has exited; returns whether it was running.
     pub fn signal(&mut self, signal: Signal) -> io::Result<bool> {
-        let runs = self.child.try_wait()?.is_none();
-        if let Some(id) = Pid::from_raw(self.id().cast_signed()).filter(|_| runs) {
+        let is_running = self.child.try_wait()?.is_none();
+        if let Some(id) = Pid::from_raw(self.id().cast_signed()).filter(|_| is_running) {
             kill_process(id, signal)?;
         }
-        Ok(runs)
+        Ok(is_running)
     }
 
-    /// Kills it if it still runs, and tells how it ended.
-    pub fn end(mut self) -> io::Result<Ended> {
-        let well = self.child.try_wait()?.is_some_and(|status| status.success());
-        let _ = self.child.kill(); // it may have ended
+    /// Kills it if it still runs, and returns how it ended.
+    pub fn kill(mut self) -> io::Result<ExitReport> {
+        let succeeded = self.child.try_wait()?.is_some_and(|status| status.success());
+        let _ = self.child.kill(); // it may already have exited
         self.child.wait()?;
         let violations = self.log.take().and_then(|log| log.join().ok());
-        Ok(Ended { well, violations: violations.unwrap_or_default() })
+        Ok(ExitReport { succeeded, violations: violations.unwrap_or_default() })
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.kill(); // it may already have exited
         let _ = self.child.wait();
     }
 }
 
-/// Reads a log to its end: tells where the node listens, and keeps what it says of broken rules.
-fn follow(log: ChildStderr, ready: &mpsc::Sender<SocketAddr>) -> Vec<String> {
+/// Reads a log to its end: sends the address at which the node listens, and returns the lines that report broken rules.
+fn follow_log(log: ChildStderr, ready: &mpsc::Sender<SocketAddr>) -> Vec<String> {
     let mut violations = Vec::new();
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         if let Some(address) =
             line.rsplit_once("listening on ").and_then(|(_, text)| text.trim().parse().ok())
         {
-            let _ = ready.send(address); // who waited may have given up
+            let _ = ready.send(address); // the receiver may have timed out
         }
-        if line.contains(VIOLATION) {
+        if line.contains(VIOLATION_MESSAGE) {
             violations.push(line);
         }
     }
--- a/crates/fleet/src/soak/run_delay.rs
+++ b/crates/fleet/src/soak/run_delay.rs
@@ -1,4 +1,5 @@
-//! How long threads have waited for a core, as the kernel counts it: the machine's lateness, which is not the nodes'.
+//! How long threads have waited for a core, from the kernel's run-delay counters. The soak test allows for this time, as it
+//! is a delay of the machine and not of the nodes.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,26 +10,27 @@
 use super::NODES;
 use crate::clock::{Clock, Micros};
 
-/// A stretch in which a thread may have waited for a core, in microseconds: about the longest hold-up that is granted.
-const STRETCH: Micros = 200_000;
-/// How often it is looked how long threads have waited.
-const SAMPLE: Duration = Duration::from_millis(20);
+/// The length of the windows over which run delay is summed, in microseconds: about the longest pause that is tolerated.
+const WINDOW_US: Micros = 200_000;
+/// The interval between two samples of the counters.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a thread has waited for a core, as the kernel counts it, at some times.
+/// Times, each with the total run delay of a thread by then, both in microseconds.
 type Samples = Vec<(Micros, Micros)>;
 
-/// How long threads have waited for a core: those of the nodes, and those of the clients and stand-ins here.
+/// Run delays of the nodes, and of the threads of this process that run the clients and stand-ins.
 #[derive(Default)]
 pub(super) struct RunDelays {
     nodes: Vec<Samples>,
-    own: BTreeMap<String, Samples>,
+    /// By path below `/proc`.
+    local_threads: BTreeMap<String, Samples>,
 }
 
 impl RunDelays {
-    /// Samples the processes that run, until it is told to end.
+    /// Samples the running processes, given by node, until `ended` is set.
     pub fn sample(processes: &Mutex<Vec<Option<u32>>>, clock: &Clock, ended: &AtomicBool) -> RunDelays {
-        let mut delays = RunDelays { nodes: vec![Vec::new(); NODES], own: BTreeMap::new() };
-        let own = own_threads();
+        let mut delays = RunDelays { nodes: vec![Vec::new(); NODES], local_threads: BTreeMap::new() };
+        let local_threads = local_threads();
         while !ended.load(Ordering::Relaxed) {
             let running = processes.lock().unwrap_or_else(PoisonError::into_inner).clone();
             for (node, process) in running.into_iter().enumerate() {
@@ -37,47 +39,49 @@
                     delays.nodes[node].push((clock.now(), waited));
                 }
             }
-            for thread in &own {
+            for thread in &local_threads {
                 if let Some(waited) = run_delay(thread) {
-                    delays.own.entry(thread.clone()).or_default().push((clock.now(), waited));
+                    delays.local_threads.entry(thread.clone()).or_default().push((clock.now(), waited));
                 }
             }
-            sleep(SAMPLE);
+            sleep(SAMPLE_INTERVAL);
         }
         delays
     }
 
-    /// How long a request waited for a core at a node and at its client, at most, between two times.
-    pub fn between(&self, node: usize, from: Micros, to: Micros) -> Micros {
-        let own = self.own.values().map(|samples| Self::waited(samples, from, to)).max();
-        Self::waited(&self.nodes[node], from, to) + own.unwrap_or(0)
+    /// An upper bound of the time for which a request waited for a core at its node and at its client, between two times.
+    pub fn max_delay(&self, node: usize, from: Micros, to: Micros) -> Micros {
+        let local =
+            self.local_threads.values().map(|samples| Self::max_delay_in_window(samples, from, to)).max();
+        Self::max_delay_in_window(&self.nodes[node], from, to) + local.unwrap_or(0)
     }
 
-    /// The most that a thread has waited for a core within any stretch of a time.
-    fn waited(samples: &Samples, from: Micros, to: Micros) -> Micros {
+    /// The largest run delay of a thread within any window of [`WINDOW_US`] between two times.
+    fn max_delay_in_window(samples: &Samples, from: Micros, to: Micros) -> Micros {
         let first = samples.partition_point(|(at, _)| *at <= from).saturating_sub(1);
         let last = samples.partition_point(|(at, _)| *at < to);
         let within = &samples[first..(last + 1).min(samples.len())];
-        let stretches = within.iter().enumerate().map(|(n, (at, before))| {
-            let end = n + within[n..].partition_point(|(later, _)| *later <= at + STRETCH);
-            // A process that has started again counts from nought.
+        let window_delays = within.iter().enumerate().map(|(n, (at, before))| {
+            let end = n + within[n..].partition_point(|(later, _)| *later <= at + WINDOW_US);
+            // The counter of a restarted process begins at 0 again.
             within[end - 1].1.saturating_sub(*before)
         });
-        stretches.max().unwrap_or(0)
+        window_delays.max().unwrap_or(0)
     }
 }
 
-/// The threads of this process on which clients and stand-ins run.
-fn own_threads() -> Vec<String> {
+/// The paths below `/proc` of the threads of this process on which clients and stand-ins run.
+fn local_threads() -> Vec<String> {
     let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
-    let works = |name: &str| name.starts_with("tokio") || name.starts_with("fleet");
+    let runs_tasks = |name: &str| name.starts_with("tokio") || name.starts_with("fleet");
     let paths = threads.map(|thread| thread.path().display().to_string());
     paths
-        .filter(|path| std::fs::read_to_string(format!("{path}/comm")).is_ok_and(|name| works(&name)))
+        .filter(|path| std::fs::read_to_string(format!("{path}/comm")).is_ok_and(|name| runs_tasks(&name)))
         .collect()
 }
 
-/// How long a thread has waited for a core. Of a process it is the first, which does all of a node's work.
+/// The total run delay of a thread, in microseconds. The path of a process stands for its first thread, which does all of a
+/// node's work.
 fn run_delay(thread: &str) -> Option<Micros> {
     let text = std::fs::read_to_string(format!("{thread}/schedstat")).ok()?;
     let nanoseconds: u64 = text.split(' ').nth(1)?.parse().ok()?;
