--- a/crates/fleet/src/cluster.rs
+++ b/crates/fleet/src/cluster.rs
@@ -346,7 +346,7 @@
     /// Injects the faults of a schedule at their times, and returns after the last one.
     ///
     /// # Errors
-    /// As [`Cluster::fault`].
+    /// As [`Cluster::inject`].
     pub fn run_schedule(&mut self, schedule: &FaultSchedule) -> io::Result<()> {
         let start = Instant::now();
         for (at, fault) in schedule {
@@ -614,3 +614,17 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    /// [`false_failure_reports`] and readers of earlier event files match these names.
+    #[test]
+    fn the_event_file_keeps_the_names_of_link_faults() {
+        let text = fault_text(&Fault::Links(vec![0], vec![1, 2], LinkFaults::CUT));
+        let expected =
+            ["Ways([0], [1, 2], ", "Way { cut: true, loss: 0.0, doubled: 0.0, delay: 0ns })"].concat();
+        assert_eq!(text, expected);
+    }
+}
--- a/crates/fleet/src/etcd/store.rs
+++ b/crates/fleet/src/etcd/store.rs
@@ -30,13 +30,13 @@
 pub struct Store {
     cluster_id: u64,
     revision: i64,
-    compacted: i64,
+    compacted_revision: i64,
     /// The events since the compacted revision, by revision.
     events: BTreeMap<i64, Vec<Event>>,
     /// The keys at the newest revision.
     keys: BTreeMap<Vec<u8>, KeyValue>,
     /// The keys at the compacted revision.
-    base: BTreeMap<Vec<u8>, KeyValue>,
+    keys_at_compaction: BTreeMap<Vec<u8>, KeyValue>,
     leases: BTreeMap<i64, Lease>,
     last_lease: i64,
 }
@@ -66,10 +66,10 @@
         Store {
             cluster_id,
             revision: 1,
-            compacted: 0,
+            compacted_revision: 0,
             events: BTreeMap::new(),
             keys: BTreeMap::new(),
-            base: BTreeMap::new(),
+            keys_at_compaction: BTreeMap::new(),
             leases: BTreeMap::new(),
             last_lease: 0,
         }
@@ -82,7 +82,7 @@
 
     /// The compacted revision, which is the oldest that can be read; 0 if nothing was compacted.
     pub fn compacted_revision(&self) -> i64 {
-        self.compacted
+        self.compacted_revision
     }
 
     /// The header of a response made at the newest revision.
@@ -150,8 +150,8 @@
         Ok(self.revision)
     }
 
-    /// Removes a key and writes it again in one revision. etcd itself never produces such events; tests use them to check
-    /// that a watcher applies the events of one revision in order.
+    /// Removes a key and writes it again in one revision. etcd itself never produces such events; a watcher should
+    /// handle them nevertheless.
     pub fn remove_and_put(&mut self, key: &[u8], value: &[u8]) -> i64 {
         let revision = self.revision + 1;
         let mut events = Vec::new();
@@ -217,10 +217,10 @@
     /// # Errors
     /// If it is compacted.
     pub fn keys_at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, StoreError> {
-        if revision < self.compacted {
+        if revision < self.compacted_revision {
             return Err(StoreError::Compacted);
         }
-        let mut keys = self.base.clone();
+        let mut keys = self.keys_at_compaction.clone();
         let events = self.events.range(..=revision).flat_map(|(_, events)| events);
         events.for_each(|event| apply_event(&mut keys, event));
         Ok(keys)
@@ -231,7 +231,7 @@
     /// # Errors
     /// If some of them are compacted.
     pub fn events_since(&self, start: i64) -> Result<impl Iterator<Item = &Vec<Event>>, StoreError> {
-        if start <= self.compacted && start > 0 {
+        if start <= self.compacted_revision && start > 0 {
             return Err(StoreError::Compacted);
         }
         Ok(self.events.range(start..).map(|(_, events)| events))
@@ -242,7 +242,7 @@
     /// # Errors
     /// If the revision is compacted already, or newer than the newest one.
     pub fn compact(&mut self, revision: i64) -> Result<(), StoreError> {
-        if revision <= self.compacted {
+        if revision <= self.compacted_revision {
             return Err(StoreError::Compacted);
         }
         if revision > self.revision {
@@ -250,8 +250,8 @@
         }
         let later = self.events.split_off(&(revision + 1));
         let past = std::mem::replace(&mut self.events, later);
-        past.values().flatten().for_each(|event| apply_event(&mut self.base, event));
-        self.compacted = revision;
+        past.values().flatten().for_each(|event| apply_event(&mut self.keys_at_compaction, event));
+        self.compacted_revision = revision;
         Ok(())
     }
 
