--- a/crates/bench/src/bin/replica.rs
+++ b/crates/bench/src/bin/replica.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use lilacquay_bench::raise_descriptors;
 use lilacquay_fleet::clients::{self, Load};
-use lilacquay_fleet::cluster::{Trial, TrialPlan};
+use lilacquay_fleet::cluster::{Cluster, ClusterPlan};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
 use lilacquay_fleet::{Faults, FleetConfig};
@@ -137,26 +137,26 @@
     }
 }
 
-fn held(trial: &Trial, node: usize, server: &str, wait_for: usize) -> Option<(u64, u64)> {
+fn held(cluster: &Cluster, node: usize, server: &str, wait_for: usize) -> Option<(u64, u64)> {
     let ask = json!({ "v": 2, "ask": "drain", "server": server, "lasting": false, "force": false, "wait_for": wait_for });
-    let answer = trial.ask(node, &ask)?;
+    let answer = cluster.query(node, &ask)?;
     Some((answer["held"]["nodes"].as_u64()?, answer["held"]["after_ms"].as_u64()?))
 }
 
 fn processes(nodes: usize, program: &Path) -> std::io::Result<()> {
     raise_descriptors()?;
     let folder = tempfile::tempdir()?;
-    let plan = TrialPlan::new(program.into(), nodes, 1);
-    let plan = TrialPlan { fleet: FleetConfig { boxes: 24, ..plan.fleet.clone() }, ..plan };
-    let mut trial = Trial::start(plan, folder.path())?;
+    let plan = ClusterPlan::new(program.into(), nodes, 1);
+    let plan = ClusterPlan { fleet: FleetConfig { boxes: 24, ..plan.fleet.clone() }, ..plan };
+    let mut cluster = Cluster::start(plan, folder.path())?;
     let all: Vec<usize> = (0..nodes).collect();
-    if !trial.until(|trial| trial.whole(&all)) {
+    if !cluster.wait_until(|cluster| cluster.is_converged(&all)) {
         println!("{nodes} processes: NOT WHOLE WITHIN A MINUTE");
     }
     let mut times = clients::latency_histogram();
     for round in 0..16 {
         let node = round % nodes;
-        let told = held(&trial, node, &format!("box-{round}"), nodes);
+        let told = held(&cluster, node, &format!("box-{round}"), nodes);
         match told {
             Some((by, ms)) if by as usize == nodes => _ = times.record((ms * 1_000).max(1)),
             other => println!("{nodes} processes: order {round} at node {node}: {other:?}"),
@@ -165,14 +165,14 @@
     println!("{nodes} processes: from an order to the word that all hold it, s: {}", told(&times));
     let back: Vec<usize> = all.iter().copied().filter(|node| node % 10 < 7).collect();
     let start = Instant::now();
-    trial.fault(&lilacquay_fleet::cluster::Fault::Kill(back.clone()))?;
-    trial.fault(&lilacquay_fleet::cluster::Fault::Start(back))?;
-    let level = |trial: &Trial| {
-        let copies: Vec<_> = all.iter().filter_map(|&node| trial.copy(node)).collect();
+    cluster.inject(&lilacquay_fleet::cluster::Fault::Kill(back.clone()))?;
+    cluster.inject(&lilacquay_fleet::cluster::Fault::Start(back))?;
+    let level = |cluster: &Cluster| {
+        let copies: Vec<_> = all.iter().filter_map(|&node| cluster.replica_view(node)).collect();
         copies.len() == nodes
             && copies.iter().all(|c| c["stage"] == "level" && c["root"] == copies[0]["root"])
     };
-    let came = trial.until(level);
+    let came = cluster.wait_until(level);
     println!(
         "{nodes} processes: 7 in 10 killed at once and level again after {:.2} s ({came})",
         start.elapsed().as_secs_f64()
@@ -198,26 +198,27 @@
         for turn in 0..TURNS {
             let on = turn % 2 == 1;
             let folder = tempfile::tempdir()?;
-            let plan = TrialPlan::new(program.into(), nodes, 1 + turn / 2);
+            let plan = ClusterPlan::new(program.into(), nodes, 1 + turn / 2);
             let common = if on { vec!["evidence"] } else { vec![] };
-            let trial = Trial::start(TrialPlan { common: Some(common), ..plan }, folder.path())?;
+            let cluster =
+                Cluster::start(ClusterPlan { replicated_kinds: Some(common), ..plan }, folder.path())?;
             let all: Vec<usize> = (0..nodes).collect();
-            trial.until(|trial| trial.whole(&all));
+            cluster.wait_until(|cluster| cluster.is_converged(&all));
             let load = |node: usize, time: u64, seed: u64| {
                 let time = Duration::from_secs(time);
                 let load = Load {
                     keep_requests: true,
                     rate: 15.0,
-                    ..Load::standard(trial.listen(node), time, seed)
+                    ..Load::standard(cluster.client_address(node), time, seed)
                 };
-                runtime.spawn(clients::run(load, trial.fleet.clock().clone(), Arc::default()))
+                runtime.spawn(clients::run(load, cluster.fleet.clock().clone(), Arc::default()))
             };
             let warm: Vec<_> = all.iter().map(|&node| load(node, 4, node as u64 + 100 * turn / 2)).collect();
             for task in warm {
                 runtime.block_on(task)?;
             }
-            trial.fleet.step(Step::Faults { server: "box-1".into(), faults: faults.clone() })?;
-            let start = trial.fleet.clock().now();
+            cluster.fleet.step(Step::Faults { server: "box-1".into(), faults: faults.clone() })?;
+            let start = cluster.fleet.clock().now();
             let running: Vec<_> =
                 all.iter().map(|&node| load(node, 6, 1_000 + node as u64 + 100 * (turn / 2))).collect();
             let (mut late, mut unserved, mut asked) = (0, 0, 0);
@@ -229,7 +230,7 @@
                 asked += report.requests.len();
             }
             let mut sent = [0; 3];
-            for record in trial.fleet.records().0 {
+            for record in cluster.fleet.records().0 {
                 let second = record.at.saturating_sub(start) / 2_000_000;
                 if &*record.server == "box-1"
                     && record.at >= start
--- a/crates/bench/src/bin/siblings.rs
+++ b/crates/bench/src/bin/siblings.rs
@@ -12,7 +12,7 @@
 use hdrhistogram::Histogram;
 use lilacquay_bench::raise_descriptors;
 use lilacquay_fleet::clients::{self, Load};
-use lilacquay_fleet::cluster::{Fault, Trial, TrialPlan, Way};
+use lilacquay_fleet::cluster::{Cluster, ClusterPlan, Fault, LinkFaults};
 use lilacquay_siblings::simulation::{Link, MS, SEC, Simulation};
 use lilacquay_siblings::{MembershipEvent, Micros, NodeState, StateReason};
 
@@ -197,14 +197,18 @@
     for round in 0..6 {
         let siblings = round % 2 == 1;
         let folder = tempfile::tempdir()?;
-        let plan = TrialPlan { siblings, ..TrialPlan::new(program.into(), 5, 1) };
-        let trial = Trial::start(plan, folder.path())?;
+        let plan = ClusterPlan { siblings, ..ClusterPlan::new(program.into(), 5, 1) };
+        let cluster = Cluster::start(plan, folder.path())?;
         std::thread::sleep(Duration::from_secs(4));
         let time = Duration::from_secs(15);
-        let load = Load { keep_requests: true, rate: 300.0, ..Load::standard(trial.listen(0), time, round) };
-        let process = trial.process(0).unwrap_or_default();
+        let load = Load {
+            keep_requests: true,
+            rate: 300.0,
+            ..Load::standard(cluster.client_address(0), time, round)
+        };
+        let process = cluster.process_id(0).unwrap_or_default();
         let before = processor_ms(process);
-        let clock = trial.fleet.clock().clone();
+        let clock = cluster.fleet.clock().clone();
         let report = runtime.block_on(runtime.spawn(clients::run(load, clock, Arc::default())))?;
         let cpu = (processor_ms(process) - before) / time.as_secs_f64();
         let served = report.served_latencies();
@@ -238,45 +242,46 @@
 fn processes(nodes: usize, program: &Path) -> std::io::Result<()> {
     raise_descriptors()?;
     let folder = tempfile::tempdir()?;
-    let plan = TrialPlan::new(program.into(), nodes, 1);
+    let plan = ClusterPlan::new(program.into(), nodes, 1);
     let start = Instant::now();
-    let mut trial = Trial::start(plan, folder.path())?;
+    let mut cluster = Cluster::start(plan, folder.path())?;
     let all: Vec<usize> = (0..nodes).collect();
     let took = |what: &str, start: Instant, came: bool| {
         let came = if came { "" } else { "  NOT WITHIN A MINUTE" };
         println!("{nodes} processes: {what} {:.2} s{came}", start.elapsed().as_secs_f64());
     };
-    let came = trial.until(|trial| trial.whole(&all));
+    let came = cluster.wait_until(|cluster| cluster.is_converged(&all));
     took("all started and here", start, came);
-    let before = trial.datagrams();
+    let before = cluster.datagram_counts();
     std::thread::sleep(Duration::from_secs(10));
-    let bytes = (trial.datagrams().1 - before.1) / 10 / nodes as u64;
+    let bytes = (cluster.datagram_counts().1 - before.1) / 10 / nodes as u64;
     println!("{nodes} processes: {bytes} bytes a second and node at rest, as the relay counts them");
     let (dead, others): (usize, Vec<usize>) =
         (nodes / 2, all.iter().copied().filter(|&n| n != nodes / 2).collect());
     let start = Instant::now();
-    trial.fault(&Fault::Kill(vec![dead]))?;
-    let gone = |trial: &Trial| others.iter().all(|&at| trial.state(at, dead).as_deref() == Some("gone"));
-    let came = trial.until(gone);
+    cluster.inject(&Fault::Kill(vec![dead]))?;
+    let gone =
+        |cluster: &Cluster| others.iter().all(|&at| cluster.node_state(at, dead).as_deref() == Some("gone"));
+    let came = cluster.wait_until(gone);
     took("a death known to all", start, came);
     let start = Instant::now();
-    trial.fault(&Fault::Start(vec![dead]))?;
-    let came = trial.until(|trial| trial.whole(&all));
+    cluster.inject(&Fault::Start(vec![dead]))?;
+    let came = cluster.wait_until(|cluster| cluster.is_converged(&all));
     took("its return known to all", start, came);
     let some: Vec<usize> = all.iter().copied().filter(|n| n % 10 < 7).collect();
     let start = Instant::now();
-    trial.fault(&Fault::Kill(some.clone()))?;
-    trial.fault(&Fault::Start(some))?;
-    let came = trial.until(|trial| trial.whole(&all));
+    cluster.inject(&Fault::Kill(some.clone()))?;
+    cluster.inject(&Fault::Start(some))?;
+    let came = cluster.wait_until(|cluster| cluster.is_converged(&all));
     took("7 in 10 killed in an instant, back, and known to all", start, came);
     let (left, right) = all.split_at(nodes / 2);
     for (from, to) in [(left, right), (right, left)] {
-        trial.fault(&Fault::Ways(from.to_vec(), to.to_vec(), Way::CUT))?;
+        cluster.inject(&Fault::Links(from.to_vec(), to.to_vec(), LinkFaults::CUT))?;
     }
     std::thread::sleep(Duration::from_secs(20));
     let start = Instant::now();
-    trial.fault(&Fault::Ways(all.clone(), all.clone(), Way::GOOD))?;
-    let came = trial.until(|trial| trial.whole(&all));
+    cluster.inject(&Fault::Links(all.clone(), all.clone(), LinkFaults::NONE))?;
+    let came = cluster.wait_until(|cluster| cluster.is_converged(&all));
     took("half and half for 20 s, healed after", start, came);
     Ok(())
 }
--- a/crates/fleet/src/cluster.rs
+++ b/crates/fleet/src/cluster.rs
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::{Clock, Micros};
-use crate::{Fleet, Plan};
+use crate::{Fleet, FleetConfig};
 
 /// The largest datagram that nodes may send, in bytes. Receive buffers have one byte more, to detect a larger one.
 const MAX_DATAGRAM_BYTES: usize = 256;
@@ -169,7 +169,7 @@
     /// Seeds the random choices of the links.
     pub seed: u64,
     /// The servers and the origin that all nodes use.
-    pub fleet: Plan,
+    pub fleet: FleetConfig,
     /// The record kinds that the nodes replicate, written as `common` in their options; the options' default if none are
     /// given.
     pub replicated_kinds: Option<Vec<&'static str>>,
@@ -180,7 +180,7 @@
 impl ClusterPlan {
     /// A cluster of `nodes` siblings, with defaults for the rest.
     pub fn new(program: PathBuf, nodes: usize, seed: u64) -> ClusterPlan {
-        let fleet = Plan { seed, ..Plan::default() };
+        let fleet = FleetConfig { seed, ..FleetConfig::default() };
         ClusterPlan {
             program,
             nodes,
--- a/crates/fleet/src/etcd/server.rs
+++ b/crates/fleet/src/etcd/server.rs
@@ -35,7 +35,7 @@
 
 use super::store::{Change, Store, StoreError};
 use crate::clock::Micros;
-use crate::record::{Event, Log, Told};
+use crate::record::{Event, Log, ServerState};
 
 /// How long a watch that asked for progress notifications is idle before it gets one. etcd's own default is ten minutes.
 const PROGRESS_NOTIFY_INTERVAL: Duration = Duration::from_secs(1);
@@ -255,11 +255,11 @@
     fn record_told(&self, kv: &KeyValue, kind: EventType) {
         let Some(id) = self.server_id(kv) else { return };
         let told = match kind {
-            EventType::Delete => Told::Deleted,
-            EventType::Put if contains(&kv.value, b"draining") => Told::Draining,
-            EventType::Put => Told::Serving,
+            EventType::Delete => ServerState::Deleted,
+            EventType::Put if contains(&kv.value, b"draining") => ServerState::Draining,
+            EventType::Put => ServerState::Serving,
         };
-        self.log.note(&id.as_str().into(), Event::Told(told));
+        self.log.record(&id.as_str().into(), Event::StateSent(told));
         lock(&self.known_ids).insert(id);
     }
 
@@ -270,7 +270,7 @@
             let gone =
                 |id: &&String| lock(&self.store).get(&[&self.prefix, id.as_bytes()].concat()).is_none();
             for id in lock(&self.known_ids).iter().filter(gone) {
-                self.log.note(&id.as_str().into(), Event::Told(Told::Deleted));
+                self.log.record(&id.as_str().into(), Event::StateSent(ServerState::Deleted));
             }
         }
     }
@@ -321,7 +321,7 @@
                 () = shutdown.cancelled() => return,
                 _ = self.faults.changed() => {}
                 () = sleep(Duration::from_millis(5)), if listener.is_none() && !refuse => {} // retry of a failed bind
-                accepted = crate::cache::accept_on(listener.as_ref()) => if let Ok(stream) = accepted {
+                accepted = crate::cache::accept_if_listening(listener.as_ref()) => if let Ok(stream) = accepted {
                     tokio::spawn(self.clone().serve_connection(stream));
                 },
             }
--- a/crates/fleet/src/soak/faults.rs
+++ b/crates/fleet/src/soak/faults.rs
@@ -7,7 +7,7 @@
 
 use super::{CACHE_SERVERS, FAULT_PERIOD, KILL_DELAY, MAX_DEADLINE, MAX_PAUSE, NODES};
 use crate::fault::Faults;
-use crate::script::{Script, Step, troubles};
+use crate::script::{Script, Step, mixed_faults};
 
 /// An action on a node's process.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -93,8 +93,8 @@
 /// and faults while the nodes end.
 pub(super) fn server_script(seed: u64) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5c71);
-    let mut script = troubles(seed, CACHE_SERVERS, FAULT_PERIOD);
-    let more = troubles(seed ^ 0xfeed, CACHE_SERVERS, FAULT_PERIOD);
+    let mut script = mixed_faults(seed, CACHE_SERVERS, FAULT_PERIOD);
+    let more = mixed_faults(seed ^ 0xfeed, CACHE_SERVERS, FAULT_PERIOD);
     script.extend(more.into_iter().filter(|(_, step)| matches!(step, Step::Faults { .. })));
     for _ in 0..4 {
         let server = format!("box-{}", rng.usize(..CACHE_SERVERS));
--- a/crates/fleet/src/soak/mod.rs
+++ b/crates/fleet/src/soak/mod.rs
@@ -21,11 +21,11 @@
 use rustix::process::Signal;
 use tokio::runtime::Builder;
 
-use crate::clients::{self, Ask, Class, End, Kind, Load, Report};
+use crate::clients::{self, Class, ClientRequest, Load, Outcome, Report, RequestKind};
 use crate::clock::Micros;
 use crate::record::Event;
-use crate::verdict::{Broken, check};
-use crate::{Fleet, Plan};
+use crate::verdict::{Violation, check};
+use crate::{Fleet, FleetConfig};
 
 use faults::{ProcessAction, process_actions, server_script};
 use pipelined::{Pace, PipelineReport, run_pipelining_client};
@@ -157,7 +157,12 @@
     fn start(program: &Program, folder: &Path, seed: u64) -> io::Result<Soak> {
         let system_calls = SystemCallFaults::draw(program, folder, seed);
         let delay = Duration::from_millis(seed % 4 * 100);
-        let fleet = Fleet::start(Plan { seed, boxes: CACHE_SERVERS, delay, ..Plan::default() })?;
+        let fleet = Fleet::start(FleetConfig {
+            seed,
+            boxes: CACHE_SERVERS,
+            notification_delay: delay,
+            ..FleetConfig::default()
+        })?;
         let slot = |node: usize| {
             // Each node has its own loopback address, so that no outgoing connection takes its port while it is down.
             let listen = SocketAddr::from(([127, 77, (seed % 250) as u8, node as u8 + 1], 0));
@@ -195,14 +200,14 @@
     fn load(&self, node: usize) -> Load {
         let seed = self.seed * 1000 + node as u64;
         let time = FAULT_PERIOD + MAX_DEADLINE + KILL_DELAY; // until the nodes are killed
-        let usual = Load::usual(self.slots[node].listen, time, seed);
+        let usual = Load::standard(self.slots[node].listen, time, seed);
         let impatient = |share, wait| {
             let wait = Duration::from_millis(wait);
-            Class { name: "lookup".into(), share, kind: Kind::Read, wait }
+            Class { name: "lookup".into(), weight: share, kind: RequestKind::Read, timeout: wait }
         };
         let mut classes = usual.classes.clone();
         classes.extend([impatient(0.15, 40), impatient(0.15, 250), impatient(0.05, 5)]);
-        Load { classes, kept: true, rate: 10.0, leaving: 0.25, keys: 300, ..usual }
+        Load { classes, keep_requests: true, rate: 10.0, abandon_fraction: 0.25, keys: 300, ..usual }
     }
 
     /// The ids of the running processes, by node.
@@ -299,11 +304,11 @@
     fn evaluate(self, reports: Vec<Report>) -> Verdict {
         let (mut asks, mut doubled) = (Vec::new(), 0);
         for (node, report) in reports.into_iter().enumerate() {
-            doubled += report.doubled;
+            doubled += report.unsolicited_answers;
             let pauses = &self.slots[node].pauses;
-            let adjusted = report.asks.into_iter().map(|mut ask| {
+            let adjusted = report.requests.into_iter().map(|mut ask| {
                 // Time spent waiting for a core is a delay of the machine, not of the node.
-                ask.late += self.run_delays.max_delay(node, ask.sent, ask.ended);
+                ask.scheduling_delay += self.run_delays.max_delay(node, ask.sent, ask.ended);
                 (node, allow_for_pauses(ask, pauses))
             });
             asks.extend(adjusted);
@@ -311,12 +316,12 @@
         let asks_before = asks.len();
         asks.retain(|(node, ask)| !arrived_while_listener_closed(ask, &self.slots[*node].terminated_at));
         let lost_at_listener_close = asks_before - asks.len();
-        let asks: Vec<Ask> = asks.into_iter().map(|(_, ask)| ask).collect();
-        let max_allowance_us = asks.iter().map(|ask| ask.late).max().unwrap_or(0) as usize;
+        let asks: Vec<ClientRequest> = asks.into_iter().map(|(_, ask)| ask).collect();
+        let max_allowance_us = asks.iter().map(|ask| ask.scheduling_delay).max().unwrap_or(0) as usize;
         let (records, dropped) = self.fleet.records();
         let mut violations = self.violations;
         let broken = check((&records, dropped), &asks, doubled, LIST_CHANGE_GRACE_US);
-        violations.extend(broken.iter().map(Broken::to_string));
+        violations.extend(broken.iter().map(Violation::to_string));
         // A paused node may report broken rules that are due to its pause. For such nodes only the check above counts, which
         // allows for pauses.
         for slot in self.slots.iter().filter(|slot| slot.pauses.is_empty()) {
@@ -325,7 +330,7 @@
         let forwarded: BTreeSet<&str> = records
             .iter()
             .filter_map(|record| match &record.event {
-                Event::Asked(asked) => Some(asked.id.as_str()),
+                Event::Received(asked) => Some(asked.id.as_str()),
                 _ => None,
             })
             .collect();
@@ -349,18 +354,19 @@
         };
         let after_partial_value: usize = self.pipeline_reports.iter().map(after_partial_value).sum();
         let large_writes: usize = self.pipeline_reports.iter().map(|report| report.large_writes).sum();
-        let repeated = records.iter().filter(|record| matches!(record.event, Event::Repeated(_))).count();
-        let halted = records.iter().filter(|record| matches!(record.event, Event::Halted(_))).count();
-        let cut = records.iter().filter(|record| matches!(record.event, Event::Cut(_))).count();
-        let ended = |end: End| asks.iter().filter(|ask| ask.end == end).count();
-        let asked = records.iter().filter(|record| matches!(record.event, Event::Asked(_))).count();
+        let repeated =
+            records.iter().filter(|record| matches!(record.event, Event::AnswerRepeated(_))).count();
+        let halted = records.iter().filter(|record| matches!(record.event, Event::AnswerHalted(_))).count();
+        let cut = records.iter().filter(|record| matches!(record.event, Event::AnswerCut(_))).count();
+        let ended = |end: Outcome| asks.iter().filter(|ask| ask.outcome == end).count();
+        let asked = records.iter().filter(|record| matches!(record.event, Event::Received(_))).count();
         let coverage = BTreeMap::from([
             ("requests", asks.len()),
-            ("served", ended(End::Served)),
-            ("refused", ended(End::Refused)),
-            ("failed", ended(End::Failed)),
-            ("left", ended(End::Left)),
-            ("unreached", ended(End::Unreached)),
+            ("served", ended(Outcome::Served)),
+            ("refused", ended(Outcome::Refused)),
+            ("failed", ended(Outcome::Failed)),
+            ("left", ended(Outcome::Abandoned)),
+            ("unreached", ended(Outcome::Unreached)),
             ("sent again", asks.iter().filter(|ask| ask.resent.is_some()).count()),
             ("attempts", asked),
             ("pipelined", pipelined),
@@ -370,7 +376,7 @@
             ("answers sent twice", repeated),
             ("values that stopped", halted),
             ("answers cut, of no length", cut),
-            ("broken off at a client", ended(End::Broken)),
+            ("broken off at a client", ended(Outcome::Truncated)),
             ("system calls that failed", self.system_calls.injected_count()),
             ("lateness granted, ms", max_allowance_us / 1000),
         ]);
@@ -393,20 +399,21 @@
 
 /// Whether a request was lost because its new connection arrived between its node's last accept and the close of the
 /// listener. New connections arrive for at most 0.4 s after SIGTERM, and the node accepts them for 0.5 s.
-fn arrived_while_listener_closed(ask: &Ask, terminated_at: &[Micros]) -> bool {
+fn arrived_while_listener_closed(ask: &ClientRequest, terminated_at: &[Micros]) -> bool {
     let is_closing = |sigterm_at: &Micros| {
         let since_sigterm = ask.sent.saturating_sub(*sigterm_at);
-        (MAX_NEW_CONNECTION_DELAY_US..=LISTENER_CLOSE_DELAY_US + MAX_PAUSE.as_micros() as Micros + ask.late)
+        (MAX_NEW_CONNECTION_DELAY_US
+            ..=LISTENER_CLOSE_DELAY_US + MAX_PAUSE.as_micros() as Micros + ask.scheduling_delay)
             .contains(&since_sigterm)
     };
-    ask.end == End::Lost && ask.resent.is_none() && terminated_at.iter().any(is_closing)
+    ask.outcome == Outcome::ConnectionClosed && ask.resent.is_none() && terminated_at.iter().any(is_closing)
 }
 
 /// Adds the longest pause of the node that overlaps a request to the lateness that the check tolerates, because the operators
 /// accept that a paused node acts that much later.
-fn allow_for_pauses(mut ask: Ask, pauses: &[(Micros, Micros)]) -> Ask {
+fn allow_for_pauses(mut ask: ClientRequest, pauses: &[(Micros, Micros)]) -> ClientRequest {
     let overlaps = |(begin, end): &&(Micros, Micros)| *begin <= ask.ended && ask.sent <= *end;
     let allowance = pauses.iter().filter(overlaps).map(|(begin, end)| end.saturating_sub(*begin)).max();
-    ask.late += allowance.unwrap_or(0);
+    ask.scheduling_delay += allowance.unwrap_or(0);
     ask
 }
--- a/crates/fleet/src/soak/pipelined.rs
+++ b/crates/fleet/src/soak/pipelined.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::clients::{command_of, made_for};
+use crate::clients::{encode_command_with_value, is_value_for};
 
 /// The number of requests that a steady client keeps in flight.
 const STEADY_IN_FLIGHT: usize = 3;
@@ -179,9 +179,14 @@
         self.next_number += 1;
         let text = if self.next_number.is_multiple_of(LARGE_WRITE_INTERVAL) {
             report.large_writes += 1;
-            command_of(&key, &id, &format!("{WRITE_FACTS},k={id}"), Some(&[b'x'; LARGE_VALUE_BYTES]))
+            encode_command_with_value(
+                &key,
+                &id,
+                &format!("{WRITE_FACTS},k={id}"),
+                Some(&[b'x'; LARGE_VALUE_BYTES]),
+            )
         } else {
-            command_of(&key, &id, READ_FACTS, None)
+            encode_command_with_value(&key, &id, READ_FACTS, None)
         };
         (InFlight { id, key, written_at: Instant::now() }, text)
     }
@@ -191,7 +196,7 @@
     fn record_answer(&mut self, request: &InFlight, frame: &Frame) {
         self.answered += 1;
         if let Frame::BulkString(value) = frame
-            && !made_for(value, &request.id, &request.key)
+            && !is_value_for(value, &request.id, &request.key)
         {
             self.foreign_answers.push(request.id.clone());
         }
--- a/crates/lilacquay/tests/replica.rs
+++ b/crates/lilacquay/tests/replica.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacquay_fleet::clients::{self, Load, Report};
-use lilacquay_fleet::cluster::{Fault, Trial, TrialPlan, Way};
+use lilacquay_fleet::cluster::{Cluster, ClusterPlan, Fault, LinkFaults};
 use lilacquay_fleet::record::Event;
 use lilacquay_fleet::script::Step;
 use lilacquay_fleet::verdict::{Violation, check};
@@ -15,19 +15,19 @@
 use serde_json::json;
 
 /// Whether a box takes requests at a node, by the node's own word.
-fn serves(trial: &Trial, node: usize, server: &str) -> Option<bool> {
-    let answer = trial.ask(node, &json!({ "v": 2, "ask": "servers" }))?;
+fn serves(cluster: &Cluster, node: usize, server: &str) -> Option<bool> {
+    let answer = cluster.query(node, &json!({ "v": 2, "ask": "servers" }))?;
     let servers = answer["servers"].as_array()?.clone();
     servers.iter().find(|found| found["server"] == server)?["serves"].as_bool()
 }
 
 /// Whether a box is drained, or serves, at all of these.
-fn drained(trial: &Trial, nodes: &[usize], server: &str, drained: bool) -> bool {
-    nodes.iter().all(|&node| serves(trial, node, server) == Some(!drained))
+fn drained(cluster: &Cluster, nodes: &[usize], server: &str, drained: bool) -> bool {
+    nodes.iter().all(|&node| serves(cluster, node, server) == Some(!drained))
 }
 
-fn level(trial: &Trial, nodes: &[usize]) -> bool {
-    let copies: Vec<_> = nodes.iter().map(|&node| trial.copy(node)).collect();
+fn level(cluster: &Cluster, nodes: &[usize]) -> bool {
+    let copies: Vec<_> = nodes.iter().map(|&node| cluster.replica_view(node)).collect();
     copies.iter().all(|copy| copy.as_ref().is_some_and(|copy| copy["stage"] == "level"))
         && copies
             .iter()
@@ -40,19 +40,19 @@
     let (_, told) = site.command(node, &[words, &["--wait-for", &many]].concat());
     assert!(told.contains("obeyed"), "{told}");
     let (word, server) = (words[0], words[1]);
-    site.until("the order shows", |trial| drained(trial, shows_at, server, word == "drain"));
+    site.until("the order shows", |cluster| drained(cluster, shows_at, server, word == "drain"));
 }
 
 #[test]
 fn a_drain_given_at_one_node_holds_at_all_and_is_lifted_from_another() {
     let site = Site::whole(21);
-    site.until("all are level", |trial| level(trial, &all()));
+    site.until("all are level", |cluster| level(cluster, &all()));
     ordered(&site, 0, &["drain", "box-1"], &all());
     let (well, told) = site.command(4, &["replica"]);
     assert!(well && told.contains("box-1: drain by node 0") && told.contains("level for"), "{told}");
     let (well, told) = site.command(3, &["undrain", "box-1", "--wait-for", "9"]);
     assert!(!well && told.contains("held by") && told.contains("obeyed, but not yet by 9 nodes"), "{told}");
-    site.until("none drains it", |trial| drained(trial, &all(), "box-1", false));
+    site.until("none drains it", |cluster| drained(cluster, &all(), "box-1", false));
     let (well, told) = site.command(2, &["level", "debug", "--everywhere"]);
     assert!(well && told.contains("nodes so far"), "{told}");
     site.until("all log more", |_| {
@@ -60,7 +60,7 @@
     });
     // As whoever compares two nodes does it.
     let diff = || {
-        let folders = [0, 1].map(|node| site.trial.state_folder(node));
+        let folders = [0, 1].map(|node| site.cluster.state_folder(node));
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_lilacquay"));
         command.args(["replica", "diff"]).args(folders).output().unwrap()
     };
@@ -77,9 +77,9 @@
     // One in each half, in sight of the first: the one lifts it, the other renews it.
     ordered(&site, 1, &["drain", "box-2"], &few);
     ordered(&site, 3, &["undrain", "box-2"], &many);
-    assert!(drained(&site.trial, &few, "box-2", true));
+    assert!(drained(&site.cluster, &few, "box-2", true));
     site.heal();
-    site.until("the drain stands", |trial| drained(trial, &all(), "box-2", true));
+    site.until("the drain stands", |cluster| drained(cluster, &all(), "box-2", true));
     site.until("the conflict is shown", |_| {
         all().iter().all(|&node| {
             let told = site.command(node, &["replica"]).1;
@@ -98,39 +98,40 @@
     let mut site = Site::whole(23);
     ordered(&site, 0, &["drain", "box-3"], &[0, 1]);
     site.fault(Fault::Kill(vec![0]));
-    site.until("the others drain it", |trial| drained(trial, &others(0), "box-3", true));
+    site.until("the others drain it", |cluster| drained(cluster, &others(0), "box-3", true));
     site.fault(Fault::Start(vec![0]));
-    site.until("it has caught up", |trial| drained(trial, &[0], "box-3", true) && level(trial, &all()));
+    site.until("it has caught up", |cluster| drained(cluster, &[0], "box-3", true) && level(cluster, &all()));
     // One that lasts at its node, and is lifted while that is dead.
     ordered(&site, 2, &["drain", "box-4", "--lasting"], &all());
     site.fault(Fault::Kill(vec![2]));
     ordered(&site, 1, &["undrain", "box-4"], &others(2));
     site.fault(Fault::Start(vec![2]));
-    site.until("it is lifted there too", |trial| {
-        drained(trial, &all(), "box-4", false) && level(trial, &all())
+    site.until("it is lifted there too", |cluster| {
+        drained(cluster, &all(), "box-4", false) && level(cluster, &all())
     });
     // All at once: what lasts comes back from the one folder that has it, what does not is gone.
     ordered(&site, 2, &["drain", "box-5", "--lasting"], &all());
     site.fault(Fault::Kill(all()));
     site.fault(Fault::Start(all()));
-    site.until("box-5 is drained everywhere", |trial| drained(trial, &all(), "box-5", true));
-    assert!(drained(&site.trial, &all(), "box-3", false));
+    site.until("box-5 is drained everywhere", |cluster| drained(cluster, &all(), "box-5", true));
+    assert!(drained(&site.cluster, &all(), "box-3", false));
 }
 
 #[test]
 fn one_that_was_paused_or_cut_off_finds_what_it_has_missed() {
     let mut site = Site::whole(24);
-    site.until("all are level", |trial| level(trial, &all()));
+    site.until("all are level", |cluster| level(cluster, &all()));
     ordered(&site, 0, &["drain", "box-0"], &all());
     site.fault(Fault::Pause(vec![4]));
-    site.until("4 is gone", |trial| {
-        others(4).iter().all(|&at| trial.state(at, 4).as_deref() == Some("gone"))
+    site.until("4 is gone", |cluster| {
+        others(4).iter().all(|&at| cluster.node_state(at, 4).as_deref() == Some("gone"))
     });
     ordered(&site, 1, &["undrain", "box-0"], &others(4));
     ordered(&site, 1, &["drain", "box-1"], &others(4));
     site.fault(Fault::Resume(vec![4]));
-    let caught_up =
-        |trial: &Trial| drained(trial, &all(), "box-0", false) && drained(trial, &all(), "box-1", true);
+    let caught_up = |cluster: &Cluster| {
+        drained(cluster, &all(), "box-0", false) && drained(cluster, &all(), "box-1", true)
+    };
     site.until("4 has caught up", caught_up);
     site.until("4 says so", |_| {
         site.said(4, "this node was away") >= 1 && site.said(4, "this node is level") >= 1
@@ -138,50 +139,54 @@
     site.split(&[3], &others(3));
     std::thread::sleep(Duration::from_secs(4)); // longer than a lease
     ordered(&site, 0, &["undrain", "box-1"], &others(3));
-    assert!(drained(&site.trial, &[3], "box-1", true));
+    assert!(drained(&site.cluster, &[3], "box-1", true));
     site.heal();
-    site.until("3 has caught up", |trial| drained(trial, &all(), "box-1", false));
+    site.until("3 has caught up", |cluster| drained(cluster, &all(), "box-1", false));
 }
 
 /// Its own list stays as it was at its start; the others' lists say that a box drains.
 #[test]
 fn a_node_whose_discovery_is_silent_keeps_a_drain_by_word_of_its_fellows() {
-    let site = Site::of(TrialPlan { deaf: vec![4], ..plan(25) }).once_whole();
+    let site = Site::of(ClusterPlan { without_discovery: vec![4], ..plan(25) }).once_whole();
     let load = |seed: u64, time: u64| {
-        let load =
-            Load { rate: 60.0, ..Load::standard(site.trial.listen(4), Duration::from_secs(time), seed) };
+        let load = Load {
+            rate: 60.0,
+            ..Load::standard(site.cluster.client_address(4), Duration::from_secs(time), seed)
+        };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        runtime.block_on(clients::run(load, site.trial.fleet.clock().clone(), Arc::default()))
+        runtime.block_on(clients::run(load, site.cluster.fleet.clock().clone(), Arc::default()))
     };
     let sent = |server: &str| {
-        let records = site.trial.fleet.records().0;
+        let records = site.cluster.fleet.records().0;
         let first = |event: &Event| matches!(event, Event::FirstByte);
         records.iter().filter(|record| &*record.server == server && first(&record.event)).count()
     };
     load(1, 2);
     assert!(sent("box-2") > 0);
-    site.trial.fleet.step(Step::Drain { server: "box-2".into() }).unwrap();
-    site.until("4 has heard", |trial| trial.copy(4).is_some_and(|copy| copy["left_out"] == json!(["box-2"])));
-    assert!(drained(&site.trial, &[4], "box-2", true), "though its own list says that it serves");
+    site.cluster.fleet.step(Step::Drain { server: "box-2".into() }).unwrap();
+    site.until("4 has heard", |cluster| {
+        cluster.replica_view(4).is_some_and(|copy| copy["left_out"] == json!(["box-2"]))
+    });
+    assert!(drained(&site.cluster, &[4], "box-2", true), "though its own list says that it serves");
     let before = sent("box-2");
     load(2, 2);
     assert_eq!(sent("box-2"), before, "nothing new");
     // Hearsay adds nothing: a box that its own list lacks is not sent to.
-    site.trial.fleet.step(Step::Replace { server: "box-3".into(), by: "box-new".into() }).unwrap();
-    site.until("the others have it", |trial| serves(trial, 0, "box-new") == Some(true));
-    assert_eq!(serves(&site.trial, 4, "box-new"), None);
+    site.cluster.fleet.step(Step::Replace { server: "box-3".into(), by: "box-new".into() }).unwrap();
+    site.until("the others have it", |cluster| serves(cluster, 0, "box-new") == Some(true));
+    assert_eq!(serves(&site.cluster, 4, "box-new"), None);
 }
 
 #[test]
 fn what_is_switched_off_is_not_written_and_where_all_is_nothing_is_sent() {
-    let site = Site::of(TrialPlan { common: Some(vec![]), ..plan(26) }).once_whole();
+    let site = Site::of(ClusterPlan { replicated_kinds: Some(vec![]), ..plan(26) }).once_whole();
     let (well, told) = site.command(0, &["replica"]);
     assert!(!well && told.contains("holds nothing in common"), "{told}");
     let (well, told) = site.command(0, &["drain", "box-1"]);
     assert!(well && !told.contains("held by"), "{told}");
-    assert!(drained(&site.trial, &others(0), "box-1", false));
+    assert!(drained(&site.cluster, &others(0), "box-1", false));
     drop(site);
-    let site = Site::of(TrialPlan { common: Some(vec!["words"]), ..plan(27) }).once_whole();
+    let site = Site::of(ClusterPlan { replicated_kinds: Some(vec!["words"]), ..plan(27) }).once_whole();
     assert!(site.command(0, &["drain", "box-1"]).0);
     let (_, told) = site.command(0, &["replica"]);
     assert!(told.contains("0 records of order (off"), "{told}");
@@ -193,18 +198,18 @@
     let mut site = Site::whole(28);
     let time = Duration::from_secs(10);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build().unwrap();
-    let clock = site.trial.fleet.clock().clone();
+    let clock = site.cluster.fleet.clock().clone();
     let load = |node: usize| {
         let load = Load {
             keep_requests: true,
             rate: 30.0,
-            ..Load::standard(site.trial.listen(node), time, node as u64)
+            ..Load::standard(site.cluster.client_address(node), time, node as u64)
         };
         runtime.spawn(clients::run(load, clock.clone(), Arc::default()))
     };
     let running: Vec<_> = all().into_iter().map(load).collect();
-    let lossy = Way { loss: 0.2, doubled: 0.1, delay: Duration::from_millis(150), cut: false };
-    site.fault(Fault::Ways(all(), all(), lossy));
+    let lossy = LinkFaults { loss: 0.2, doubled: 0.1, delay: Duration::from_millis(150), cut: false };
+    site.fault(Fault::Links(all(), all(), lossy));
     let mut rng = fastrand::Rng::with_seed(28);
     for round in 0..8 {
         // Of three boxes at the most, so that others serve; a node that is dead takes no order.
@@ -215,7 +220,7 @@
             2 => site.fault(Fault::Kill(vec![3])),
             3 => site.fault(Fault::Start(vec![3])),
             4 => site.split(&[0, 1], &[2, 3, 4]),
-            6 => site.fault(Fault::Ways(all(), all(), lossy)),
+            6 => site.fault(Fault::Links(all(), all(), lossy)),
             _ => {}
         }
         std::thread::sleep(Duration::from_millis(700));
@@ -223,7 +228,7 @@
     site.heal();
     let reports: Vec<Report> =
         running.into_iter().map(|running| runtime.block_on(running).unwrap()).collect();
-    let (records, dropped) = site.trial.fleet.records();
+    let (records, dropped) = site.cluster.fleet.records();
     let doubled = reports.iter().map(|report| report.unsolicited_answers).sum();
     // What the process that was killed held, nobody can answer.
     let whose = |(node, report): (usize, Report)| {
@@ -234,10 +239,10 @@
     let broken: Vec<Violation> = check((&records, dropped), &asks, doubled, 500_000);
     let late = |broken: &Violation| matches!(broken, Violation::Late(..) | Violation::SentAfterDrain(..));
     assert_eq!(broken.iter().find(|broken| !late(broken)), None);
-    site.until("all copies are alike", |trial| level(trial, &all()));
+    site.until("all copies are alike", |cluster| level(cluster, &all()));
     for server in ["box-0", "box-1", "box-2"] {
-        let told: Vec<_> = all().iter().map(|&node| serves(&site.trial, node, server)).collect();
+        let told: Vec<_> = all().iter().map(|&node| serves(&site.cluster, node, server)).collect();
         assert!(told.iter().all(|serves| serves.is_some() && *serves == told[0]), "{server}: {told:?}");
     }
-    assert_eq!(site.trial.datagrams().2, 0, "none of more than 256 bytes");
+    assert_eq!(site.cluster.datagram_counts().2, 0, "none of more than 256 bytes");
 }
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -9,7 +9,7 @@
 use lilacquay_etcd::ErrorKind;
 use lilacquay_etcd::api::{WatchCreateRequest, WatchResponse};
 use lilacquay_fleet::etcd::Store;
-use lilacquay_fleet::etcd::store::{Change as Write, Refused};
+use lilacquay_fleet::etcd::store::{Change as Write, StoreError};
 use lilacquay_members::etcd::follower::{
     Action, CallId, Event, Follower, Limits, ListUpdate, Notice, Options,
 };
@@ -145,7 +145,7 @@
         let arrival = stream.and_then(|stream| stream.queue.front()).map_or(Micros::MAX, |(at, _)| *at);
         let wakeup = self.follower.next_wakeup();
         self.now = self.now.max(arrival.min(wakeup).min(latest));
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         self.record_history();
         if arrival <= self.now {
             let event = self.stream.as_mut().and_then(|stream| stream.queue.pop_front());
@@ -179,13 +179,13 @@
             0..=3 => _ = self.store.put(&key, value, 0),
             4 => _ = self.store.delete(&key),
             5 => {
-                let lease = self.store.grant(self.now, self.rng.u64(1..2000) * MS);
+                let lease = self.store.grant_lease(self.now, self.rng.u64(1..2000) * MS);
                 self.store.put(&key, value, lease).unwrap();
             }
             6 => {
                 let (a, b) = (format!("{PREFIX}box-0"), format!("{PREFIX}box-1"));
                 let put = Write::Put { key: a.as_bytes(), value, lease: Some(0) };
-                self.store.change(&[put, Write::Delete((b.as_bytes(), b""))]).unwrap();
+                self.store.apply(&[put, Write::Delete((b.as_bytes(), b""))]).unwrap();
             }
             7 => _ = self.store.remove_and_put(&key, value),
             8 => _ = self.store.put(b"/other", b"not a server", 0),
@@ -242,7 +242,7 @@
 
     /// Cancels the watch as if its revision were compacted.
     fn cancel_watch(&mut self) {
-        if self.store.compacted() < self.store.revision() {
+        if self.store.compacted_revision() < self.store.revision() {
             self.store.compact(self.store.revision()).unwrap();
         }
         let response = self.cancelled();
@@ -250,7 +250,7 @@
     }
 
     fn cancelled(&self) -> WatchResponse {
-        let (canceled, compact_revision) = (true, self.store.compacted());
+        let (canceled, compact_revision) = (true, self.store.compacted_revision());
         WatchResponse { header: Some(self.store.header()), canceled, compact_revision, ..Default::default() }
     }
 
@@ -287,8 +287,10 @@
         if self.is_down(endpoint) {
             return self.close(true);
         }
-        let events =
-            self.store.since(next_revision).map(|events| events.flatten().cloned().collect::<Vec<_>>());
+        let events = self
+            .store
+            .events_since(next_revision)
+            .map(|events| events.flatten().cloned().collect::<Vec<_>>());
         self.stream.as_mut().unwrap().next_revision = Some(next_revision.max(self.store.revision() + 1));
         let Ok(events) = events else {
             let response = self.cancelled();
@@ -340,7 +342,7 @@
             Action::ReadPage(call, endpoint, request) => {
                 self.open(call, endpoint, None);
                 let behind = self.endpoints[endpoint].revisions_behind;
-                let outdated = (self.store.revision() - behind).max(self.store.compacted()).max(1);
+                let outdated = (self.store.revision() - behind).max(self.store.compacted_revision()).max(1);
                 let revision = if request.revision > 0 || behind == 0 { request.revision } else { outdated };
                 let page = self.store.range((&request.key, &request.range_end), revision, request.limit);
                 let event = match page {
@@ -353,7 +355,7 @@
                         }
                         Event::Page(call, page)
                     }
-                    Err(Refused::Compacted) => {
+                    Err(StoreError::Compacted) => {
                         Event::CallFailed(call, ErrorKind::Compacted, "compacted".into())
                     }
                     Err(_) => Event::CallFailed(call, ErrorKind::Other, "future".into()),
