--- a/crates/codec/src/envelope.rs
+++ b/crates/codec/src/envelope.rs
@@ -13,23 +13,23 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Longest datagram that the platform takes, in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The form's version. A later one can be read as far as it has the same words.
 const VERSION: u8 = 1;
-pub(crate) const HEADER: usize = 16;
+pub(crate) const HEADER_BYTES: usize = 16;
 const SUM_AT: usize = 12;
 /// Bytes of a part before its body.
 pub(crate) const PART_HEAD: usize = 2;
 
 /// Why a datagram says nothing here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
+pub enum DecodeError {
     /// It is no such datagram, or too long for one.
-    Form,
+    Malformed,
     /// It was cut or garbled on its way.
-    Sum,
+    ChecksumMismatch,
     /// It is of nodes with another site or another list.
-    Site,
+    WrongSite,
 }
 
 /// What a header says beside what it is.
@@ -41,7 +41,7 @@
 
 /// Begins a datagram.
 pub(crate) fn begin(magic: [u8; 2], site: u32, header: Header) -> Vec<u8> {
-    let mut out = Vec::with_capacity(LONGEST);
+    let mut out = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     out.put_slice(&magic);
     out.put_u8(VERSION);
     out.put_u8(header.flags);
@@ -54,34 +54,34 @@
 /// Seals a datagram that is whole.
 pub(crate) fn seal(out: &mut [u8]) {
     let sum = sum(out);
-    out[SUM_AT..HEADER].copy_from_slice(&sum.to_be_bytes());
+    out[SUM_AT..HEADER_BYTES].copy_from_slice(&sum.to_be_bytes());
 }
 
 /// Opens a datagram of nodes with this site.
-pub(crate) fn open(magic: [u8; 2], site: u32, datagram: &[u8]) -> Result<(Header, Parts<'_>), Unread> {
-    if datagram.len() > LONGEST || datagram.len() < HEADER || datagram[..2] != magic {
-        return Err(Unread::Form);
+pub(crate) fn open(magic: [u8; 2], site: u32, datagram: &[u8]) -> Result<(Header, Parts<'_>), DecodeError> {
+    if datagram.len() > MAX_DATAGRAM_BYTES || datagram.len() < HEADER_BYTES || datagram[..2] != magic {
+        return Err(DecodeError::Malformed);
     }
-    let mut header = &datagram[2..HEADER];
+    let mut header = &datagram[2..HEADER_BYTES];
     let (version, flags) = (header.get_u8(), header.get_u8());
     let (of, word, told) = (header.get_u32(), header.get_u32(), header.get_u32());
     if version == 0 {
-        return Err(Unread::Form);
+        return Err(DecodeError::Malformed);
     }
     if sum(datagram) != told {
-        return Err(Unread::Sum);
+        return Err(DecodeError::ChecksumMismatch);
     }
     if of != site {
-        return Err(Unread::Site);
+        return Err(DecodeError::WrongSite);
     }
-    Ok((Header { flags, word }, Parts(&datagram[HEADER..])))
+    Ok((Header { flags, word }, Parts(&datagram[HEADER_BYTES..])))
 }
 
 /// The parts of a datagram, one after the other.
 pub(crate) struct Parts<'a>(&'a [u8]);
 
 impl<'a> Iterator for Parts<'a> {
-    type Item = Result<(u8, &'a [u8]), Unread>;
+    type Item = Result<(u8, &'a [u8]), DecodeError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.0.len() < PART_HEAD {
@@ -90,7 +90,7 @@
         let (kind, length) = (self.0.get_u8(), usize::from(self.0.get_u8()));
         let Some(body) = self.0.get(..length) else {
             self.0 = &[];
-            return Some(Err(Unread::Form));
+            return Some(Err(DecodeError::Malformed));
         };
         self.0.advance(length);
         Some(Ok((kind, body)))
@@ -101,12 +101,12 @@
 fn sum(datagram: &[u8]) -> u32 {
     let mut hash = Xxh3::new();
     hash.update(&datagram[..SUM_AT]);
-    hash.update(&datagram[HEADER..]);
+    hash.update(&datagram[HEADER_BYTES..]);
     hash.digest() as u32
 }
 
 /// The number of a site: its name, and its list of nodes as far as all write it alike.
-pub fn site(name: &str, nodes: usize) -> u32 {
+pub fn site_id(name: &str, nodes: usize) -> u32 {
     let mut hash = Xxh3::new();
     hash.update(name.as_bytes());
     hash.update(&(nodes as u64).to_be_bytes());
@@ -125,8 +125,8 @@
             (0..rng.usize(..200)).for_each(|_| text.push(rng.u8(..)));
             seal(&mut text);
             assert!(open(*b"LX", 7, &text).is_ok());
-            assert_eq!(open(*b"LX", 8, &text).err(), Some(Unread::Site));
-            assert_eq!(open(*b"LY", 7, &text).err(), Some(Unread::Form));
+            assert_eq!(open(*b"LX", 8, &text).err(), Some(DecodeError::WrongSite));
+            assert_eq!(open(*b"LY", 7, &text).err(), Some(DecodeError::Malformed));
             assert!(open(*b"LX", 7, &text[..rng.usize(..text.len())]).is_err(), "cut");
             let at = rng.usize(..text.len());
             text[at] ^= 1 << rng.u8(..8);
--- a/crates/codec/src/memcache.rs
+++ b/crates/codec/src/memcache.rs
@@ -10,9 +10,9 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 /// A header's length, in bytes.
-pub const HEADER: usize = 24;
+pub const HEADER_BYTES: usize = 24;
 /// The longest key, in bytes (section "Packet structure"; memcached's own limit).
-pub const KEY_LIMIT: usize = 250;
+pub const MAX_KEY_BYTES: usize = 250;
 /// The first byte of a request.
 const REQUEST: u8 = 0x80;
 /// The first byte of a response.
@@ -48,7 +48,7 @@
 
 impl Opcode {
     /// The opcode of this number; nothing if the specification has none.
-    pub fn of(code: u8) -> Option<Opcode> {
+    pub fn from_code(code: u8) -> Option<Opcode> {
         Self::ALL.iter().copied().find(|opcode| *opcode as u8 == code)
     }
 }
@@ -114,12 +114,12 @@
     }
 
     /// Appends a response up to its value, of which so many bytes follow in place of this packet's.
-    pub fn put_response_head(&self, value: usize, out: &mut BytesMut) {
+    pub fn put_response_header(&self, value: usize, out: &mut BytesMut) {
         self.put_head(RESPONSE, value, out);
     }
 
     fn put(&self, magic: u8, out: &mut BytesMut) {
-        out.reserve(HEADER + self.extras.len() + self.key.len() + self.value.len());
+        out.reserve(HEADER_BYTES + self.extras.len() + self.key.len() + self.value.len());
         self.put_head(magic, self.value.len(), out);
         out.put_slice(&self.value);
     }
@@ -182,14 +182,14 @@
 }
 
 /// How many bytes the first packet has, once its header has come.
-pub fn expected(buffer: &[u8]) -> usize {
+pub fn packet_length(buffer: &[u8]) -> usize {
     let body = buffer.get(8..12).and_then(|bytes| <[u8; 4]>::try_from(bytes).ok());
-    body.map_or(0, |body| HEADER.saturating_add(u32::from_be_bytes(body) as usize))
+    body.map_or(0, |body| HEADER_BYTES.saturating_add(u32::from_be_bytes(body) as usize))
 }
 
 /// What a response says before its body has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHeader {
     /// The opcode's number.
     pub opcode: u8,
     /// How the request went.
@@ -197,21 +197,28 @@
     /// As the request had it.
     pub opaque: u32,
     /// The lengths of extras, key and value, in bytes.
-    pub extras: usize,
+    pub extras_length: usize,
     /// As above.
-    pub key: usize,
+    pub key_length: usize,
     /// As above.
-    pub value: usize,
+    pub value_length: usize,
 }
 
 /// The head of a response, if it has come and is in order.
-pub fn response_head(buffer: &[u8]) -> Option<Head> {
-    let mut header = buffer.get(..HEADER)?;
+pub fn parse_response_header(buffer: &[u8]) -> Option<ResponseHeader> {
+    let mut header = buffer.get(..HEADER_BYTES)?;
     let (magic, opcode) = (header.get_u8(), header.get_u8());
     let (key, extras, data_type) = (header.get_u16() as usize, header.get_u8() as usize, header.get_u8());
     let (status, body, opaque) = (Status(header.get_u16()), header.get_u32() as usize, header.get_u32());
     let value = body.checked_sub(key + extras)?;
-    (magic == RESPONSE && data_type == 0).then_some(Head { opcode, status, opaque, extras, key, value })
+    (magic == RESPONSE && data_type == 0).then_some(ResponseHeader {
+        opcode,
+        status,
+        opaque,
+        extras_length: extras,
+        key_length: key,
+        value_length: value,
+    })
 }
 
 fn next(magic: u8, buffer: &mut BytesMut, longest: usize) -> Result<Option<Packet>, Malformed> {
@@ -219,7 +226,7 @@
     if let Some(&first) = buffer.first().filter(|first| **first != magic) {
         return Err(Malformed::Magic(first));
     }
-    let Some(mut header) = buffer.get(..HEADER) else { return Ok(None) };
+    let Some(mut header) = buffer.get(..HEADER_BYTES) else { return Ok(None) };
     header.advance(1);
     let opcode = header.get_u8();
     let (key, extras, data_type) = (header.get_u16() as usize, header.get_u8() as usize, header.get_u8());
@@ -235,10 +242,10 @@
     if key + extras > length {
         return Err(Malformed::Lengths);
     }
-    if buffer.len() < HEADER + length {
+    if buffer.len() < HEADER_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(HEADER);
+    buffer.advance(HEADER_BYTES);
     let mut body = buffer.split_to(length).freeze();
     let (extras, key) = (body.split_to(extras), body.split_to(key));
     Ok(Some(Packet { opcode, status, opaque, cas, extras, key, value: body }))
@@ -255,7 +262,7 @@
             let length = rng.usize(..=most);
             std::iter::repeat_with(|| rng.u8(..)).take(length).collect()
         };
-        let (extras, key, value) = (bytes(20), bytes(KEY_LIMIT), bytes(2000));
+        let (extras, key, value) = (bytes(20), bytes(MAX_KEY_BYTES), bytes(2000));
         let (opcode, status, opaque, cas) = (rng.u8(..), rng.u16(..), rng.u32(..), rng.u64(..));
         Packet { opcode, status, opaque, cas, extras, key, value }
     }
@@ -304,7 +311,7 @@
             let mut wire = BytesMut::new();
             random(&mut rng).put_response(&mut wire);
             for _ in 0..rng.usize(0..4) {
-                let place = rng.usize(..wire.len().min(HEADER + 4));
+                let place = rng.usize(..wire.len().min(HEADER_BYTES + 4));
                 wire[place] = rng.u8(..);
             }
             if rng.bool() {
@@ -314,11 +321,11 @@
             match next_response(&mut wire, LONGEST) {
                 Ok(Some(packet)) => {
                     let body = packet.extras.len() + packet.key.len() + packet.value.len();
-                    assert_eq!(wire.len() + HEADER + body, before);
+                    assert_eq!(wire.len() + HEADER_BYTES + body, before);
                     outcomes[0] += 1;
                 }
                 Ok(None) => {
-                    assert!(before < HEADER + LONGEST);
+                    assert!(before < HEADER_BYTES + LONGEST);
                     outcomes[1] += 1;
                 }
                 Err(_) => outcomes[2] += 1,
@@ -352,8 +359,8 @@
 
     #[test]
     fn each_opcode_is_found_by_its_number() {
-        assert!(Opcode::ALL.iter().all(|opcode| Opcode::of(*opcode as u8) == Some(*opcode)));
+        assert!(Opcode::ALL.iter().all(|opcode| Opcode::from_code(*opcode as u8) == Some(*opcode)));
         assert!(Opcode::ALL.windows(2).all(|pair| (pair[0] as u8) < pair[1] as u8));
-        assert_eq!((Opcode::of(0x1f), Opcode::of(0xff)), (None, None));
+        assert_eq!((Opcode::from_code(0x1f), Opcode::from_code(0xff)), (None, None));
     }
 }
--- a/crates/codec/src/replica.rs
+++ b/crates/codec/src/replica.rs
@@ -15,14 +15,14 @@
 
 use bytes::{Buf, BufMut};
 
-use crate::envelope::{HEADER, Header, LONGEST, PART_HEAD, Unread, begin, open, seal};
+use crate::envelope::{DecodeError, HEADER_BYTES, Header, MAX_DATAGRAM_BYTES, PART_HEAD, begin, open, seal};
 
 /// By which these datagrams are told from others.
 pub const MAGIC: [u8; 2] = *b"LR";
 /// Longest name of a record, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Longest value of a record, in bytes.
-pub const MOST_VALUE: usize = 140;
+pub const MAX_VALUE_BYTES: usize = 140;
 /// A sum is of so many branches.
 pub const BRANCHES: usize = 16;
 /// Ids have so many bits.
@@ -58,11 +58,11 @@
     pub kind: u8,
     /// Who has written it.
     pub origin: u16,
-    /// Of which thing, [`MOST_NAME`] bytes at most.
+    /// Of which thing, [`MAX_NAME_BYTES`] bytes at most.
     pub name: Vec<u8>,
     /// How new it is.
     pub version: Version,
-    /// What it says, [`MOST_VALUE`] bytes at most.
+    /// What it says, [`MAX_VALUE_BYTES`] bytes at most.
     pub value: Vec<u8>,
 }
 
@@ -74,18 +74,18 @@
 
 /// A record with its life.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sent {
+pub struct RecordUpdate {
     /// The record.
     pub record: Record,
     /// How long it lives yet, in tenths of a second; for good if there is no end. At least 1 where there is one.
     pub left: Option<u32>,
     /// Its origin asks whoever reads this to say that it is held.
-    pub asks: bool,
+    pub ack_requested: bool,
 }
 
 /// What the ids of a span come to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Sums {
+pub struct BranchSums {
     /// How many branchings lie above: 0 is the root.
     pub level: u8,
     /// Which branches were taken, four bits each.
@@ -96,7 +96,7 @@
 
 /// All that is held in a span of ids.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Have {
+pub struct Inventory {
     /// The span's first id.
     pub first: u64,
     /// Its last.
@@ -105,23 +105,23 @@
     pub list: Vec<(u64, u32)>,
 }
 
-impl Have {
+impl Inventory {
     /// So many fit into an empty datagram.
-    pub const MOST: usize = (LONGEST - HEADER - PART_HEAD - HAVE_HEAD) / LISTED;
+    pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - PART_HEAD - HAVE_HEAD) / LISTED;
 }
 
 /// Asking for a part of what is divided, and lending it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Rights {
+pub enum LeaseMessage {
     /// Asks for so much.
-    Ask {
+    Request {
         /// Of which asking: what was asked before is over with it.
         number: u32,
         /// How much, in thousandths of one node's part.
         amount: u32,
     },
     /// Lends so much.
-    Lend {
+    Grant {
         /// In answer to which asking.
         number: u32,
         /// How much, in thousandths of one node's part.
@@ -130,7 +130,7 @@
         time: u32,
     },
     /// Gives back all that was lent at that asking.
-    Back {
+    Release {
         /// Of which asking.
         number: u32,
     },
@@ -140,17 +140,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Part {
     /// A record.
-    Record(Sent),
+    Record(RecordUpdate),
     /// What a span comes to, by branches.
-    Sums(Sums),
+    BranchSums(BranchSums),
     /// What is held in a span.
-    Have(Have),
+    Inventory(Inventory),
     /// Records that the sender lacks.
-    Want(Vec<u64>),
+    Request(Vec<u64>),
     /// Records that the sender holds, said to their origin.
-    Held(Vec<(u64, u32)>),
+    Ack(Vec<(u64, u32)>),
     /// Of what is divided.
-    Rights(Rights),
+    Lease(LeaseMessage),
 }
 
 impl Part {
@@ -158,11 +158,11 @@
     pub fn length(&self) -> usize {
         match self {
             Part::Record(sent) => sent.record.length(),
-            Part::Sums(_) => PART_HEAD + SUMS_BODY,
-            Part::Have(have) => PART_HEAD + HAVE_HEAD + LISTED * have.list.len(),
-            Part::Want(ids) => PART_HEAD + ID * ids.len(),
-            Part::Held(list) => PART_HEAD + LISTED * list.len(),
-            Part::Rights(_) => PART_HEAD + RIGHTS_BODY,
+            Part::BranchSums(_) => PART_HEAD + SUMS_BODY,
+            Part::Inventory(have) => PART_HEAD + HAVE_HEAD + LISTED * have.list.len(),
+            Part::Request(ids) => PART_HEAD + ID * ids.len(),
+            Part::Ack(list) => PART_HEAD + LISTED * list.len(),
+            Part::Lease(_) => PART_HEAD + RIGHTS_BODY,
         }
     }
 
@@ -175,44 +175,44 @@
             }
         };
         match self {
-            Part::Record(Sent { record, left, asks }) => {
+            Part::Record(RecordUpdate { record, left, ack_requested }) => {
                 head(out, RECORD);
                 out.put_u8(record.kind);
                 out.put_u16(record.origin);
                 out.put_uint(record.version.incarnation, 6);
                 out.put_u32(record.version.counter);
                 out.put_u32(left.map_or(0, |left| left.max(1)));
-                out.put_u8(if *asks { ASKS } else { 0 });
+                out.put_u8(if *ack_requested { ASKS } else { 0 });
                 out.put_u8(record.name.len() as u8);
                 out.put_slice(&record.name);
                 out.put_slice(&record.value);
             }
-            Part::Sums(Sums { level, path, sums }) => {
+            Part::BranchSums(BranchSums { level, path, sums }) => {
                 head(out, SUMS);
                 out.put_u8(*level);
                 out.put_u16(*path);
                 sums.iter().for_each(|&sum| out.put_u32(sum));
             }
-            Part::Have(Have { first, last, list }) => {
+            Part::Inventory(Inventory { first, last, list }) => {
                 head(out, HAVE);
                 out.put_uint(*first, ID);
                 out.put_uint(*last, ID);
                 listed(out, list);
             }
-            Part::Want(ids) => {
+            Part::Request(ids) => {
                 head(out, WANT);
                 ids.iter().for_each(|&id| out.put_uint(id, ID));
             }
-            Part::Held(list) => {
+            Part::Ack(list) => {
                 head(out, HELD);
                 listed(out, list);
             }
-            Part::Rights(rights) => {
+            Part::Lease(rights) => {
                 head(out, RIGHTS);
                 let (what, number, amount, time) = match *rights {
-                    Rights::Ask { number, amount } => (0, number, amount, 0),
-                    Rights::Lend { number, amount, time } => (1, number, amount, time),
-                    Rights::Back { number } => (2, number, 0, 0),
+                    LeaseMessage::Request { number, amount } => (0, number, amount, 0),
+                    LeaseMessage::Grant { number, amount, time } => (1, number, amount, time),
+                    LeaseMessage::Release { number } => (2, number, 0, 0),
                 };
                 out.put_u8(what);
                 [number, amount, time].into_iter().for_each(|word| out.put_u32(word));
@@ -221,7 +221,7 @@
     }
 
     /// Reads a part; nothing if it is of a kind that is not known here.
-    fn read(kind: u8, mut body: &[u8]) -> Result<Option<Part>, Unread> {
+    fn read(kind: u8, mut body: &[u8]) -> Result<Option<Part>, DecodeError> {
         let listed = |body: &mut &[u8]| {
             let mut list = Vec::with_capacity(body.len() / LISTED);
             while body.len() >= LISTED {
@@ -237,47 +237,47 @@
             _ => 0,
         };
         if body.len() < least {
-            return Err(Unread::Form);
+            return Err(DecodeError::Malformed);
         }
         Ok(Some(match kind {
             RECORD => {
                 let (kind, origin) = (body.get_u8(), body.get_u16());
                 let version = Version { incarnation: body.get_uint(6), counter: body.get_u32() };
                 let (left, flags, length) = (body.get_u32(), body.get_u8(), usize::from(body.get_u8()));
-                if length > MOST_NAME || length > body.len() || body.len() - length > MOST_VALUE {
-                    return Err(Unread::Form);
+                if length > MAX_NAME_BYTES || length > body.len() || body.len() - length > MAX_VALUE_BYTES {
+                    return Err(DecodeError::Malformed);
                 }
                 let (name, value) = body.split_at(length);
                 let record = Record { kind, origin, name: name.into(), version, value: value.into() };
-                Part::Record(Sent {
+                Part::Record(RecordUpdate {
                     record,
                     left: Some(left).filter(|&left| left > 0),
-                    asks: flags & ASKS > 0,
+                    ack_requested: flags & ASKS > 0,
                 })
             }
             SUMS => {
                 let (level, path) = (body.get_u8(), body.get_u16());
-                Part::Sums(Sums { level, path, sums: std::array::from_fn(|_| body.get_u32()) })
+                Part::BranchSums(BranchSums { level, path, sums: std::array::from_fn(|_| body.get_u32()) })
             }
             HAVE => {
                 let (first, last) = (body.get_uint(ID), body.get_uint(ID));
-                Part::Have(Have { first, last, list: listed(&mut body) })
+                Part::Inventory(Inventory { first, last, list: listed(&mut body) })
             }
             WANT => {
                 let mut ids = Vec::with_capacity(body.len() / ID);
                 while body.len() >= ID {
                     ids.push(body.get_uint(ID));
                 }
-                Part::Want(ids)
+                Part::Request(ids)
             }
-            HELD => Part::Held(listed(&mut body)),
+            HELD => Part::Ack(listed(&mut body)),
             RIGHTS => {
                 let what = body.get_u8();
                 let (number, amount, time) = (body.get_u32(), body.get_u32(), body.get_u32());
-                Part::Rights(match what {
-                    0 => Rights::Ask { number, amount },
-                    1 => Rights::Lend { number, amount, time },
-                    2 => Rights::Back { number },
+                Part::Lease(match what {
+                    0 => LeaseMessage::Request { number, amount },
+                    1 => LeaseMessage::Grant { number, amount, time },
+                    2 => LeaseMessage::Release { number },
                     _ => return Ok(None),
                 })
             }
@@ -288,7 +288,7 @@
 
 /// What a datagram says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Said {
+pub struct Message {
     /// The sum of all that the sender holds.
     pub root: u32,
     /// The sender has come back a moment ago, and lacks what others hold.
@@ -297,15 +297,15 @@
     pub parts: Vec<Part>,
 }
 
-impl Said {
+impl Message {
     /// How many bytes its datagram has.
     pub fn length(&self) -> usize {
-        HEADER + self.parts.iter().map(Part::length).sum::<usize>()
+        HEADER_BYTES + self.parts.iter().map(Part::length).sum::<usize>()
     }
 
     /// Adds a part, if the datagram can take it. Tells whether it could.
     pub fn add(&mut self, part: Part) -> bool {
-        let fits = self.length() + part.length() <= LONGEST;
+        let fits = self.length() + part.length() <= MAX_DATAGRAM_BYTES;
         if fits {
             self.parts.push(part);
         }
@@ -313,12 +313,12 @@
     }
 }
 
-/// Writes a datagram; what doesn't fit is left out. Never longer than [`LONGEST`].
-pub fn put(site: u32, said: &Said) -> Vec<u8> {
+/// Writes a datagram; what doesn't fit is left out. Never longer than [`MAX_DATAGRAM_BYTES`].
+pub fn encode(site: u32, said: &Message) -> Vec<u8> {
     let flags = if said.behind { BEHIND } else { 0 };
     let mut out = begin(MAGIC, site, Header { flags, word: said.root });
     for part in &said.parts {
-        if out.len() + part.length() <= LONGEST {
+        if out.len() + part.length() <= MAX_DATAGRAM_BYTES {
             part.put(&mut out);
         }
     }
@@ -330,9 +330,9 @@
 ///
 /// # Errors
 /// If it is none, or another's.
-pub fn read(site: u32, datagram: &[u8]) -> Result<Said, Unread> {
+pub fn decode(site: u32, datagram: &[u8]) -> Result<Message, DecodeError> {
     let (header, parts) = open(MAGIC, site, datagram)?;
-    let mut said = Said { root: header.word, behind: header.flags & BEHIND > 0, parts: Vec::new() };
+    let mut said = Message { root: header.word, behind: header.flags & BEHIND > 0, parts: Vec::new() };
     for part in parts {
         let (kind, body) = part?;
         said.parts.extend(Part::read(kind, body)?);
@@ -357,27 +357,27 @@
         match rng.u8(..6) {
             0 => {
                 let version = Version { incarnation: rng.u64(..1 << 48), counter: rng.u32(..) };
-                let (name, value) = (some(rng, MOST_NAME), some(rng, MOST_VALUE));
+                let (name, value) = (some(rng, MAX_NAME_BYTES), some(rng, MAX_VALUE_BYTES));
                 let record = Record { kind: rng.u8(..), origin: rng.u16(..), name, version, value };
                 let left = rng.bool().then(|| rng.u32(1..));
-                Part::Record(Sent { record, left, asks: rng.bool() })
+                Part::Record(RecordUpdate { record, left, ack_requested: rng.bool() })
             }
-            1 => Part::Sums(Sums {
+            1 => Part::BranchSums(BranchSums {
                 level: rng.u8(..3),
                 path: rng.u16(..),
                 sums: std::array::from_fn(|_| rng.u32(..)),
             }),
-            2 => Part::Have(Have { first: id(rng), last: id(rng), list: list(rng) }),
-            3 => Part::Want((0..rng.usize(..8)).map(|_| id(rng)).collect()),
-            4 => Part::Held(list(rng)),
+            2 => Part::Inventory(Inventory { first: id(rng), last: id(rng), list: list(rng) }),
+            3 => Part::Request((0..rng.usize(..8)).map(|_| id(rng)).collect()),
+            4 => Part::Ack(list(rng)),
             _ => {
                 let (number, amount, time) = (rng.u32(..), rng.u32(..), rng.u32(..));
                 let any = [
-                    Rights::Ask { number, amount },
-                    Rights::Lend { number, amount, time },
-                    Rights::Back { number },
+                    LeaseMessage::Request { number, amount },
+                    LeaseMessage::Grant { number, amount, time },
+                    LeaseMessage::Release { number },
                 ];
-                Part::Rights(any[rng.usize(..3)])
+                Part::Lease(any[rng.usize(..3)])
             }
         }
     }
@@ -386,21 +386,21 @@
     fn what_is_put_is_read_and_no_bytes_bring_it_down() {
         let mut rng = fastrand::Rng::with_seed(48);
         for _ in 0..5_000 {
-            let mut told = Said { root: rng.u32(..), behind: rng.bool(), parts: Vec::new() };
+            let mut told = Message { root: rng.u32(..), behind: rng.bool(), parts: Vec::new() };
             (0..rng.usize(..6)).for_each(|_| _ = told.add(part(&mut rng)));
-            let text = put(7, &told);
-            assert_eq!((text.len(), read(7, &text)), (told.length(), Ok(told.clone())));
+            let text = encode(7, &told);
+            assert_eq!((text.len(), decode(7, &text)), (told.length(), Ok(told.clone())));
             // A part that a later build brings is passed over; noise in a good envelope is told or read, no more.
             let mut later = text.clone();
-            if later.len() < LONGEST - 4 {
+            if later.len() < MAX_DATAGRAM_BYTES - 4 {
                 later.extend_from_slice(&[99, 2, 1, 2]);
                 seal(&mut later);
-                assert_eq!(read(7, &later), Ok(told));
+                assert_eq!(decode(7, &later), Ok(told));
             }
             let mut noise = begin(MAGIC, 7, Header { flags: rng.u8(..), word: 0 });
-            (0..rng.usize(..LONGEST - HEADER)).for_each(|_| noise.push(rng.u8(..9)));
+            (0..rng.usize(..MAX_DATAGRAM_BYTES - HEADER_BYTES)).for_each(|_| noise.push(rng.u8(..9)));
             seal(&mut noise);
-            let _ = read(7, &noise);
+            let _ = decode(7, &noise);
         }
     }
 }
--- a/crates/codec/src/resp.rs
+++ b/crates/codec/src/resp.rs
@@ -31,7 +31,7 @@
 
 /// The head of an array of three whose first element is a bulk string longer than `over` bytes: how many bytes the
 /// head has, and how many the string. Nothing if the buffer begins otherwise, or its head is not whole.
-pub fn long_head(buffer: &[u8], over: usize) -> Option<(usize, usize)> {
+pub fn parse_long_bulk_header(buffer: &[u8], over: usize) -> Option<(usize, usize)> {
     let rest = buffer.strip_prefix(b"*3\r\n$")?;
     let end = rest.windows(2).take(LINE).position(|pair| pair == b"\r\n")?;
     let length = std::str::from_utf8(&rest[..end]).ok()?.parse::<u32>().ok()? as usize;
@@ -44,7 +44,7 @@
 }
 
 /// How many bytes the first frame has at least, by what has come of it.
-pub fn expected(buffer: &[u8], limit: usize) -> usize {
+pub fn min_frame_length(buffer: &[u8], limit: usize) -> usize {
     let mut least = 0;
     // What can't be read is told when it is taken.
     let _ = measure(buffer, limit, &mut least);
@@ -182,18 +182,18 @@
 
     #[test]
     fn what_a_frame_needs_is_known_from_its_headers() {
-        assert_eq!(expected(b"*2\r\n$3\r\nGET\r\n$70000\r\nab", 100_000), 13 + 8 + 70_002);
-        assert_eq!(expected(b"*2\r\n$3\r\nGE", 100), 13);
-        assert_eq!(expected(b"*2\r", 100), 0);
+        assert_eq!(min_frame_length(b"*2\r\n$3\r\nGET\r\n$70000\r\nab", 100_000), 13 + 8 + 70_002);
+        assert_eq!(min_frame_length(b"*2\r\n$3\r\nGE", 100), 13);
+        assert_eq!(min_frame_length(b"*2\r", 100), 0);
     }
 
     #[test]
     fn the_head_of_a_long_value_is_known_before_the_value_has_come() {
         let head = b"*3\r\n$70000\r\n";
         for n in 0..head.len() {
-            assert_eq!(long_head(&head[..n], 100), None);
+            assert_eq!(parse_long_bulk_header(&head[..n], 100), None);
         }
-        assert_eq!(long_head(&[&head[..], b"xyz"].concat(), 100), Some((head.len(), 70_000)));
+        assert_eq!(parse_long_bulk_header(&[&head[..], b"xyz"].concat(), 100), Some((head.len(), 70_000)));
         for other in [
             &b"*3\r\n$100\r\n"[..],
             b"*2\r\n$70000\r\n",
@@ -201,7 +201,7 @@
             b"*3\r\n$-1\r\n",
             b"*3\r\n$99999999999\r\n",
         ] {
-            assert_eq!(long_head(other, 100), None);
+            assert_eq!(parse_long_bulk_header(other, 100), None);
         }
     }
 
--- a/crates/console/src/connection.rs
+++ b/crates/console/src/connection.rs
@@ -7,8 +7,8 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use lilacquay_control::{Answer, Client, ClientError, Verb};
-use lilacquay_observe::{Snapshot, Told};
+use lilacquay_control::{Answer, Client, ClientError, ControlRequest};
+use lilacquay_observe::{EventBatch, Snapshot};
 
 use crate::model::Input;
 
@@ -30,21 +30,21 @@
 struct Inbox {
     /// The node, or why it can't be heard.
     latest: Option<Result<Box<Snapshot>, String>>,
-    events: Told,
-    outcomes: Vec<(Verb, Result<Answer, String>)>,
+    events: EventBatch,
+    outcomes: Vec<(ControlRequest, Result<Answer, String>)>,
 }
 
 /// The way to the node.
 pub(crate) struct Link {
     inbox: Arc<Mutex<Inbox>>,
-    orders: SyncSender<Verb>,
+    orders: SyncSender<ControlRequest>,
 }
 
 impl Link {
     /// Begins to connect, and goes on for as long as the process lasts.
     pub fn start(state: PathBuf) -> Link {
         let inbox: Arc<Mutex<Inbox>> = Arc::default();
-        let (orders, given) = sync_channel::<Verb>(ORDERS);
+        let (orders, given) = sync_channel::<ControlRequest>(ORDERS);
         let (watched, folder) = (inbox.clone(), state.clone());
         thread::spawn(move || {
             let mut pause = FIRST;
@@ -58,7 +58,7 @@
         let outcomes = inbox.clone();
         thread::spawn(move || {
             for verb in given {
-                let answer = Client::connect(&state).and_then(|mut client| client.ask(verb.clone()));
+                let answer = Client::connect(&state).and_then(|mut client| client.request(verb.clone()));
                 lock(&outcomes).outcomes.push((verb, answer.map_err(|error| error.to_string())));
             }
         });
@@ -66,7 +66,7 @@
     }
 
     /// Gives an order; its outcome comes as an input.
-    pub fn order(&self, verb: Verb) {
+    pub fn order(&self, verb: ControlRequest) {
         if let Err(TrySendError::Full(verb) | TrySendError::Disconnected(verb)) = self.orders.try_send(verb) {
             let why = "too many orders wait for their answers; this one was not sent".to_owned();
             lock(&self.inbox).outcomes.push((verb, Err(why)));
@@ -94,7 +94,7 @@
 
 /// Watches until the connection is lost; tells why it was.
 fn watch(state: &Path, inbox: &Mutex<Inbox>, pause: &mut Duration) -> String {
-    let verb = Verb::Watch { every_ms: EVERY.as_millis() as u64, after: 0 };
+    let verb = ControlRequest::Watch { every_ms: EVERY.as_millis() as u64, after: 0 };
     let stream = Client::connect(state).and_then(|client| client.stream(verb, Some(PATIENCE)));
     let mut stream = match stream {
         Ok(stream) => stream,
@@ -106,9 +106,9 @@
                 *pause = FIRST;
                 lock(inbox).latest = Some(Ok(snapshot));
             }
-            Ok(Answer::Events { told }) => {
+            Ok(Answer::Events { batch }) => {
                 let events = &mut lock(inbox).events.events;
-                events.extend(told.events);
+                events.extend(batch.events);
                 let over = events.len().saturating_sub(EVENTS);
                 events.drain(..over);
             }
--- a/crates/console/src/dialog.rs
+++ b/crates/console/src/dialog.rs
@@ -1,7 +1,7 @@
 //! Orders, asked back with what they will do.
 
-use lilacquay_control::Verb;
-use lilacquay_observe::{BoxNow, Snapshot};
+use lilacquay_control::ControlRequest;
+use lilacquay_observe::{BoxStatus, Snapshot};
 
 use crate::text::plain;
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Dialog {
     /// The order, as it will be given.
-    pub verb: Verb,
+    pub verb: ControlRequest,
     /// What it is.
     pub title: String,
     /// What it will do.
@@ -27,8 +27,8 @@
 
 impl Dialog {
     /// To drain a box.
-    pub fn drain(server: &BoxNow, now: &Snapshot) -> Dialog {
-        let verb = Verb::Drain {
+    pub fn drain(server: &BoxStatus, now: &Snapshot) -> Dialog {
+        let verb = ControlRequest::Drain {
             server: server.name.clone(),
             seconds: None,
             lasting: false,
@@ -50,13 +50,19 @@
     }
 
     /// To leave a box out for a time.
-    pub fn leave_out(server: &BoxNow, now: &Snapshot) -> Dialog {
+    pub fn leave_out(server: &BoxStatus, now: &Snapshot) -> Dialog {
         let Dialog { verb, lines, .. } = Dialog::drain(server, now);
-        let Verb::Drain { server: name, lasting, force, seen, .. } = verb else {
+        let ControlRequest::Drain { server: name, lasting, force, seen, .. } = verb else {
             unreachable!("as it was made")
         };
-        let verb =
-            Verb::Drain { server: name, seconds: Some(LEFT_OUT), lasting, force, seen, wait_for: None };
+        let verb = ControlRequest::Drain {
+            server: name,
+            seconds: Some(LEFT_OUT),
+            lasting,
+            force,
+            seen,
+            wait_for: None,
+        };
         let title = format!("Leave {} out for a time", plain(&server.name));
         let mut lines: Vec<String> =
             lines.into_iter().filter(|line| !line.contains("until it is undrained")).collect();
@@ -65,8 +71,9 @@
     }
 
     /// To lift what was ordered for a box.
-    pub fn undrain(server: &BoxNow) -> Dialog {
-        let verb = Verb::Undrain { server: server.name.clone(), seen: Some(seen(server)), wait_for: None };
+    pub fn undrain(server: &BoxStatus) -> Dialog {
+        let verb =
+            ControlRequest::Undrain { server: server.name.clone(), seen: Some(seen(server)), wait_for: None };
         let what = match (&server.order, server.listed) {
             (None, _) => "No order holds it: the node will refuse this.".into(),
             (Some(order), true) => format!("Order {} is lifted, and it serves again at once.", order.number),
@@ -82,7 +89,7 @@
             format!("It answers the {} requests that it has, for up to 3.6 s, and ends.", now.open),
             "Clients must go to another node. This console can't start it again.".into(),
         ];
-        Dialog::on_node(Verb::Stop, "Drain the node itself", lines)
+        Dialog::on_node(ControlRequest::Stop, "Drain the node itself", lines)
     }
 
     /// To read the configuration again.
@@ -91,7 +98,7 @@
             "Sources of members, boxes of a fixed list and quotas are taken as the files".into(),
             "say now. If anything is wrong in them, all stays as it is.".into(),
         ];
-        Dialog::on_node(Verb::Reload, "Reload the configuration", lines)
+        Dialog::on_node(ControlRequest::Reload, "Reload the configuration", lines)
     }
 
     /// To log more or less.
@@ -101,7 +108,7 @@
             "debug and trace cost time and room.".into(),
         ];
         Dialog::on_node(
-            Verb::Level { level: level.into(), everywhere: false },
+            ControlRequest::Level { level: level.into(), everywhere: false },
             &format!("Log from {level} on"),
             lines,
         )
@@ -113,41 +120,41 @@
             "Configuration without secrets, figures, orders and the last events go into".into(),
             "a file in the state folder. Keys of requests are in it.".into(),
         ];
-        Dialog::on_node(Verb::Diagnose, "Write a diagnosis bundle", lines)
+        Dialog::on_node(ControlRequest::Diagnose, "Write a diagnosis bundle", lines)
     }
 
-    fn on_node(verb: Verb, title: &str, lines: Vec<String>) -> Dialog {
+    fn on_node(verb: ControlRequest, title: &str, lines: Vec<String>) -> Dialog {
         Dialog { verb, title: title.into(), lines, may_last: false, may_force: false }
     }
 
     /// Has it last or not.
     pub(crate) fn toggle_lasting(&mut self) {
-        if let Verb::Drain { lasting, .. } = &mut self.verb {
+        if let ControlRequest::Drain { lasting, .. } = &mut self.verb {
             *lasting = !*lasting;
         }
     }
 
     /// Forces it or not.
     pub(crate) fn toggle_force(&mut self) {
-        if let (Verb::Drain { force, .. }, true) = (&mut self.verb, self.may_force) {
+        if let (ControlRequest::Drain { force, .. }, true) = (&mut self.verb, self.may_force) {
             *force = !*force;
         }
     }
 
     /// The next longer or shorter time.
     pub(crate) fn step_time(&mut self, longer: bool) {
-        if let Verb::Drain { seconds: Some(seconds), .. } = &mut self.verb {
+        if let ControlRequest::Drain { seconds: Some(seconds), .. } = &mut self.verb {
             let place = TIMES.iter().position(|time| time >= seconds).unwrap_or(TIMES.len() - 1);
             *seconds = TIMES[if longer { (place + 1).min(TIMES.len() - 1) } else { place.saturating_sub(1) }];
         }
     }
 }
 
-fn seen(server: &BoxNow) -> u64 {
+fn seen(server: &BoxStatus) -> u64 {
     server.order.as_ref().map_or(0, |order| order.number)
 }
 
-fn held(server: &BoxNow) -> Vec<String> {
+fn held(server: &BoxStatus) -> Vec<String> {
     let out = match server.out {
         0 => "It has nothing of ours out.".to_owned(),
         n => format!("It finishes the {n} requests that it has, within {:.0} ms.", server.free_in_ms),
@@ -159,11 +166,11 @@
     [Some(out), order].into_iter().flatten().collect()
 }
 
-fn others_serve(server: &BoxNow, now: &Snapshot) -> usize {
+fn others_serve(server: &BoxStatus, now: &Snapshot) -> usize {
     now.boxes.iter().filter(|other| other.serves && !other.origin && other.name != server.name).count()
 }
 
-fn others(server: &BoxNow, now: &Snapshot) -> Option<String> {
+fn others(server: &BoxStatus, now: &Snapshot) -> Option<String> {
     if server.origin {
         return Some("It is the origin: the node will refuse this.".into());
     }
--- a/crates/console/src/model.rs
+++ b/crates/console/src/model.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use lilacquay_control::{Answer, Verb};
-use lilacquay_observe::{BoxNow, Event, SlowNow, Snapshot, Told};
+use lilacquay_control::{Answer, ControlRequest};
+use lilacquay_observe::{BoxStatus, Event, EventBatch, SlowRequest, Snapshot};
 
 use crate::dialog::Dialog;
 use crate::keys::Key;
@@ -69,13 +69,13 @@
         late: bool,
     },
     /// What has happened there.
-    Events(Told),
+    Events(EventBatch),
     /// The node can't be heard, and why.
     Lost(String),
     /// What an order came to.
     Outcome {
         /// The order.
-        verb: Verb,
+        verb: ControlRequest,
         /// The answer, or why there is none.
         answer: Result<Answer, String>,
     },
@@ -87,7 +87,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Give the node an order.
-    Order(Verb),
+    Order(ControlRequest),
     /// Draw all of the screen anew, whatever is on it.
     Redraw,
     /// Stop this process, as a shell's job.
@@ -245,9 +245,9 @@
         }
     }
 
-    fn happened(&mut self, told: Told) {
+    fn happened(&mut self, batch: EventBatch) {
         // After a reconnection all are told again: what is missing shows in their numbers.
-        for event in told.events.into_iter().filter(|event| event.number > 0) {
+        for event in batch.events.into_iter().filter(|event| event.number > 0) {
             let last = self.last_event();
             if event.number > last {
                 self.missed += event.number - last - 1;
@@ -259,10 +259,10 @@
         self.events.drain(..over);
     }
 
-    fn outcome(&mut self, verb: &Verb, answer: Result<Answer, String>) {
+    fn outcome(&mut self, verb: &ControlRequest, answer: Result<Answer, String>) {
         let (said, unrecorded) = match answer {
-            Ok(Answer::Obeyed { number, replaced, unrecorded, held }) => {
-                if let Verb::Drain { server, .. } = verb {
+            Ok(Answer::Accepted { number, replaced, unrecorded, held }) => {
+                if let ControlRequest::Drain { server, .. } = verb {
                     self.followed = Some(server.clone());
                 }
                 let replaced =
@@ -444,14 +444,14 @@
 
     // ---- what is listed ----
 
-    pub(crate) fn boxes(&self) -> &[BoxNow] {
+    pub(crate) fn boxes(&self) -> &[BoxStatus] {
         match &self.node {
             Node::Here(snapshot) => &snapshot.boxes,
             Node::Away(_) => &[],
         }
     }
 
-    pub(crate) fn requests(&self) -> &[SlowNow] {
+    pub(crate) fn requests(&self) -> &[SlowRequest] {
         match &self.node {
             Node::Here(snapshot) => &snapshot.slow,
             Node::Away(_) => &[],
--- a/crates/console/src/view.rs
+++ b/crates/console/src/view.rs
@@ -1,8 +1,9 @@
 //! Lays a model out on a screen. It works at 80 by 24, and does what it can on less.
 
-use lilacquay_control::Verb;
+use lilacquay_control::ControlRequest;
 use lilacquay_observe::{
-    Answers, BUCKETS, BoxNow, CommonNow, Second, SiblingsNow, SlowNow, Snapshot, bucket_limit,
+    AnswerCounts, BoxStatus, LATENCY_BUCKETS, ReplicaSummary, SecondStats, SiblingsSummary, SlowRequest,
+    Snapshot, bucket_upper_bound_us,
 };
 use ratatui::Frame;
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -137,8 +138,8 @@
     let serving = now.boxes.iter().filter(|server| server.serves && !server.origin).count();
     let caches = now.boxes.iter().filter(|server| !server.origin).count();
     let rate = mean(now.seconds.iter().rev().take(10).map(|second| second.answers));
-    let Answers { served, busy, failed, gone } = now.answers;
-    let spark = |of: fn(&Second) -> u64| sparkline(&now.seconds, of, width.saturating_sub(32));
+    let AnswerCounts { served, busy, failed, gone } = now.answers;
+    let spark = |of: fn(&SecondStats) -> u64| sparkline(&now.seconds, of, width.saturating_sub(32));
     let mut text = vec![
         Line::from(vec![
             Span::styled(format!("{:<10}", "answers"), look.head()),
@@ -248,7 +249,7 @@
 
 /// The other nodes; nothing where there are none.
 fn siblings_line(now: &Snapshot, look: Look) -> Option<Line<'static>> {
-    let SiblingsNow { here, gone, unknown, part } = now.siblings?;
+    let SiblingsSummary { here, gone, unknown, part } = now.siblings?;
     let style = if part == 0.0 || gone + unknown > 0 { look.warn() } else { Style::new() };
     let part = if part == 0.0 { "NOT CONFIRMED".to_owned() } else { format!("{part:.2} of its part") };
     let told = format!("{here} here, {gone} gone, {unknown} unknown; {part}");
@@ -260,7 +261,7 @@
 
 /// What all nodes hold in common; nothing where they hold nothing so.
 fn common_line(now: &Snapshot, look: Look) -> Option<Line<'static>> {
-    let CommonNow { behind, records, conflicts, left_out } = now.common?;
+    let ReplicaSummary { behind, records, conflicts, left_out } = now.common?;
     let style = if behind || conflicts > 0 { look.warn() } else { Style::new() };
     let stage = if behind { "BEHIND" } else { "level" };
     let contradict = if conflicts > 0 { format!(", {conflicts} ORDERS CONTRADICT") } else { String::new() };
@@ -275,7 +276,7 @@
 }
 
 /// The last seconds as columns, the latest at the right, in eight heights.
-fn sparkline(seconds: &[Second], of: fn(&Second) -> u64, columns: usize) -> String {
+fn sparkline(seconds: &[SecondStats], of: fn(&SecondStats) -> u64, columns: usize) -> String {
     const HEIGHTS: [char; 9] = [' ', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let shown = &seconds[seconds.len().saturating_sub(columns)..];
     let most = shown.iter().map(of).max().unwrap_or(0).max(1);
@@ -288,7 +289,7 @@
 
 // ---- boxes ----
 
-fn state_of(server: &BoxNow, look: Look) -> (String, Style) {
+fn state_of(server: &BoxStatus, look: Look) -> (String, Style) {
     let order = server.order.as_ref().map(|order| match order.seconds_left {
         Some(left) => format!("out {}", ago(left)),
         None => format!("drained #{}", order.number),
@@ -346,7 +347,7 @@
     }
 }
 
-fn histogram(times: &[u64; BUCKETS]) -> String {
+fn histogram(times: &[u64; LATENCY_BUCKETS]) -> String {
     const HEIGHTS: [char; 9] = ['.', '▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let most = times.iter().copied().max().unwrap_or(0).max(1);
     times
@@ -357,7 +358,7 @@
         .collect()
 }
 
-fn box_detail(server: &BoxNow, look: Look) -> Vec<Line<'static>> {
+fn box_detail(server: &BoxStatus, look: Look) -> Vec<Line<'static>> {
     let measured = server.measured;
     let total: u64 = server.times.iter().fold(0, |sum, n| sum.saturating_add(*n));
     let quantile = |part: f64| {
@@ -369,9 +370,8 @@
     };
     let limit = |part: f64| match (total, quantile(part)) {
         (0, _) | (_, None) => "-".to_owned(),
-        (_, Some(bucket)) => {
-            bucket_limit(bucket).map_or("over 256ms".into(), |limit| format!("under {}", time(limit)))
-        }
+        (_, Some(bucket)) => bucket_upper_bound_us(bucket)
+            .map_or("over 256ms".into(), |limit| format!("under {}", time(limit))),
     };
     let why = match (server.serves, &server.left_out) {
         (false, _) => "gets nothing new".to_owned(),
@@ -445,7 +445,7 @@
     }
 }
 
-fn steps_of(slow: &SlowNow, look: Look) -> Vec<Line<'static>> {
+fn steps_of(slow: &SlowRequest, look: Look) -> Vec<Line<'static>> {
     let tenant =
         if slow.tenant.is_empty() { String::new() } else { format!(", tenant {}", plain(&slow.tenant)) };
     let mut text = vec![
@@ -471,7 +471,7 @@
     )];
     for tenant in &now.tenants {
         let name = if tenant.name.is_empty() { "(none)".to_owned() } else { plain(&tenant.name) };
-        let Answers { served, busy, failed, gone } = tenant.answers;
+        let AnswerCounts { served, busy, failed, gone } = tenant.answers;
         text.push(Line::raw(format!(
             "{:<24} {:>9} {served:>9} {busy:>9} {failed:>9} {gone:>9}",
             cut(&name, 24),
@@ -562,7 +562,7 @@
 
 fn draw_dialog(frame: &mut Frame, dialog: &Dialog, look: Look) {
     let mut text: Vec<Line> = dialog.lines.iter().map(|line| Line::raw(line.clone())).collect();
-    if let Verb::Drain { seconds, lasting, force, .. } = &dialog.verb {
+    if let ControlRequest::Drain { seconds, lasting, force, .. } = &dialog.verb {
         if let Some(seconds) = seconds {
             text.push(Line::raw(format!("For {}; + and - change that.", ago(*seconds as f64))));
         }
--- a/crates/console/tests/model.rs
+++ b/crates/console/tests/model.rs
@@ -3,9 +3,10 @@
 use std::time::Duration;
 
 use lilacquay_console::{Effect, Input, Key, Look, Model, draw};
-use lilacquay_control::{Answer, Verb};
+use lilacquay_control::{Answer, ControlRequest};
 use lilacquay_observe::{
-    BoxNow, Event, OrderNow, Second, ShareNow, SlowNow, Snapshot, Step, TenantNow, Told,
+    BoxStatus, Event, EventBatch, OrderStatus, SecondStats, ShareStatus, SlowRequest, Snapshot, Step,
+    TenantStats,
 };
 use ratatui::Terminal;
 use ratatui::backend::TestBackend;
@@ -28,13 +29,13 @@
     (0..rng.usize(0..=most)).map(|_| one(rng)).collect()
 }
 
-fn server(rng: &mut fastrand::Rng) -> BoxNow {
-    let order = rng.bool().then(|| OrderNow {
+fn server(rng: &mut fastrand::Rng) -> BoxStatus {
+    let order = rng.bool().then(|| OrderStatus {
         number: number(rng),
         seconds_left: rng.bool().then(|| float(rng)),
         lasting: rng.bool(),
     });
-    BoxNow {
+    BoxStatus {
         name: text(rng),
         zone: text(rng),
         kind: text(rng),
@@ -50,7 +51,7 @@
         slowness: float(rng),
         left_out: rng.bool().then(|| text(rng)),
         times: std::array::from_fn(|_| number(rng)),
-        ..BoxNow::default()
+        ..BoxStatus::default()
     }
 }
 
@@ -62,14 +63,14 @@
         watched_s: float(rng),
         open: number(rng) as usize,
         memory_kb: number(rng),
-        seconds: many(rng, 60, |rng| Second {
+        seconds: many(rng, 60, |rng| SecondStats {
             answers: number(rng),
             refused: number(rng),
             p50_us: number(rng),
             p99_us: number(rng),
         }),
         boxes: many(rng, 40, server),
-        slow: many(rng, 20, |rng| SlowNow {
+        slow: many(rng, 20, |rng| SlowRequest {
             key: text(rng),
             class: text(rng),
             open: rng.bool(),
@@ -77,20 +78,20 @@
             left_ms: float(rng),
             why: text(rng),
             steps: many(rng, 30, |rng| Step { at_ms: float(rng), what: text(rng) }),
-            ..SlowNow::default()
+            ..SlowRequest::default()
         }),
-        tenants: many(rng, 5, |rng| TenantNow {
+        tenants: many(rng, 5, |rng| TenantStats {
             name: text(rng),
             asked: number(rng),
-            ..TenantNow::default()
+            ..TenantStats::default()
         }),
-        shares: many(rng, 30, |rng| ShareNow {
+        shares: many(rng, 30, |rng| ShareStatus {
             name: text(rng),
             depth: number(rng) as usize,
             measure: text(rng),
             used: number(rng),
             ceiling: rng.bool().then(|| number(rng)),
-            ..ShareNow::default()
+            ..ShareStatus::default()
         }),
         ..Snapshot::default()
     }
@@ -135,12 +136,12 @@
                 level: text(rng),
                 text: text(rng),
             };
-            Input::Events(Told { events: many(rng, 50, event), missed: number(rng) })
+            Input::Events(EventBatch { events: many(rng, 50, event), missed: number(rng) })
         }
         8 => Input::Lost(text(rng)),
         _ => {
             let answer = match rng.u8(0..4) {
-                0 => Ok(Answer::Obeyed {
+                0 => Ok(Answer::Accepted {
                     number: 1,
                     replaced: None,
                     unrecorded: rng.bool().then(|| text(rng)),
@@ -150,7 +151,10 @@
                 2 => Ok(Answer::Orders { orders: vec![] }),
                 _ => Err(text(rng)),
             };
-            Input::Outcome { verb: Verb::Undrain { server: text(rng), seen: None, wait_for: None }, answer }
+            Input::Outcome {
+                verb: ControlRequest::Undrain { server: text(rng), seen: None, wait_for: None },
+                answer,
+            }
         }
     }
 }
@@ -199,12 +203,12 @@
 }
 
 fn of_two() -> Box<Snapshot> {
-    let server = |name: &str| BoxNow {
+    let server = |name: &str| BoxStatus {
         name: name.into(),
         serves: true,
         listed: true,
         warmth: 1.0,
-        ..BoxNow::default()
+        ..BoxStatus::default()
     };
     Box::new(Snapshot { started_ms: 1, boxes: vec![server("a"), server("b")], ..Snapshot::default() })
 }
@@ -230,7 +234,7 @@
     on(&mut model, 1, Input::Snapshot { snapshot: of_two(), late: false });
     "2j".chars().for_each(|c| _ = on(&mut model, 1, Input::Key(Key::Char(c))));
     let mut more = of_two();
-    more.boxes.insert(0, BoxNow { name: "0".into(), serves: true, ..BoxNow::default() });
+    more.boxes.insert(0, BoxStatus { name: "0".into(), serves: true, ..BoxStatus::default() });
     on(&mut model, 2, Input::Snapshot { snapshot: more, late: false });
     on(&mut model, 2, Input::Key(Key::Char('d')));
     assert!(page(&model).contains("Drain b"));
@@ -245,7 +249,7 @@
     );
     let effects = on(&mut model, 3, Input::Key(Key::Char('y')));
     assert!(
-        matches!(&effects[..], [Effect::Order(Verb::Drain { server, seen: Some(0), .. })] if server == "b"),
+        matches!(&effects[..], [Effect::Order(ControlRequest::Drain { server, seen: Some(0), .. })] if server == "b"),
         "{effects:?}"
     );
     // A restart between question and yes takes the question away: its numbers are another node's.
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use crate::messages::{Answer, Question, VERSION, Verb};
+use crate::messages::{Answer, ControlRequest, RequestEnvelope, VERSION};
 
 /// A node that answers nothing for so long is held to be stuck.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -22,7 +22,7 @@
     /// The connection broke, or nothing came in time.
     Broken(io::Error),
     /// The node speaks otherwise, or did not understand.
-    Misunderstood(String),
+    Protocol(String),
 }
 
 impl fmt::Display for ClientError {
@@ -32,7 +32,7 @@
                 write!(f, "no node listens there: {error}; start it, or name its state folder")
             }
             ClientError::Broken(error) => write!(f, "the node did not answer: {error}; look at its log"),
-            ClientError::Misunderstood(what) => f.write_str(what),
+            ClientError::Protocol(what) => f.write_str(what),
         }
     }
 }
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// If the question can't be sent.
-    pub fn stream(mut self, verb: Verb, patience: Option<Duration>) -> Result<Stream, ClientError> {
+    pub fn stream(mut self, verb: ControlRequest, patience: Option<Duration>) -> Result<Stream, ClientError> {
         self.send(verb)?;
         self.0.get_ref().set_read_timeout(patience).map_err(ClientError::Broken)?;
         Ok(Stream(self))
@@ -65,13 +65,13 @@
     ///
     /// # Errors
     /// If no answer comes, or none that can be read.
-    pub fn ask(&mut self, verb: Verb) -> Result<Answer, ClientError> {
+    pub fn request(&mut self, verb: ControlRequest) -> Result<Answer, ClientError> {
         self.send(verb)?;
         self.answer()
     }
 
-    fn send(&mut self, verb: Verb) -> Result<(), ClientError> {
-        let question = serde_json::to_string(&Question { v: VERSION, verb }).unwrap_or_default();
+    fn send(&mut self, verb: ControlRequest) -> Result<(), ClientError> {
+        let question = serde_json::to_string(&RequestEnvelope { v: VERSION, verb }).unwrap_or_default();
         self.0.get_mut().write_all(format!("{question}\n").as_bytes()).map_err(ClientError::Broken)
     }
 
@@ -80,9 +80,9 @@
         match self.0.read_line(&mut line).map_err(ClientError::Broken)? {
             0 => Err(ClientError::Broken(io::ErrorKind::UnexpectedEof.into())),
             _ => match serde_json::from_str(&line) {
-                Ok(Answer::Error { what, .. }) => Err(ClientError::Misunderstood(what)),
+                Ok(Answer::Error { what, .. }) => Err(ClientError::Protocol(what)),
                 Ok(answer) => Ok(answer),
-                Err(error) => Err(ClientError::Misunderstood(format!("the node speaks otherwise: {error}"))),
+                Err(error) => Err(ClientError::Protocol(format!("the node speaks otherwise: {error}"))),
             },
         }
     }
--- a/crates/control/src/event_log.rs
+++ b/crates/control/src/event_log.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use lilacquay_observe::{Events, Told};
+use lilacquay_observe::{EventBatch, Events};
 use tokio::sync::watch;
 
 /// Events that are kept.
@@ -27,18 +27,18 @@
     }
 
     /// Notes one, at the system's time.
-    pub fn note(&self, level: &str, text: String) {
+    pub fn record(&self, level: &str, text: String) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let last = {
             let mut events = self.events();
-            events.note(since.as_millis() as u64, level, text);
+            events.record(since.as_millis() as u64, level, text);
             events.last()
         };
         self.0.last.send_replace(last);
     }
 
     /// What came behind one that was seen; see [`Events::after`].
-    pub fn after(&self, seen: u64, most: usize) -> Told {
+    pub fn after(&self, seen: u64, most: usize) -> EventBatch {
         self.events().after(seen, most)
     }
 
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -12,7 +12,7 @@
 use lilacquay_overrides::Kept;
 use serde::{Deserialize, Serialize};
 
-use crate::messages::Verb;
+use crate::messages::ControlRequest;
 
 /// An audit file of this size makes room for a new one; one old one is kept.
 const AUDIT: u64 = 1 << 20;
@@ -21,7 +21,7 @@
 
 /// A folder that lasts, of one node alone.
 #[derive(Debug, Clone)]
-pub struct Folder(PathBuf);
+pub struct StateDir(PathBuf);
 
 #[derive(Serialize, Deserialize)]
 struct Orders {
@@ -43,18 +43,18 @@
     /// Unix time in milliseconds.
     at_ms: u64,
     #[serde(flatten)]
-    verb: &'a Verb,
+    verb: &'a ControlRequest,
     outcome: &'a str,
 }
 
-impl Folder {
+impl StateDir {
     /// A folder at this path, which is made if it is not there.
     ///
     /// # Errors
     /// If it can't be made.
-    pub fn new(path: &Path) -> io::Result<Folder> {
+    pub fn new(path: &Path) -> io::Result<StateDir> {
         fs::create_dir_all(path)?;
-        Ok(Folder(path.to_owned()))
+        Ok(StateDir(path.to_owned()))
     }
 
     /// Where the socket is.
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// If another node answers there, or what is there can't be removed.
-    pub fn clear(&self) -> io::Result<()> {
+    pub fn remove_stale_socket(&self) -> io::Result<()> {
         let socket = self.socket();
         match UnixStream::connect(&socket) {
             Ok(_) => Err(io::Error::new(
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// If its mode can't be set.
-    pub fn guard(&self) -> io::Result<()> {
+    pub fn restrict_socket(&self) -> io::Result<()> {
         fs::set_permissions(self.socket(), fs::Permissions::from_mode(0o600))
     }
 
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If the file can't be read. It is left as it is.
-    pub fn orders(&self) -> io::Result<Vec<Kept>> {
+    pub fn load_orders(&self) -> io::Result<Vec<Kept>> {
         let path = self.0.join("orders.json");
         let wrong = |error: io::Error| {
             let what = format!("{}: {error}; mend it, or take it away and order anew", path.display());
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     /// If they can't be written; those kept before are then still there.
-    pub fn keep(&self, kept: Vec<Kept>) -> io::Result<()> {
+    pub fn save_orders(&self, kept: Vec<Kept>) -> io::Result<()> {
         let now = unix_ms();
         let lasting = |Kept { server, left, mark }| Lasting {
             server,
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     /// If it can't be written; nothing half written is left.
-    pub fn bundle(&self, contents: &serde_json::Value) -> io::Result<PathBuf> {
+    pub fn write_diagnosis(&self, contents: &serde_json::Value) -> io::Result<PathBuf> {
         let folder = self.0.join("diagnosis");
         fs::create_dir_all(&folder)?;
         let file = tempfile::NamedTempFile::new_in(&folder)?;
@@ -160,7 +160,7 @@
     ///
     /// # Errors
     /// If it can't be written.
-    pub fn audit(&self, verb: &Verb, outcome: &str) -> io::Result<()> {
+    pub fn append_audit(&self, verb: &ControlRequest, outcome: &str) -> io::Result<()> {
         let path = self.0.join("audit.log");
         if fs::metadata(&path).is_ok_and(|file| file.len() >= AUDIT) {
             fs::rename(&path, self.0.join("audit.old.log"))?;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -11,9 +11,10 @@
 
 pub use client::{Client, ClientError, Stream};
 pub use event_log::EventLog;
-pub use folder::Folder;
+pub use folder::StateDir;
 pub use messages::{
-    Answer, CopyNow, FellowNow, HeldBy, KindNow, OrderHeld, PeerCopy, Question, RecordNow, Server, Sight,
-    Standing, Verb, Version, WayNow,
+    ActiveOrder, Answer, ControlRequest, LinkStatus, OrderAcks, PeerReplicaStatus, RecordKindStatus,
+    RecordSummary, ReplicaReport, ReplicatedOrder, RequestEnvelope, Server, SiblingReport, SiblingsReport,
+    Version,
 };
-pub use server::{Command, CommonOrder, Control, Host, Outcome, SiblingsAsk};
+pub use server::{ClusterOrder, CommandResult, Control, NodeCommand, NodeContext, SiblingsQuery};
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,7 +1,7 @@
 //! What is said over the control socket: a question and its answer are a line of JSON each.
 
 use lilacquay_core::{ServerState, ServerStatus};
-use lilacquay_observe::{Snapshot, Told};
+use lilacquay_observe::{EventBatch, Snapshot};
 use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
 use serde::{Deserialize, Serialize};
 
@@ -15,18 +15,18 @@
 
 /// A question, or an order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct RequestEnvelope {
     /// The version that the asker speaks.
     pub v: Version,
     /// What is asked.
     #[serde(flatten)]
-    pub verb: Verb,
+    pub verb: ControlRequest,
 }
 
 /// What is asked.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
-pub enum Verb {
+pub enum ControlRequest {
     /// The orders that hold.
     Orders,
     /// The servers of the list and what is out at each.
@@ -36,7 +36,8 @@
     /// What this node holds of what all hold in common.
     Replica,
     /// The node at this moment. From version 2, as all below that have no server.
-    Look,
+    #[serde(rename = "look")]
+    Snapshot,
     /// The node again and again, at the asker's own pace, and its events. The connection takes no other question then.
     Watch {
         /// How often, in milliseconds; 200 at least.
@@ -112,7 +113,7 @@
     /// The orders that hold.
     Orders {
         /// By server.
-        orders: Vec<Standing>,
+        orders: Vec<ActiveOrder>,
     },
     /// The servers of the list.
     Servers {
@@ -122,12 +123,12 @@
     /// The other nodes.
     Siblings {
         /// As this one sees them.
-        sight: Box<Sight>,
+        sight: Box<SiblingsReport>,
     },
     /// What this node holds of what all hold in common.
     Replica {
         /// Its copy.
-        copy: Box<CopyNow>,
+        copy: Box<ReplicaReport>,
     },
     /// The node at a moment.
     Snapshot {
@@ -138,7 +139,7 @@
     Events {
         /// Which, and how many are missing before them.
         #[serde(flatten)]
-        told: Told,
+        batch: EventBatch,
     },
     /// An order on the node itself is obeyed.
     Done {
@@ -148,16 +149,17 @@
         unrecorded: Option<String>,
     },
     /// The order is obeyed.
-    Obeyed {
+    #[serde(rename = "obeyed")]
+    Accepted {
         /// Its number.
         number: u64,
         /// What it took the place of.
-        replaced: Option<Standing>,
+        replaced: Option<ActiveOrder>,
         /// What could not be recorded of it, and why.
         unrecorded: Option<String>,
         /// How many nodes hold it, where they hold orders in common.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        held: Option<HeldBy>,
+        held: Option<OrderAcks>,
     },
     /// The order is not obeyed, and nothing has changed.
     Refused {
@@ -175,7 +177,7 @@
 
 /// An order that holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ActiveOrder {
     /// The server.
     pub server: String,
     /// How many seconds it holds yet; until it is lifted if there are none.
@@ -189,7 +191,7 @@
 /// The other nodes, as one sees them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Sight {
+pub struct SiblingsReport {
     /// The site's name.
     pub site: String,
     /// The node's own number, among so many.
@@ -229,15 +231,15 @@
     /// Datagrams from addresses that are no node's.
     pub unlisted: u64,
     /// The others, by number.
-    pub fellows: Vec<FellowNow>,
+    pub fellows: Vec<SiblingReport>,
     /// Who hears whom, among neighbours on the ring.
-    pub ways: Vec<WayNow>,
+    pub ways: Vec<LinkStatus>,
 }
 
 /// Another node.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct FellowNow {
+pub struct SiblingReport {
     /// Its number.
     pub node: usize,
     /// Where this node reaches it.
@@ -264,7 +266,7 @@
 
 /// How many nodes hold an order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldBy {
+pub struct OrderAcks {
     /// So many have said so, the one that it was given at among them.
     pub nodes: usize,
     /// Of so many that are here.
@@ -278,7 +280,7 @@
 /// A node's copy of what all hold in common.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct CopyNow {
+pub struct ReplicaReport {
     /// The node's own number, among so many.
     pub me: usize,
     /// How many nodes the list has.
@@ -290,15 +292,15 @@
     /// A number of all that it tells: copies that are alike have the same.
     pub root: String,
     /// What is held of each kind, and whether this node goes by it.
-    pub kinds: Vec<KindNow>,
+    pub kinds: Vec<RecordKindStatus>,
     /// Operators' orders.
-    pub orders: Vec<OrderHeld>,
+    pub orders: Vec<ReplicatedOrder>,
     /// Servers that are left out on the word of other nodes.
     pub left_out: Vec<String>,
     /// Servers that other nodes have seen to be slow, and by how much.
     pub believed: Vec<(String, f64)>,
     /// What is known of the other nodes' copies.
-    pub peers: Vec<PeerCopy>,
+    pub peers: Vec<PeerReplicaStatus>,
     /// Records that a bound has kept out.
     pub dropped: u64,
     /// Datagrams sent.
@@ -310,13 +312,13 @@
     /// Datagrams that could not be read.
     pub unread: u64,
     /// All records, as far as there is room to tell them.
-    pub records: Vec<RecordNow>,
+    pub records: Vec<RecordSummary>,
 }
 
 /// The records of a kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct KindNow {
+pub struct RecordKindStatus {
     /// Its name.
     pub kind: String,
     /// How many are held.
@@ -328,7 +330,7 @@
 /// An order that is held in common.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct OrderHeld {
+pub struct ReplicatedOrder {
     /// Of which server; of the nodes themselves if there is none.
     pub server: String,
     /// What stands.
@@ -350,7 +352,7 @@
 /// What is known of another's copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct PeerCopy {
+pub struct PeerReplicaStatus {
     /// Its number.
     pub node: usize,
     /// It held the same when it was heard of last.
@@ -364,7 +366,7 @@
 /// A record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(default)]
-pub struct RecordNow {
+pub struct RecordSummary {
     /// By what it is known.
     pub id: u64,
     /// Its kind's name.
@@ -380,7 +382,7 @@
 /// A way from one node to another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct WayNow {
+pub struct LinkStatus {
     /// Whose datagrams.
     pub from: usize,
     /// To whom.
@@ -429,22 +431,22 @@
     }
 }
 
-impl Standing {
+impl ActiveOrder {
     /// In words, at a time.
     pub fn new(server: &str, held: Held, now: Micros) -> Self {
         let seconds_left = match held.hold {
             Hold::Drain => None,
             Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
-        Standing { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
+        ActiveOrder { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
     }
 }
 
-impl Verb {
+impl ControlRequest {
     /// How many nodes are to hold the order before it is answered, if that is asked for.
     pub fn wait_for(&self) -> Option<usize> {
         match self {
-            Verb::Drain { wait_for, .. } | Verb::Undrain { wait_for, .. } => *wait_for,
+            ControlRequest::Drain { wait_for, .. } | ControlRequest::Undrain { wait_for, .. } => *wait_for,
             _ => None,
         }
     }
@@ -452,16 +454,23 @@
     /// The order on a server that it gives, if it is one.
     pub fn order(&self) -> Option<Ask> {
         match self.clone() {
-            Verb::Orders | Verb::Servers | Verb::Look | Verb::Watch { .. } | Verb::Events { .. } => None,
-            Verb::Siblings | Verb::Replica => None,
-            Verb::Reload | Verb::Level { .. } | Verb::Stop | Verb::Leave | Verb::Join | Verb::Diagnose => {
-                None
-            }
-            Verb::Drain { server, seconds, lasting, force, seen, .. } => {
+            ControlRequest::Orders
+            | ControlRequest::Servers
+            | ControlRequest::Snapshot
+            | ControlRequest::Watch { .. }
+            | ControlRequest::Events { .. } => None,
+            ControlRequest::Siblings | ControlRequest::Replica => None,
+            ControlRequest::Reload
+            | ControlRequest::Level { .. }
+            | ControlRequest::Stop
+            | ControlRequest::Leave
+            | ControlRequest::Join
+            | ControlRequest::Diagnose => None,
+            ControlRequest::Drain { server, seconds, lasting, force, seen, .. } => {
                 let time = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
                 Some(Ask { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
             }
-            Verb::Undrain { server, seen, .. } => {
+            ControlRequest::Undrain { server, seen, .. } => {
                 Some(Ask { server, order: Order::Undrain, lasting: false, force: false, seen })
             }
         }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -16,8 +16,11 @@
 use tracing::{info, warn};
 
 use crate::event_log::EventLog;
-use crate::folder::Folder;
-use crate::messages::{Answer, CopyNow, HeldBy, LONGEST, Question, Server, Sight, Standing, VERSION, Verb};
+use crate::folder::StateDir;
+use crate::messages::{
+    ActiveOrder, Answer, ControlRequest, LONGEST, OrderAcks, ReplicaReport, RequestEnvelope, Server,
+    SiblingsReport, VERSION,
+};
 use crate::publisher::Publisher;
 
 /// Who speaks at once; others wait until one is done.
@@ -35,24 +38,24 @@
 const LOOK: Duration = Duration::from_secs(5);
 
 /// What an order on the node itself came to: what was done, or why not.
-pub type Outcome = Result<String, String>;
+pub type CommandResult = Result<String, String>;
 
 /// An order on the node itself.
 #[derive(Debug)]
-pub enum Command {
+pub enum NodeCommand {
     /// To read the configuration again.
-    Reload(oneshot::Sender<Outcome>),
+    Reload(oneshot::Sender<CommandResult>),
     /// To log from this level on.
-    Level(String, oneshot::Sender<Outcome>),
+    SetLogLevel(String, oneshot::Sender<CommandResult>),
     /// To leave service, or to be in service again.
-    Service(bool, oneshot::Sender<Outcome>),
+    SetInService(bool, oneshot::Sender<CommandResult>),
     /// To answer what was taken, and end.
-    Stop(oneshot::Sender<Outcome>),
+    Stop(oneshot::Sender<CommandResult>),
 }
 
 /// An order that all nodes are to hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommonOrder {
+pub enum ClusterOrder {
     /// On a server, which is obeyed here already.
     Server(Ask),
     /// To log from this level on.
@@ -61,29 +64,29 @@
 
 /// What whoever speaks to the other nodes is asked.
 #[derive(Debug)]
-pub enum SiblingsAsk {
+pub enum SiblingsQuery {
     /// What it sees of them.
-    Sight(oneshot::Sender<Sight>),
+    Siblings(oneshot::Sender<SiblingsReport>),
     /// What it holds of what all hold in common; nothing where they hold nothing so.
-    Copy(oneshot::Sender<Option<CopyNow>>),
+    Replica(oneshot::Sender<Option<ReplicaReport>>),
     /// All records of its copy, as text, and how long each lives yet, in microseconds: for the process that follows.
     Records(oneshot::Sender<Vec<(String, Option<u64>)>>),
     /// To have all nodes hold an order, and to say how many do: once these many do, or all, or it has taken too long.
     /// Nothing where they hold no orders in common.
-    Order(CommonOrder, Option<usize>, oneshot::Sender<Option<HeldBy>>),
+    ReplicateOrder(ClusterOrder, Option<usize>, oneshot::Sender<Option<OrderAcks>>),
 }
 
 /// What a node gives its control socket beside the core.
 #[derive(Clone)]
-pub struct Host {
+pub struct NodeContext {
     /// What has happened there.
     pub events: EventLog,
     /// Who carries out orders on the node itself.
-    pub commands: mpsc::Sender<Command>,
+    pub commands: mpsc::Sender<NodeCommand>,
     /// Its configuration, without secrets, for diagnosis bundles.
-    pub described: Value,
+    pub redacted_config: Value,
     /// Who tells what it sees of the other nodes, where they speak to one another.
-    pub siblings: Option<Arc<mpsc::Sender<SiblingsAsk>>>,
+    pub siblings: Option<Arc<mpsc::Sender<SiblingsQuery>>>,
     /// Descriptors that it may hold.
     pub descriptor_limit: usize,
 }
@@ -95,9 +98,9 @@
 }
 
 struct Inner {
-    folder: Folder,
+    folder: StateDir,
     orders: CoreHandle,
-    host: Host,
+    host: NodeContext,
     publisher: Publisher,
     places: Arc<Semaphore>,
     streams: Semaphore,
@@ -110,7 +113,7 @@
     ///
     /// # Errors
     /// If another node listens there, or the socket can't be made.
-    pub fn listen(folder: Folder, orders: CoreHandle, host: Host) -> io::Result<Control> {
+    pub fn listen(folder: StateDir, orders: CoreHandle, host: NodeContext) -> io::Result<Control> {
         let listener = bind(&folder)?;
         let (places, recording) = (Arc::new(Semaphore::new(MOST)), Mutex::default());
         let publisher = Publisher::new(orders.clone(), host.descriptor_limit);
@@ -163,10 +166,10 @@
     }
 }
 
-fn bind(folder: &Folder) -> io::Result<UnixListener> {
-    folder.clear()?;
+fn bind(folder: &StateDir) -> io::Result<UnixListener> {
+    folder.remove_stale_socket()?;
     let listener = UnixListener::bind(folder.socket())?;
-    folder.guard()?;
+    folder.restrict_socket()?;
     Ok(listener)
 }
 
@@ -176,17 +179,17 @@
     async fn attend(&self, stream: UnixStream) {
         let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(LONGEST));
         while let Ok(Some(line)) = timeout(IDLE, lines.next()).await {
-            let answer = match line
-                .map_err(|error| wrong(format!("no line: {error}")))
-                .and_then(|l| question(&l))
-            {
-                Ok(Verb::Watch { every_ms, after }) => {
-                    return self.watched(&mut lines, Duration::from_millis(every_ms), after).await;
-                }
-                Ok(Verb::Events { after, follow: true }) => return self.followed(&mut lines, after).await,
-                Ok(verb) => self.answer(verb).await,
-                Err(answer) => answer,
-            };
+            let answer =
+                match line.map_err(|error| wrong(format!("no line: {error}"))).and_then(|l| question(&l)) {
+                    Ok(ControlRequest::Watch { every_ms, after }) => {
+                        return self.watched(&mut lines, Duration::from_millis(every_ms), after).await;
+                    }
+                    Ok(ControlRequest::Events { after, follow: true }) => {
+                        return self.followed(&mut lines, after).await;
+                    }
+                    Ok(verb) => self.answer(verb).await,
+                    Err(answer) => answer,
+                };
             let last = matches!(answer, Answer::Error { .. });
             if !send(&mut lines, text(&answer), IDLE).await || last {
                 return;
@@ -219,10 +222,10 @@
     /// Sends the events behind one, if there are any; false if nobody takes them.
     async fn news(&self, lines: &mut Lines, after: &mut u64) -> bool {
         loop {
-            let told = self.host.events.after(*after, AT_ONCE);
-            let Some(last) = told.events.last().map(|event| event.number) else { return true };
+            let batch = self.host.events.after(*after, AT_ONCE);
+            let Some(last) = batch.events.last().map(|event| event.number) else { return true };
             *after = last;
-            if !send(lines, text(&Answer::Events { told }), STOPPED).await {
+            if !send(lines, text(&Answer::Events { batch }), STOPPED).await {
                 return false;
             }
         }
@@ -247,11 +250,11 @@
         }
     }
 
-    async fn answer(&self, verb: Verb) -> Answer {
+    async fn answer(&self, verb: ControlRequest) -> Answer {
         if let Some(ask) = verb.order() {
             return match self.orders.apply_order(ask.clone()).await {
                 Ok(Ok(done)) => {
-                    let held = self.in_common(CommonOrder::Server(ask), verb.wait_for()).await;
+                    let held = self.in_common(ClusterOrder::Server(ask), verb.wait_for()).await;
                     self.obeyed(verb, &done, held).await
                 }
                 Ok(Err(refusal)) => self.refused(verb, &refusal.to_string()).await,
@@ -259,24 +262,27 @@
             };
         }
         match &verb {
-            Verb::Servers => match self.orders.servers().await {
+            ControlRequest::Servers => match self.orders.servers().await {
                 Ok(servers) => Answer::Servers { servers: servers.into_iter().map(Server::new).collect() },
                 Err(_) => ended(),
             },
-            Verb::Look => match self.publisher.snapshot().await {
+            ControlRequest::Snapshot => match self.publisher.snapshot().await {
                 Some(snapshot) => Answer::Snapshot { snapshot: Box::new(snapshot) },
                 None => ended(),
             },
-            Verb::Siblings => self.siblings().await,
-            Verb::Replica => self.replica().await,
-            Verb::Events { after, .. } => Answer::Events { told: self.host.events.after(*after, usize::MAX) },
-            Verb::Reload => self.command(verb, Command::Reload).await,
-            Verb::Level { level, everywhere } => {
+            ControlRequest::Siblings => self.siblings().await,
+            ControlRequest::Replica => self.replica().await,
+            ControlRequest::Events { after, .. } => {
+                Answer::Events { batch: self.host.events.after(*after, usize::MAX) }
+            }
+            ControlRequest::Reload => self.command(verb, NodeCommand::Reload).await,
+            ControlRequest::Level { level, everywhere } => {
                 let (level, everywhere) = (level.clone(), *everywhere);
-                let answer = self.command(verb, |answer| Command::Level(level.clone(), answer)).await;
+                let answer =
+                    self.command(verb, |answer| NodeCommand::SetLogLevel(level.clone(), answer)).await;
                 match answer {
                     Answer::Done { what, unrecorded } if everywhere => {
-                        let held = self.in_common(CommonOrder::Level(level), None).await;
+                        let held = self.in_common(ClusterOrder::Level(level), None).await;
                         let held = held.map_or("at this node alone".into(), |held| {
                             format!("at {} of {} nodes so far", held.nodes, held.of)
                         });
@@ -285,29 +291,34 @@
                     other => other,
                 }
             }
-            Verb::Stop => self.command(verb, Command::Stop).await,
-            Verb::Leave => self.command(verb, |answer| Command::Service(false, answer)).await,
-            Verb::Join => self.command(verb, |answer| Command::Service(true, answer)).await,
-            Verb::Diagnose => {
+            ControlRequest::Stop => self.command(verb, NodeCommand::Stop).await,
+            ControlRequest::Leave => {
+                self.command(verb, |answer| NodeCommand::SetInService(false, answer)).await
+            }
+            ControlRequest::Join => {
+                self.command(verb, |answer| NodeCommand::SetInService(true, answer)).await
+            }
+            ControlRequest::Diagnose => {
                 let outcome = self.bundle().await;
                 self.done(verb, outcome).await
             }
-            Verb::Orders | Verb::Watch { .. } | Verb::Drain { .. } | Verb::Undrain { .. } => {
-                self.holding().await
-            }
+            ControlRequest::Orders
+            | ControlRequest::Watch { .. }
+            | ControlRequest::Drain { .. }
+            | ControlRequest::Undrain { .. } => self.holding().await,
         }
     }
 
     async fn siblings(&self) -> Answer {
         let none = || Answer::Refused { why: "this node has no siblings; list them in [siblings]".into() };
-        let Some(told) = self.ask_siblings(SiblingsAsk::Sight).await else { return none() };
+        let Some(told) = self.ask_siblings(SiblingsQuery::Siblings).await else { return none() };
         told.await.map_or_else(|_| ended(), |sight| Answer::Siblings { sight: Box::new(sight) })
     }
 
     async fn replica(&self) -> Answer {
         let why = "this node holds nothing in common with others; name kinds in `common` of [siblings]";
         let none = || Answer::Refused { why: why.into() };
-        let Some(told) = self.ask_siblings(SiblingsAsk::Copy).await else { return none() };
+        let Some(told) = self.ask_siblings(SiblingsQuery::Replica).await else { return none() };
         match told.await {
             Ok(Some(copy)) => Answer::Replica { copy: Box::new(copy) },
             Ok(None) => none(),
@@ -316,15 +327,15 @@
     }
 
     /// Has all nodes hold an order that is obeyed here; tells how many do.
-    async fn in_common(&self, order: CommonOrder, wait_for: Option<usize>) -> Option<HeldBy> {
-        let told = self.ask_siblings(|answer| SiblingsAsk::Order(order, wait_for, answer)).await?;
+    async fn in_common(&self, order: ClusterOrder, wait_for: Option<usize>) -> Option<OrderAcks> {
+        let told = self.ask_siblings(|answer| SiblingsQuery::ReplicateOrder(order, wait_for, answer)).await?;
         told.await.ok().flatten()
     }
 
     /// Asks whoever speaks to the other nodes; nothing if nobody does.
     async fn ask_siblings<T>(
         &self,
-        ask: impl FnOnce(oneshot::Sender<T>) -> SiblingsAsk,
+        ask: impl FnOnce(oneshot::Sender<T>) -> SiblingsQuery,
     ) -> Option<oneshot::Receiver<T>> {
         let to = self.host.siblings.as_ref()?;
         let (answer, told) = oneshot::channel();
@@ -333,7 +344,11 @@
     }
 
     /// Has the node carry out an order on itself.
-    async fn command(&self, verb: Verb, command: impl FnOnce(oneshot::Sender<Outcome>) -> Command) -> Answer {
+    async fn command(
+        &self,
+        verb: ControlRequest,
+        command: impl FnOnce(oneshot::Sender<CommandResult>) -> NodeCommand,
+    ) -> Answer {
         let (answer, told) = oneshot::channel();
         if self.host.commands.send(command(answer)).await.is_err() {
             return ended();
@@ -344,7 +359,7 @@
         }
     }
 
-    async fn done(&self, verb: Verb, outcome: Outcome) -> Answer {
+    async fn done(&self, verb: ControlRequest, outcome: CommandResult) -> Answer {
         match outcome {
             Ok(what) => {
                 let unrecorded = self.record(verb, what.clone(), None).await.err();
@@ -355,33 +370,34 @@
     }
 
     /// Writes a diagnosis bundle: configuration without secrets, figures, orders, the last events.
-    async fn bundle(&self) -> Outcome {
+    async fn bundle(&self) -> CommandResult {
         let ending = || "the node is ending".to_owned();
         let snapshot = self.publisher.snapshot().await.ok_or_else(ending)?;
         let orders = self.holding().await;
         let events = self.host.events.after(0, usize::MAX);
-        let contents = json!({ "configuration": self.host.described, "snapshot": snapshot, "orders": orders, "events": events });
+        let contents = json!({ "configuration": self.host.redacted_config, "snapshot": snapshot, "orders": orders, "events": events });
         let folder = self.folder.clone();
-        let written =
-            spawn_blocking(move || folder.bundle(&contents)).await.map_err(|error| error.to_string())?;
+        let written = spawn_blocking(move || folder.write_diagnosis(&contents))
+            .await
+            .map_err(|error| error.to_string())?;
         match written {
             Ok(path) => Ok(format!("written to {}", path.display())),
             Err(error) => Err(format!("no bundle could be written: {error}; make room in the state folder")),
         }
     }
 
-    async fn obeyed(&self, verb: Verb, done: &Done, held: Option<HeldBy>) -> Answer {
+    async fn obeyed(&self, verb: ControlRequest, done: &Done, held: Option<OrderAcks>) -> Answer {
         let _turn = self.recording.lock().await;
         let Ok(holding) = self.orders.orders_in_force().await else { return ended() };
-        let replaced = done.replaced.map(|held| Standing::new(server(&verb), held, holding.now));
+        let replaced = done.replaced.map(|held| ActiveOrder::new(server(&verb), held, holding.now));
         let by = held.map_or(String::new(), |held| format!(", held by {} of {} nodes", held.nodes, held.of));
         let outcome = format!("obeyed as order {}{by}", done.number);
         let unrecorded = self.record(verb, outcome, Some(holding.kept)).await.err();
         let unrecorded = unrecorded.map(|error| error.to_string());
-        Answer::Obeyed { number: done.number, replaced, unrecorded, held }
+        Answer::Accepted { number: done.number, replaced, unrecorded, held }
     }
 
-    async fn refused(&self, verb: Verb, why: &str) -> Answer {
+    async fn refused(&self, verb: ControlRequest, why: &str) -> Answer {
         if let Err(error) = self.record(verb, format!("refused: {why}"), None).await {
             warn!("control: a refused order is not recorded: {error}");
         }
@@ -392,18 +408,18 @@
         let Ok(OrdersInForce { orders, now, .. }) = self.orders.orders_in_force().await else {
             return ended();
         };
-        let orders = orders.iter().map(|(server, held)| Standing::new(server, *held, now)).collect();
+        let orders = orders.iter().map(|(server, held)| ActiveOrder::new(server, *held, now)).collect();
         Answer::Orders { orders }
     }
 
     /// Records an order, and keeps those that last. A disk that is full or slow holds up nobody else.
-    async fn record(&self, verb: Verb, outcome: String, kept: Option<Vec<Kept>>) -> io::Result<()> {
+    async fn record(&self, verb: ControlRequest, outcome: String, kept: Option<Vec<Kept>>) -> io::Result<()> {
         let asked = serde_json::to_string(&verb).unwrap_or_default();
         info!(order = asked, "{outcome}");
         let folder = self.folder.clone();
         let write = move || {
-            let kept = kept.map_or(Ok(()), |kept| folder.keep(kept));
-            folder.audit(&verb, &outcome).and(kept)
+            let kept = kept.map_or(Ok(()), |kept| folder.save_orders(kept));
+            folder.append_audit(&verb, &outcome).and(kept)
         };
         spawn_blocking(write).await.map_err(io::Error::other)?
     }
@@ -419,7 +435,7 @@
 }
 
 /// Reads a question, or tells what is wrong with it.
-fn question(line: &str) -> Result<Verb, Answer> {
+fn question(line: &str) -> Result<ControlRequest, Answer> {
     let version = serde_json::from_str::<Value>(line).ok().and_then(|asked| asked["v"].as_u64());
     match version {
         Some(v) if (1..=u64::from(VERSION)).contains(&v) => {}
@@ -428,14 +444,14 @@
         }
         None => return Err(wrong("no question; write a line of JSON with \"v\" and \"ask\"".into())),
     }
-    serde_json::from_str::<Question>(line)
+    serde_json::from_str::<RequestEnvelope>(line)
         .map(|question| question.verb)
         .map_err(|error| wrong(format!("no question: {error}")))
 }
 
-fn server(verb: &Verb) -> &str {
+fn server(verb: &ControlRequest) -> &str {
     match verb {
-        Verb::Drain { server, .. } | Verb::Undrain { server, .. } => server,
+        ControlRequest::Drain { server, .. } | ControlRequest::Undrain { server, .. } => server,
         _ => "",
     }
 }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use lilacquay_metrics::{Tries, Violations};
+use lilacquay_metrics::{AttemptCounter, ViolationCounters};
 use paddlefold::setup::{Setup, micros};
 use paddlefold::{Member, MemberState, ServerId};
 use tokio::time::Instant;
@@ -41,7 +41,7 @@
     /// Set once the client has disconnected.
     pub client_left: ClientLeftAt,
     /// Counts violated invariants.
-    pub violations: Violations,
+    pub violations: ViolationCounters,
 }
 
 /// A change of a server's state in the list.
@@ -58,7 +58,7 @@
     changes: Vec<(String, ListChange)>,
     servers: HashMap<ServerId, Server<C>>,
     /// Counts attempts.
-    tries: Tries,
+    tries: AttemptCounter,
     /// Decides how long idle connections are kept.
     retention: RetentionPolicy,
     /// The number of idle connections at all servers. Cached because each attempt reads it.
@@ -68,7 +68,7 @@
 impl<C: Connection> Directory<C> {
     /// Creates an empty directory for a fleet of `nodes` nodes, whose servers close connections that have been idle
     /// for `keepalive`.
-    pub fn new(keepalive: Duration, nodes: usize, tries: Tries) -> Self {
+    pub fn new(keepalive: Duration, nodes: usize, tries: AttemptCounter) -> Self {
         let (changes, servers) = Default::default();
         let retention = RetentionPolicy::new(keepalive, nodes);
         Directory { changes, servers, tries, retention, idle_count: 0 }
@@ -356,7 +356,7 @@
         let (id, zone, kind, state) = ("s".to_owned(), "a".to_owned(), "m".to_owned(), ServerState::Serving);
         let entry = ServerEntry { id, addr, zone, kind, cell: 0, state, weight: None, started_ms: 0.0 };
         let mut directory =
-            Directory::new(KEEPALIVE, nodes, lilacquay_metrics::Book::new(Vec::new()).tries());
+            Directory::new(KEEPALIVE, nodes, lilacquay_metrics::Metrics::new(Vec::new()).attempt_counter());
         let members = directory.apply(ServerList { full: true, servers: vec![entry] }, &mut setup, |_| true);
         (directory, members[0].id, addr)
     }
@@ -390,7 +390,7 @@
         let budget = crate::buffer_budget::BufferBudget::new(0, Default::default());
         let (sender, _) = tokio::sync::mpsc::unbounded_channel();
         let stream_starter = StreamStarter { id: paddlefold::RequestId(1), attempt: 0, sender, budget };
-        let violations = lilacquay_metrics::Book::new(Vec::new()).violations();
+        let violations = lilacquay_metrics::Metrics::new(Vec::new()).violations();
         let context = AttemptContext { deadline: now, client_left: ClientLeftAt::default(), violations };
         let (_, pooled) = directory
             .check_out(id, now + KEEPALIVE / 5, stream_starter, context)
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use lilacquay_metrics::{Book, End};
-use lilacquay_observe::{CommonNow, Kind};
+use lilacquay_metrics::{Metrics, RequestOutcome};
+use lilacquay_observe::{AnswerKind, ReplicaSummary};
 use lilacquay_overrides::Kept;
 use lilacquay_quota::Ticket;
 use paddlefold::setup::Setup;
@@ -155,7 +155,7 @@
     /// The quotas that are applied before the balancer sees a request, if any.
     pub quotas: Option<Admission>,
     /// The metrics that the driver updates.
-    pub metrics: Book,
+    pub metrics: Metrics,
     /// The version of the initial list, if it has one from before this process, such as from a predecessor process.
     pub list_version: Option<u64>,
     /// What the balancer of a predecessor process had learned.
@@ -191,8 +191,8 @@
     /// The state of the other nodes, if the nodes communicate with one another.
     peer_status: Option<PeerStatus>,
     /// The size of the state that the nodes replicate.
-    replication_statistics: Option<CommonNow>,
-    book: Book,
+    replication_statistics: Option<ReplicaSummary>,
+    metrics: Metrics,
     /// The version of the list, if its source has one.
     list_version: Option<u64>,
     /// This process's share of all limits.
@@ -236,9 +236,9 @@
             directory: Directory::new(
                 Duration::from_micros(settings.keepalive),
                 settings.nodes,
-                options.metrics.tries(),
+                options.metrics.attempt_counter(),
             ),
-            book: options.metrics,
+            metrics: options.metrics,
             list_version: options.list_version,
             resource_share: options.resource_share.clone(),
             balancer: Balancer::new(settings, options.seed, clock.now()),
@@ -283,7 +283,7 @@
                 sender.clone(),
                 options.request_memory_bytes,
                 options.resource_share,
-                driver.book.clone(),
+                driver.metrics.clone(),
                 driver.shutting_down.clone(),
             ),
             CoreHandle(sender.clone()),
@@ -377,7 +377,7 @@
         let until = self.clock.now().saturating_add(left.as_micros() as Micros);
         self.events.push_back(Event::Part { part: f64::from(status.share_thousandths) / 1e3, until });
         self.directory.set_nodes(status.node_count());
-        self.book.siblings(status.peer_counts);
+        self.metrics.set_sibling_counts(status.peer_counts);
         self.peer_status = Some(status);
     }
 
@@ -416,7 +416,7 @@
             let recently_used = last_sent.is_some_and(|last_sent| now < last_sent + AVOIDED_AFTER);
             avoided += usize::from(!is_serving || !recently_used && is_excluded());
         }
-        self.book.caches(known, avoided);
+        self.metrics.set_cache_counts(known, avoided);
         known
     }
 
@@ -476,7 +476,7 @@
             (ReplicatedUpdate::PeerSlowness(slowness), _) => self.set_peer_slowness(now, &slowness),
             (ReplicatedUpdate::Statistics(statistics), _) => {
                 let behind = usize::from(statistics.behind);
-                self.book.common([statistics.records, statistics.conflicts, behind]);
+                self.metrics.set_replica_counts([statistics.records, statistics.conflicts, behind]);
                 self.replication_statistics = Some(statistics);
             }
             (_, None) => {}
@@ -548,7 +548,7 @@
 
     fn open_request(&mut self, new_request: NewRequest) {
         let NewRequest { id, call, received_at, answer } = new_request;
-        self.book.taken();
+        self.metrics.request_started();
         debug!(
             request = id.0,
             id = %String::from_utf8_lossy(&call.id),
@@ -556,7 +556,7 @@
             "request received"
         );
         if self.shutting_down.load(Ordering::Relaxed) {
-            self.book.ended(call.class, Some(End::Dropped));
+            self.metrics.request_ended(call.class, Some(RequestOutcome::Refused));
             return drop(answer.send(Answer::Busy(0))); // the client may have disconnected
         }
         let quota_ticket = match &mut self.quotas {
@@ -566,7 +566,7 @@
                 // Over its share: refused at once, like requests that the balancer refuses.
                 Err(retry_after) => {
                     self.request_log.refused_over_share(call.tenant);
-                    self.book.ended(call.class, Some(End::Dropped));
+                    self.metrics.request_ended(call.class, Some(RequestOutcome::Refused));
                     let retry_after = retry_after.min(self.setup.settings.max_retry_after);
                     return drop(answer.send(Answer::Busy(retry_after))); // the client may have disconnected
                 }
@@ -606,8 +606,8 @@
             let _ = request.client_left.set(Instant::now()); // a client disconnects only once
             debug!(request = id.0, attempts = request.attempts.len(), "client disconnected");
             if request.answer.take().is_some() {
-                self.request_log.request_answered(id, Kind::Gone, || &request.call.key);
-                self.book.ended(request.call.class, None);
+                self.request_log.request_answered(id, AnswerKind::Gone, || &request.call.key);
+                self.metrics.request_ended(request.call.class, None);
             }
             self.events.push_back(Event::ClientGone(id));
             self.close_if_done(id);
@@ -634,7 +634,7 @@
             let kind = answer_kind(&answer);
             debug!(request = id.0, attempts = request.attempts.len(), answer = ?kind, "request answered");
             self.request_log.request_answered(id, kind, || &request.call.key);
-            self.book.ended(request.call.class, Some(answer_end(&answer)));
+            self.metrics.request_ended(request.call.class, Some(answer_end(&answer)));
             let _ = sender.send(answer); // the client may have disconnected
         }
         self.close_if_done(id);
@@ -655,11 +655,11 @@
 }
 
 /// The end of a request, as the metrics count it.
-fn answer_end(answer: &Answer) -> End {
+fn answer_end(answer: &Answer) -> RequestOutcome {
     match answer {
-        Answer::Served(_) | Answer::Streaming(_) => End::Passed,
-        Answer::Busy(_) => End::Dropped,
-        Answer::Failed => End::Failed,
+        Answer::Served(_) | Answer::Streaming(_) => RequestOutcome::Served,
+        Answer::Busy(_) => RequestOutcome::Refused,
+        Answer::Failed => RequestOutcome::Failed,
     }
 }
 
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
+use lilacquay_observe::{
+    AnswerCounts, BoxStatus, Observer, OrderStatus, ServerListStatus, SiblingsSummary, Snapshot, WaitReason,
+};
 use lilacquay_overrides::Hold;
 use paddlefold::{Micros, RequestId, ServerId, Waiting};
 use tokio::time::Instant;
@@ -14,12 +16,12 @@
 use crate::upstream::Upstream;
 
 /// What a request waits for, as observers report it.
-fn to_waits(waiting: Waiting) -> Waits {
+fn to_waits(waiting: Waiting) -> WaitReason {
     match waiting {
-        Waiting::Nothing => Waits::Nothing,
-        Waiting::Flight => Waits::Fetch,
-        Waiting::Place => Waits::Place,
-        Waiting::Pause => Waits::Pause,
+        Waiting::Nothing => WaitReason::Undecided,
+        Waiting::Flight => WaitReason::SharedFetch,
+        Waiting::Place => WaitReason::ConcurrencyLimit,
+        Waiting::Pause => WaitReason::RetryBackoff,
     }
 }
 
@@ -44,18 +46,18 @@
             version: env!("CARGO_PKG_VERSION").into(),
             open: self.open_requests.len(),
             connections: self.running_attempts + self.directory.idle_count(),
-            list: ListNow {
+            list: ServerListStatus {
                 source: self.request_log.list_source.into(),
                 told_s: now.saturating_sub(self.request_log.list_received_at) as f64 / 1e6,
                 failures: self.request_log.list_failures,
             },
             ..Snapshot::default()
         };
-        let totals = self.book.totals();
+        let totals = self.metrics.totals();
         let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
-        snapshot.since_start = Answers { served, busy, failed, gone: 0 };
-        snapshot.tries = totals.tries;
-        snapshot.siblings = self.peer_status.map(|status| SiblingsNow {
+        snapshot.since_start = AnswerCounts { served, busy, failed, gone: 0 };
+        snapshot.tries = totals.attempts;
+        snapshot.siblings = self.peer_status.map(|status| SiblingsSummary {
             here: status.peer_counts[0],
             gone: status.peer_counts[1],
             unknown: status.peer_counts[2],
@@ -72,11 +74,11 @@
         let names = self.directory.names();
         let mut observer = self.request_log.observer.take();
         if let Some(observer) = &mut observer {
-            observer.figures(now, &mut snapshot, &self.request_log.tenant_names);
-            observer.keep_servers(|id| names.contains_key(&ServerId(id)));
+            observer.fill_statistics(now, &mut snapshot, &self.request_log.tenant_names);
+            observer.retain_servers(|id| names.contains_key(&ServerId(id)));
             let open_request = |id: u32| {
                 let id = RequestId(id);
-                let waits = self.balancer.waiting(id).map_or(Waits::Nothing, to_waits);
+                let waits = self.balancer.waiting(id).map_or(WaitReason::Undecided, to_waits);
                 Some((self.open_requests.get(&id)?.call.key.clone(), waits))
             };
             let server_name = |id: u32| {
@@ -87,14 +89,15 @@
             };
             let tenant_name =
                 |tenant: usize| self.request_log.tenant_names.get(tenant).cloned().unwrap_or_default();
-            snapshot.slow = observer.slow(now, &open_request, &server_name, &class_name, &tenant_name);
+            snapshot.slow =
+                observer.slow_requests(now, &open_request, &server_name, &class_name, &tenant_name);
         }
         snapshot.boxes = self.box_statuses(now, observer.as_mut());
         self.request_log.observer = observer;
         snapshot
     }
 
-    fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxNow> {
+    fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxStatus> {
         let Some(overrides) = &self.overrides else { return Vec::new() };
         let mut in_flight: HashMap<ServerId, InFlight> = HashMap::new();
         for running in self.open_requests.values().flat_map(|request| request.attempts.iter().flatten()) {
@@ -117,7 +120,7 @@
             let id = listed.get(server.name.as_str()).map(|(id, ..)| *id);
             let at_server = id.and_then(|id| in_flight.get(&id)).copied().unwrap_or_default();
             let view = id.and_then(|id| self.balancer.server(id));
-            let order = server.order.map(|held| OrderNow {
+            let order = server.order.map(|held| OrderStatus {
                 number: held.number,
                 seconds_left: match held.hold {
                     Hold::Drain => None,
@@ -131,7 +134,7 @@
                 (false, Some(silent)) => Some(format!("{silent} attempts in a row had no answer")),
                 (false, None) => None,
             });
-            let mut status = BoxNow {
+            let mut status = BoxStatus {
                 origin: self.setup.is_origin(&server.kind),
                 name: server.name,
                 zone: server.zone,
@@ -150,10 +153,10 @@
                 warmth: view.map_or(1.0, |view| view.warmth),
                 slowness: view.map_or(1.0, |view| view.slowness),
                 left_out,
-                ..BoxNow::default()
+                ..BoxStatus::default()
             };
             if let (Some(observer), Some(id)) = (observer.as_deref_mut(), id) {
-                observer.server(now, id.0, &mut status);
+                observer.fill_server(now, id.0, &mut status);
             }
             status
         };
--- a/crates/core/src/permit.rs
+++ b/crates/core/src/permit.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use lilacquay_metrics::{Rule, Violations};
+use lilacquay_metrics::{Rule, ViolationCounters};
 use paddlefold::RequestId;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -72,7 +72,7 @@
     pub deadline: Instant,
     pub client_left: ClientLeftAt,
     pub availability: Availability,
-    pub violations: Violations,
+    pub violations: ViolationCounters,
 }
 
 impl InvariantChecker {
@@ -80,13 +80,13 @@
     pub fn check_start(&self) {
         let now = Instant::now();
         if self.client_left.get().is_some_and(|left_at| now > *left_at + CLIENT_LEFT_SLACK) {
-            self.violations.count(Rule::BegunForNobody, self.id.0);
+            self.violations.record(Rule::BegunAfterClientLeft, self.id.0);
         }
         if now >= self.deadline {
-            self.violations.count(Rule::BegunAfterDeadline, self.id.0);
+            self.violations.record(Rule::BegunAfterDeadline, self.id.0);
         }
         if !self.availability.is_serving() {
-            self.violations.count(Rule::BegunAtDrained, self.id.0);
+            self.violations.record(Rule::BegunAtDrained, self.id.0);
         }
     }
 
@@ -94,7 +94,7 @@
     pub fn check_sent_timeout(&self, sent_timeout: Duration) {
         let left = self.deadline.saturating_duration_since(Instant::now());
         if sent_timeout > left + DEADLINE_SLACK {
-            self.violations.count(Rule::DeadlineToldTooLong, self.id.0);
+            self.violations.record(Rule::DeadlineToldTooLong, self.id.0);
         }
     }
 }
--- a/crates/core/src/upstream.rs
+++ b/crates/core/src/upstream.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use lilacquay_metrics::Tries;
+use lilacquay_metrics::AttemptCounter;
 use paddlefold::Outcome;
 use tokio::time::Instant;
 
@@ -77,7 +77,7 @@
     /// Checks the attempt as it is written.
     pub(crate) invariants: InvariantChecker,
     /// Counts attempts.
-    pub(crate) tries: Tries,
+    pub(crate) tries: AttemptCounter,
     /// Reports that a streamed answer has started.
     pub(crate) stream_starter: StreamStarter,
 }
@@ -103,7 +103,7 @@
     /// Must be called when the attempt has been written completely, with the client time-out that was sent to the
     /// server, if any was.
     pub fn request_written(&self, sent_timeout: Option<Duration>) {
-        self.tries.count();
+        self.tries.increment();
         if let Some(sent_timeout) = sent_timeout {
             self.invariants.check_sent_timeout(sent_timeout);
         }
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -69,7 +69,7 @@
         let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
         let known = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
-        let book = lilacquay_metrics::Book::new(Vec::new());
+        let metrics = lilacquay_metrics::Metrics::new(Vec::new());
         let portion = ResourceShare::default();
         let options = Options {
             setup,
@@ -78,7 +78,7 @@
             max_connections: connections,
             request_memory_bytes: memory,
             quotas: None,
-            metrics: book,
+            metrics,
             list_version: None,
             learned: None,
             resource_share: portion,
--- a/crates/fleet/src/memcache.rs
+++ b/crates/fleet/src/memcache.rs
@@ -23,7 +23,7 @@
 ///
 /// The origin learns from a box which keys it has missed, not for which request: the protocol has no room for an id.
 pub(crate) fn asked(packet: &Packet) -> Result<Asked, BytesMut> {
-    match (Opcode::of(packet.opcode), std::str::from_utf8(&packet.key)) {
+    match (Opcode::from_code(packet.opcode), std::str::from_utf8(&packet.key)) {
         (Some(Opcode::Get), Ok(key)) if packet.extras.is_empty() && packet.value.is_empty() => {
             Ok(Asked::new(key, &missed(key), "", false))
         }
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -12,7 +12,7 @@
 use std::{process, str};
 
 use bytes::{Bytes, BytesMut};
-use lilacquay_codec::memcache::{self, KEY_LIMIT, Opcode, Packet, Status, next_request};
+use lilacquay_codec::memcache::{self, MAX_KEY_BYTES, Opcode, Packet, Status, next_request};
 use lilacquay_core::{
     Answer, Call, CallError, Gauges, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult,
     StoreOptions, Verb,
@@ -106,7 +106,7 @@
     const AT_ONCE: usize = usize::MAX;
 
     fn expected(&self, buffer: &[u8]) -> usize {
-        memcache::expected(buffer)
+        memcache::packet_length(buffer)
     }
 
     fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<Asked>>, Malformed> {
@@ -121,7 +121,7 @@
             }
         };
         self.commands += 1;
-        Ok(Some(match Opcode::of(packet.opcode) {
+        Ok(Some(match Opcode::from_code(packet.opcode) {
             Some(opcode) => self.command(opcode, &packet).unwrap_or_else(|why| refused(&packet, why)),
             None => refused(&packet, CommandError(Status::UNKNOWN_COMMAND, "unknown command")),
         }))
@@ -159,7 +159,7 @@
     fn begin(&mut self, asked: Asked, length: usize, flags: u32, out: &mut BytesMut) {
         let Asked { opcode, opaque, key } = asked;
         let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
-        Packet { extras, key, ..Packet::new(opcode, opaque) }.put_response_head(length, out);
+        Packet { extras, key, ..Packet::new(opcode, opaque) }.put_response_header(length, out);
     }
 
     fn refuse(&mut self, asked: Asked, why: Refusal, out: &mut BytesMut) {
@@ -225,7 +225,7 @@
         if packet.extras.len() != if stores { 8 } else { 0 } || !stores && !packet.value.is_empty() {
             return Err(CommandError(Status::INVALID_ARGUMENTS, "wrong extras or value"));
         }
-        if packet.key.is_empty() || packet.key.len() > KEY_LIMIT {
+        if packet.key.is_empty() || packet.key.len() > MAX_KEY_BYTES {
             return Err(CommandError(Status::INVALID_ARGUMENTS, "a key has 1 to 250 bytes"));
         }
         let key = str::from_utf8(&packet.key)
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -65,7 +65,7 @@
     const LONGEST: usize = MAX_WRITE_VALUE_BYTES + MAX_BUFFERED_VALUE_BYTES;
 
     fn expected(&self, buffer: &[u8]) -> usize {
-        resp::expected(buffer, Self::LONGEST)
+        resp::min_frame_length(buffer, Self::LONGEST)
     }
 
     fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Input<()>>, Malformed> {
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -13,7 +13,7 @@
 use lilacquay_fronts::resp::Resp;
 use lilacquay_fronts::{Acceptor, Bounds, Input, Malformed, Parting, Protocol, Refusal};
 use lilacquay_lifecycle::{Bearing, Manner};
-use lilacquay_metrics::{Book, Rule, Violations};
+use lilacquay_metrics::{Metrics, Rule, ViolationCounters};
 use paddlefold::setup::{Setup, Stated};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -119,7 +119,7 @@
     gauges: Arc<Gauges>,
     acceptor: Acceptor,
     bearing: watch::Sender<Bearing>,
-    violations: Violations,
+    violations: ViolationCounters,
 }
 
 impl Stage {
@@ -139,8 +139,8 @@
         });
         let known = ServerList { full: true, servers: vec![entry("s1"), entry("s2")] };
         let (to, asked) = mpsc::unbounded_channel();
-        let book = Book::new(Vec::new());
-        let violations = book.violations();
+        let metrics = Metrics::new(Vec::new());
+        let violations = metrics.violations();
         let options = Options {
             setup,
             seed: 1,
@@ -148,7 +148,7 @@
             max_connections: 1000,
             request_memory_bytes: 8 << 20,
             quotas: None,
-            metrics: book,
+            metrics,
             list_version: None,
             learned: None,
             resource_share: ResourceShare::default(),
@@ -368,10 +368,10 @@
                 false => return (stage.violations.clone(), client),
             }
             stage.nothing_open().await;
-            assert_eq!(stage.violations.number(Rule::ClosedUnanswered), 0, "its client has left");
+            assert_eq!(stage.violations.total(Rule::ClosedUnanswered), 0, "its client has left");
         }
         unreachable!("the second stays");
     });
     drop(runtime); // the process ends with its session
-    assert_eq!(violations.0.number(Rule::ClosedUnanswered), 1);
+    assert_eq!(violations.0.total(Rule::ClosedUnanswered), 1);
 }
--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -4,8 +4,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use lilacquay_control::{Answer, Client, ClientError, Sight, Standing, Verb};
-use lilacquay_observe::{BoxNow, Event, Snapshot};
+use lilacquay_control::{ActiveOrder, Answer, Client, ClientError, ControlRequest, SiblingsReport};
+use lilacquay_observe::{BoxStatus, Event, Snapshot};
 
 use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaOrder, UndrainArgs};
 use crate::replica;
@@ -21,16 +21,16 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 
 pub fn status(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Look))
+    code(ask(args, ControlRequest::Snapshot))
 }
 
 /// Gives an order on the node itself.
-pub fn node(args: &ControlArgs, verb: Verb) -> ExitCode {
+pub fn node(args: &ControlArgs, verb: ControlRequest) -> ExitCode {
     code(ask(args, verb))
 }
 
 pub fn level(args: LevelArgs) -> ExitCode {
-    code(ask(&args.control, Verb::Level { level: args.level, everywhere: args.everywhere }))
+    code(ask(&args.control, ControlRequest::Level { level: args.level, everywhere: args.everywhere }))
 }
 
 /// Shows events; with `--follow` until it is ended, or the node is.
@@ -38,20 +38,20 @@
     let EventsArgs { control, follow, after, search } = args;
     let search = search.as_ref().map(|words| words.to_lowercase());
     let shown = || {
-        let verb = Verb::Events { after: *after, follow: *follow };
+        let verb = ControlRequest::Events { after: *after, follow: *follow };
         let mut stream =
             connect(control)?.stream(verb, if *follow { None } else { Some(PATIENCE) }).map_err(other)?;
         loop {
-            let Answer::Events { told } = stream.next_answer().map_err(other)? else {
+            let Answer::Events { batch } = stream.next_answer().map_err(other)? else {
                 return Err(Failure::Other("the node told no events".into()));
             };
-            if told.missed > 0 && !control.json {
-                eprintln!("lilacquay: {} events before these are no longer kept", told.missed);
+            if batch.missed > 0 && !control.json {
+                eprintln!("lilacquay: {} events before these are no longer kept", batch.missed);
             }
             let wanted = |event: &&Event| {
                 search.as_ref().is_none_or(|words| event.text.to_lowercase().contains(words))
             };
-            for event in told.events.iter().filter(wanted) {
+            for event in batch.events.iter().filter(wanted) {
                 match control.json {
                     true => println!("{}", serde_json::to_string(event).unwrap_or_default()),
                     false => println!(
@@ -77,11 +77,11 @@
 }
 
 pub fn orders(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Orders))
+    code(ask(args, ControlRequest::Orders))
 }
 
 pub fn siblings(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Siblings))
+    code(ask(args, ControlRequest::Siblings))
 }
 
 /// Shows a node's copy of what all hold in common, or compares two.
@@ -89,7 +89,7 @@
     match (&args.order, &args.state) {
         (Some(ReplicaOrder::Diff { one, other }), _) => replica::diff(one, other),
         (None, Some(state)) => {
-            code(ask(&ControlArgs { state: state.clone(), json: args.json }, Verb::Replica))
+            code(ask(&ControlArgs { state: state.clone(), json: args.json }, ControlRequest::Replica))
         }
         (None, None) => ExitCode::FAILURE, // the command line asks for it
     }
@@ -97,13 +97,13 @@
 
 pub fn undrain(args: UndrainArgs) -> ExitCode {
     let UndrainArgs { server, control, seen, wait_for } = args;
-    code(ask(&control, Verb::Undrain { server, seen, wait_for }))
+    code(ask(&control, ControlRequest::Undrain { server, seen, wait_for }))
 }
 
 pub fn drain(args: DrainArgs) -> ExitCode {
     let DrainArgs { server, control, time, lasting, force, wait, seen, wait_for } = args;
     let seconds = time.map(|time| time.as_secs_f64().ceil() as u64);
-    let verb = Verb::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
+    let verb = ControlRequest::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
     let obeyed = ask(&control, verb);
     match obeyed {
         Ok(()) if wait => code(until_free(&control, &server)),
@@ -115,7 +115,7 @@
 fn until_free(args: &ControlArgs, name: &str) -> Result<(), Failure> {
     let (until, mut last) = (Instant::now() + LONGEST_DRAIN, None);
     loop {
-        let Answer::Servers { servers } = answer(args, Verb::Servers)? else {
+        let Answer::Servers { servers } = answer(args, ControlRequest::Servers)? else {
             return Err(Failure::Other("the node told no servers".into()));
         };
         // One that has left the list holds nothing of ours that it could still finish for the list's sake.
@@ -151,8 +151,8 @@
     code
 }
 
-fn answer(args: &ControlArgs, verb: Verb) -> Result<Answer, Failure> {
-    connect(args)?.ask(verb).map_err(other)
+fn answer(args: &ControlArgs, verb: ControlRequest) -> Result<Answer, Failure> {
+    connect(args)?.request(verb).map_err(other)
 }
 
 fn connect(args: &ControlArgs) -> Result<Client, Failure> {
@@ -167,7 +167,7 @@
 }
 
 /// Asks, and prints the answer.
-fn ask(args: &ControlArgs, verb: Verb) -> Result<(), Failure> {
+fn ask(args: &ControlArgs, verb: ControlRequest) -> Result<(), Failure> {
     let wanted = verb.wait_for();
     let answer = answer(args, verb)?;
     if args.json {
@@ -179,7 +179,7 @@
         other => print(other),
     }
     match (wanted, &answer) {
-        (Some(wanted), Answer::Obeyed { held, .. }) if held.is_none_or(|held| held.nodes < wanted) => {
+        (Some(wanted), Answer::Accepted { held, .. }) if held.is_none_or(|held| held.nodes < wanted) => {
             let held =
                 held.map_or("this node alone holds it".into(), |held| format!("{} hold it", held.nodes));
             Err(Failure::Other(format!(
@@ -194,7 +194,7 @@
     match answer {
         Answer::Orders { orders } if orders.is_empty() => println!("no orders hold"),
         Answer::Orders { orders } => orders.iter().for_each(|order| println!("{}", words(order))),
-        Answer::Obeyed { number, replaced, unrecorded, held } => {
+        Answer::Accepted { number, replaced, unrecorded, held } => {
             println!("obeyed as order {number}");
             if let Some(held) = held {
                 println!("held by {} of {} nodes after {} ms", held.nodes, held.of, held.after_ms);
@@ -261,7 +261,7 @@
     now.boxes.iter().for_each(row);
 }
 
-fn fellows(sight: &Sight) {
+fn fellows(sight: &SiblingsReport) {
     let yes = |yes: bool, word: &'static str, no: &'static str| if yes { word } else { no };
     println!(
         "node {} of {} in {:?}, incarnation {}, view {}: {}{}",
@@ -307,7 +307,7 @@
     }
 }
 
-fn row(server: &BoxNow) {
+fn row(server: &BoxStatus) {
     let plain = |text: &str| text.escape_debug().to_string();
     let (name, zone, kind) = (plain(&server.name), plain(&server.zone), plain(&server.kind));
     let order = server.order.as_ref().map(|order| format!(" (order {})", order.number)).unwrap_or_default();
@@ -320,7 +320,7 @@
 }
 
 /// A server's name comes from the list and may hold anything: none of it reaches the terminal as a command.
-fn words(order: &Standing) -> String {
+fn words(order: &ActiveOrder) -> String {
     let server = order.server.escape_debug();
     let until = match order.seconds_left {
         None => "until it is lifted".to_owned(),
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lilacquay_control::SiblingsAsk;
+use lilacquay_control::SiblingsQuery;
 use lilacquay_core::{CoreHandle, HandoverState, Learned, ResourceShare, ServerList, ServerState};
 use lilacquay_handover::messages::{self, Come, Message};
 use lilacquay_handover::resource_split::{Above, Action, Event, Tie};
@@ -71,7 +71,7 @@
 }
 
 /// Who is asked for what the process holds in common with other nodes.
-pub type Holder = Arc<mpsc::Sender<SiblingsAsk>>;
+pub type Holder = Arc<mpsc::Sender<SiblingsQuery>>;
 
 /// A process's side of the tie.
 pub struct Succession {
@@ -374,7 +374,7 @@
 /// What the process holds in common with other nodes.
 async fn held(copy: &Holder) -> Option<Vec<(String, Option<u64>)>> {
     let (answer, told) = oneshot::channel();
-    copy.send(SiblingsAsk::Records(answer)).await.ok()?;
+    copy.send(SiblingsQuery::Records(answer)).await.ok()?;
     told.await.ok()
 }
 
--- a/crates/lilacquay/src/logging.rs
+++ b/crates/lilacquay/src/logging.rs
@@ -133,7 +133,7 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut words = Words::default();
         event.record(&mut words);
-        self.0.note(event.metadata().level().as_str(), words.message + &words.fields);
+        self.0.record(event.metadata().level().as_str(), words.message + &words.fields);
     }
 }
 
--- a/crates/lilacquay/src/replica.rs
+++ b/crates/lilacquay/src/replica.rs
@@ -4,13 +4,13 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use lilacquay_control::{Answer, Client, CopyNow, RecordNow, Verb};
+use lilacquay_control::{Answer, Client, ControlRequest, RecordSummary, ReplicaReport};
 
 /// The copies differ.
 const DIFFER: u8 = 5;
 
 /// Prints a copy. Names come from the list and may hold anything: none of it reaches the terminal as a command.
-pub fn print(copy: &CopyNow) {
+pub fn print(copy: &ReplicaReport) {
     println!(
         "node {} of {}: {} for {:.0} s, copy {}",
         copy.me,
@@ -58,11 +58,11 @@
 }
 
 /// What a node tells, or what one has told into a file.
-fn copy(place: &Path) -> Result<CopyNow, String> {
+fn copy(place: &Path) -> Result<ReplicaReport, String> {
     let wrong = |what: String| format!("{}: {what}", place.display());
     let answer = if place.is_dir() {
         let mut client = Client::connect(place).map_err(|error| wrong(error.to_string()))?;
-        client.ask(Verb::Replica).map_err(|error| wrong(error.to_string()))?
+        client.request(ControlRequest::Replica).map_err(|error| wrong(error.to_string()))?
     } else {
         let text = std::fs::read_to_string(place).map_err(|error| wrong(error.to_string()))?;
         let mend = "; name a state folder, or what `replica --json` has printed";
@@ -94,8 +94,8 @@
 }
 
 /// In what two copies differ, a line each.
-fn differences(one: &CopyNow, other: &CopyNow) -> Vec<String> {
-    let by_id = |copy: &CopyNow| -> BTreeMap<u64, RecordNow> {
+fn differences(one: &ReplicaReport, other: &ReplicaReport) -> Vec<String> {
+    let by_id = |copy: &ReplicaReport| -> BTreeMap<u64, RecordSummary> {
         copy.records.iter().map(|record| (record.id, record.clone())).collect()
     };
     let (ours, theirs) = (by_id(one), by_id(other));
@@ -123,14 +123,18 @@
 
     #[test]
     fn what_differs_is_named_with_the_side_that_has_it() {
-        let record = |id: u64, counter: u32, sum: u32| RecordNow {
+        let record = |id: u64, counter: u32, sum: u32| RecordSummary {
             id,
             kind: "order".into(),
             origin: 3,
             version: (1, counter),
             sum,
         };
-        let of = |me: usize, records: Vec<RecordNow>| CopyNow { me, records, ..CopyNow::default() };
+        let of = |me: usize, records: Vec<RecordSummary>| ReplicaReport {
+            me,
+            records,
+            ..ReplicaReport::default()
+        };
         let one = of(0, vec![record(1, 1, 1), record(2, 2, 9), record(3, 1, 1)]);
         let other = of(1, vec![record(1, 1, 1), record(2, 1, 8), record(4, 1, 1)]);
         let told = differences(&one, &other);
--- a/crates/lilacquay/tests/answers.rs
+++ b/crates/lilacquay/tests/answers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use lilacquay_codec::memcache::{HEADER, Opcode, Packet, Status};
+use lilacquay_codec::memcache::{HEADER_BYTES, Opcode, Packet, Status};
 
 /// A final answer is due so long after the client's time is up, and what sockets allow beyond it.
 const FINAL_ANSWER: Duration = Duration::from_millis(500 + 50);
@@ -166,7 +166,7 @@
     let opcode = Opcode::Get as u8;
     let whole =
         Packet { opcode, opaque: call.opaque(), status: Status::OK.0, extras, value, ..Packet::default() };
-    call.answer(&response(&whole)[..HEADER + 200]);
+    call.answer(&response(&whole)[..HEADER_BYTES + 200]);
     assert_ends_in_time(client, sent, SHORT);
 }
 
--- a/crates/lilacquay/tests/common/mod.rs
+++ b/crates/lilacquay/tests/common/mod.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use lilacquay_codec::memcache::{HEADER, Malformed, Opcode, Packet, Status, next_request, next_response};
+use lilacquay_codec::memcache::{
+    HEADER_BYTES, Malformed, Opcode, Packet, Status, next_request, next_response,
+};
 use lilacquay_fleet::FullListener;
 
 /// Long enough for any machine; reached only by a test that fails.
@@ -248,10 +250,10 @@
         }
         // Not a byte beyond this one.
         let missing = match buffer.len() {
-            have if have < HEADER => HEADER - have,
+            have if have < HEADER_BYTES => HEADER_BYTES - have,
             have => {
                 let body = u32::from_be_bytes(buffer[8..12].try_into().unwrap()) as usize;
-                HEADER + body - have
+                HEADER_BYTES + body - have
             }
         };
         let mut bytes = vec![0; missing];
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,8 +1,8 @@
 //! One book of counts of a node's work, always kept.
 //!
 //! A request counts once, at its end, whatever way it ends; what ends after its client has left counts nowhere.
-//! Whoever keeps the book has a [`Book`], cheap to clone; a count is one addition to a number in memory. Whoever
-//! reads it asks for a form: the operators' lines ([`Book::lines`]) or Prometheus' text ([`Book::prometheus`]).
+//! Whoever keeps the book has a [`Metrics`], cheap to clone; a count is one addition to a number in memory. Whoever
+//! reads it asks for a form: the operators' lines ([`Metrics::lines`]) or Prometheus' text ([`Metrics::prometheus`]).
 
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -25,11 +25,11 @@
 
 /// How a request has ended, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// With a value or a receipt.
-    Passed,
+    Served,
     /// Refused: trying again is harmless.
-    Dropped,
+    Refused,
     /// Failed, with no promise.
     Failed,
 }
@@ -43,7 +43,7 @@
     /// An attempt began after the client's deadline.
     BegunAfterDeadline,
     /// An attempt began after the client had left.
-    BegunForNobody,
+    BegunAfterClientLeft,
     /// An attempt began at a server that drains or is gone.
     BegunAtDrained,
     /// A connection was closed with a request that had been read and not answered.
@@ -55,7 +55,7 @@
     pub const ALL: [Rule; 5] = [
         Rule::DeadlineToldTooLong,
         Rule::BegunAfterDeadline,
-        Rule::BegunForNobody,
+        Rule::BegunAfterClientLeft,
         Rule::BegunAtDrained,
         Rule::ClosedUnanswered,
     ];
@@ -65,7 +65,7 @@
         match self {
             Rule::DeadlineToldTooLong => "deadline_told_too_long",
             Rule::BegunAfterDeadline => "begun_after_deadline",
-            Rule::BegunForNobody => "begun_for_nobody",
+            Rule::BegunAfterClientLeft => "begun_for_nobody",
             Rule::BegunAtDrained => "begun_at_drained",
             Rule::ClosedUnanswered => "closed_unanswered",
         }
@@ -74,17 +74,17 @@
 
 /// Counts violations. Cheap to clone.
 #[derive(Clone)]
-pub struct Violations(Arc<[Counter; Rule::ALL.len()]>);
+pub struct ViolationCounters(Arc<[Counter; Rule::ALL.len()]>);
 
-impl Violations {
+impl ViolationCounters {
     /// One more, by a request of this number in this process. It is logged.
-    pub fn count(&self, rule: Rule, request: u32) {
+    pub fn record(&self, rule: Rule, request: u32) {
         self.of(rule).inc();
         warn!(request, rule = rule.name(), "a rule was broken");
     }
 
     /// How many there were of a rule.
-    pub fn number(&self, rule: Rule) -> u64 {
+    pub fn total(&self, rule: Rule) -> u64 {
         self.of(rule).get()
     }
 
@@ -94,7 +94,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfRule {
+struct RuleLabels {
     rule: &'static str,
 }
 
@@ -107,18 +107,18 @@
 }
 
 impl Ends {
-    fn of(&self, end: End) -> &Counter {
+    fn of(&self, end: RequestOutcome) -> &Counter {
         match end {
-            End::Passed => &self.passed,
-            End::Dropped => &self.dropped,
-            End::Failed => &self.failed,
+            RequestOutcome::Served => &self.passed,
+            RequestOutcome::Refused => &self.dropped,
+            RequestOutcome::Failed => &self.failed,
         }
     }
 }
 
 /// The book. Clones are of one book.
 #[derive(Clone)]
-pub struct Book(Arc<Pages>);
+pub struct Metrics(Arc<Pages>);
 
 struct Pages {
     /// By the classes' places in the settings.
@@ -127,7 +127,7 @@
     unnamed: Ends,
     tries: Counter,
     withheld: Counter,
-    violations: Violations,
+    violations: ViolationCounters,
     in_progress: Gauge,
     known: Gauge,
     skipped: Gauge,
@@ -138,14 +138,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Of {
+struct RequestLabels {
     class: String,
     end: &'static str,
 }
 
 /// What the book holds of all classes together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct RequestTotals {
     /// Requests that were served.
     pub passed: u64,
     /// Requests that were refused.
@@ -153,16 +153,16 @@
     /// Requests that failed.
     pub failed: u64,
     /// Attempts written whole to servers, the origin among them.
-    pub tries: u64,
+    pub attempts: u64,
 }
 
-impl Book {
+impl Metrics {
     /// An empty book for classes with these names.
-    pub fn new(classes: Vec<String>) -> Book {
+    pub fn new(classes: Vec<String>) -> Metrics {
         let mut registry = Registry::with_prefix("lilacquay");
-        let requests = Family::<Of, Counter>::default();
+        let requests = Family::<RequestLabels, Counter>::default();
         let ends = |class: &str| {
-            let of = |end| requests.get_or_create_owned(&Of { class: class.to_owned(), end });
+            let of = |end| requests.get_or_create_owned(&RequestLabels { class: class.to_owned(), end });
             Ends { passed: of("passed"), dropped: of("dropped"), failed: of("bad_gateway") }
         };
         let unnamed = ends("");
@@ -172,15 +172,15 @@
         registry.register("upstream_tries", "Attempts written whole to servers", tries.clone());
         let withheld = Counter::default();
         registry.register("withheld", "Attempts that were decided and could not begin", withheld.clone());
-        let broken = Family::<OfRule, Counter>::default();
-        let of = |rule: Rule| broken.get_or_create_owned(&OfRule { rule: rule.name() });
-        let violations = Violations(Arc::new(Rule::ALL.map(of)));
+        let broken = Family::<RuleLabels, Counter>::default();
+        let of = |rule: Rule| broken.get_or_create_owned(&RuleLabels { rule: rule.name() });
+        let violations = ViolationCounters(Arc::new(Rule::ALL.map(of)));
         registry.register("violations", "Rules that the node itself saw broken", broken.clone());
         registry.register("in_progress", "Requests taken and not ended", in_progress.clone());
         registry.register("known_cache_servers", "Caches in the list", known.clone());
         registry.register("skipped_cache_servers", "Listed caches that are avoided now", skipped.clone());
         let (siblings, common, registry) = (OnceLock::new(), OnceLock::new(), Mutex::new(registry));
-        Book(Arc::new(Pages {
+        Metrics(Arc::new(Pages {
             classes,
             unnamed,
             tries,
@@ -200,12 +200,12 @@
     }
 
     /// A request was taken.
-    pub fn taken(&self) {
+    pub fn request_started(&self) {
         self.0.in_progress.inc();
     }
 
     /// A request that was taken has ended, with nobody to tell if there is no `end`.
-    pub fn ended(&self, class: Option<usize>, end: Option<End>) {
+    pub fn request_ended(&self, class: Option<usize>, end: Option<RequestOutcome>) {
         self.0.in_progress.dec();
         if let Some(end) = end {
             self.ends(class).of(end).inc();
@@ -213,34 +213,34 @@
     }
 
     /// Counts attempts as they are written whole.
-    pub fn tries(&self) -> Tries {
-        Tries(self.0.tries.clone())
+    pub fn attempt_counter(&self) -> AttemptCounter {
+        AttemptCounter(self.0.tries.clone())
     }
 
     /// An attempt that was decided could not begin.
-    pub fn withheld(&self) {
+    pub fn attempt_withheld(&self) {
         self.0.withheld.inc();
     }
 
     /// Counts violations.
-    pub fn violations(&self) -> Violations {
+    pub fn violations(&self) -> ViolationCounters {
         self.0.violations.clone()
     }
 
     /// How many caches the list has, and how many of those are avoided now.
-    pub fn caches(&self, known: usize, skipped: usize) {
+    pub fn set_cache_counts(&self, known: usize, skipped: usize) {
         self.0.known.set(known as i64);
         self.0.skipped.set(skipped as i64);
     }
 
     /// How many other nodes are here, gone and not known. Figures of these are told from the first call on.
-    pub fn siblings(&self, numbers: [usize; 3]) {
+    pub fn set_sibling_counts(&self, numbers: [usize; 3]) {
         self.set(&self.0.siblings, SIBLINGS, "Other nodes, as this one sees them", numbers);
     }
 
     /// How many records are held in common, how many orders contradict each other, and whether this node is behind. Figures
     /// of these are told from the first call on.
-    pub fn common(&self, numbers: [usize; 3]) {
+    pub fn set_replica_counts(&self, numbers: [usize; 3]) {
         self.set(&self.0.common, COMMON, "What all nodes hold in common, as this one has it", numbers);
     }
 
@@ -259,9 +259,9 @@
     }
 
     /// All classes together.
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> RequestTotals {
         let all = self.0.classes.iter().map(|(_, ends)| ends).chain([&self.0.unnamed]);
-        let mut totals = Totals { tries: self.0.tries.get(), ..Totals::default() };
+        let mut totals = RequestTotals { attempts: self.0.tries.get(), ..RequestTotals::default() };
         for ends in all {
             totals.passed += ends.passed.get();
             totals.dropped += ends.dropped.get();
@@ -271,7 +271,7 @@
     }
 
     /// The operators' lines: `NAME:VALUE|c` for counts since the start, `|g` for what is now.
-    pub fn lines(&self) -> String {
+    pub fn statsd_lines(&self) -> String {
         let mut text = String::with_capacity(1024);
         let unnamed = [("none", &self.0.unnamed)];
         let named = self.0.classes.iter().map(|(name, ends)| (name.as_str(), ends));
@@ -286,7 +286,7 @@
         put(&mut text, format_args!("upstream_tries"), self.0.tries.get() as i64, 'c');
         put(&mut text, format_args!("withheld"), self.0.withheld.get() as i64, 'c');
         for rule in Rule::ALL {
-            let count = self.0.violations.number(rule) as i64;
+            let count = self.0.violations.total(rule) as i64;
             put(&mut text, format_args!("violations.{}", rule.name()), count, 'c');
         }
         put(&mut text, format_args!("in_progress"), self.0.in_progress.get(), 'g');
@@ -315,11 +315,11 @@
 
 /// Counts attempts written whole.
 #[derive(Clone)]
-pub struct Tries(Counter);
+pub struct AttemptCounter(Counter);
 
-impl Tries {
+impl AttemptCounter {
     /// One more.
-    pub fn count(&self) {
+    pub fn increment(&self) {
         self.0.inc();
     }
 }
@@ -330,20 +330,20 @@
 
     #[test]
     fn a_request_counts_once_under_its_class_and_end() {
-        let book = Book::new(vec!["read".into(), "put".into()]);
+        let metrics = Metrics::new(vec!["read".into(), "put".into()]);
         for (class, end) in [
-            (Some(0), Some(End::Passed)),
-            (Some(1), Some(End::Dropped)),
+            (Some(0), Some(RequestOutcome::Served)),
+            (Some(1), Some(RequestOutcome::Refused)),
             (Some(1), None),
-            (Some(9), Some(End::Failed)),
+            (Some(9), Some(RequestOutcome::Failed)),
         ] {
-            book.taken();
-            book.ended(class, end);
+            metrics.request_started();
+            metrics.request_ended(class, end);
         }
-        book.taken();
-        book.tries().count();
-        book.caches(12, 3);
-        let text = book.lines();
+        metrics.request_started();
+        metrics.attempt_counter().increment();
+        metrics.set_cache_counts(12, 3);
+        let text = metrics.statsd_lines();
         for line in [
             "edge_edge.handled.read.passed:1|c",
             "edge_edge.handled.read.dropped:0|c",
@@ -357,21 +357,21 @@
         ] {
             assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
         }
-        assert_eq!(book.totals(), Totals { passed: 1, dropped: 1, failed: 1, tries: 1 });
-        let text = book.prometheus();
+        assert_eq!(metrics.totals(), RequestTotals { passed: 1, dropped: 1, failed: 1, attempts: 1 });
+        let text = metrics.prometheus();
         assert!(text.contains("lilacquay_requests_total{class=\"read\",end=\"passed\"} 1"), "{text}");
         assert!(text.contains("lilacquay_in_progress 1"), "{text}");
     }
 
     #[test]
     fn a_violation_counts_under_its_rule() {
-        let book = Book::new(Vec::new());
+        let metrics = Metrics::new(Vec::new());
         for rule in Rule::ALL {
-            book.violations().count(rule, 7);
+            metrics.violations().record(rule, 7);
         }
-        book.violations().count(Rule::BegunForNobody, 8);
-        book.withheld();
-        let (lines, text) = (book.lines(), book.prometheus());
+        metrics.violations().record(Rule::BegunAfterClientLeft, 8);
+        metrics.attempt_withheld();
+        let (lines, text) = (metrics.statsd_lines(), metrics.prometheus());
         assert!(lines.contains("edge_edge.violations.begun_for_nobody:2|c\n"), "{lines}");
         assert!(lines.contains("edge_edge.violations.deadline_told_too_long:1|c\n"), "{lines}");
         assert!(lines.contains("edge_edge.withheld:1|c\n"), "{lines}");
@@ -380,19 +380,23 @@
 
     #[test]
     fn other_nodes_are_told_once_there_are_any() {
-        let book = Book::new(Vec::new());
-        assert!(!book.lines().contains("siblings") && !book.prometheus().contains("siblings"));
-        book.siblings([4, 1, 0]);
-        book.siblings([3, 2, 0]);
-        assert!(book.lines().contains("edge_edge.siblings_gone:2|g\nedge_edge.siblings_unknown:0|g"));
-        assert!(book.prometheus().contains("lilacquay_siblings_here 3"));
-        assert!(!book.lines().contains("common"));
-        book.common([7, 0, 1]);
-        assert!(book.lines().ends_with("edge_edge.common_conflicts:0|g\nedge_edge.common_behind:1|g\n"));
+        let metrics = Metrics::new(Vec::new());
+        assert!(!metrics.statsd_lines().contains("siblings") && !metrics.prometheus().contains("siblings"));
+        metrics.set_sibling_counts([4, 1, 0]);
+        metrics.set_sibling_counts([3, 2, 0]);
+        assert!(
+            metrics.statsd_lines().contains("edge_edge.siblings_gone:2|g\nedge_edge.siblings_unknown:0|g")
+        );
+        assert!(metrics.prometheus().contains("lilacquay_siblings_here 3"));
+        assert!(!metrics.statsd_lines().contains("common"));
+        metrics.set_replica_counts([7, 0, 1]);
+        assert!(
+            metrics.statsd_lines().ends_with("edge_edge.common_conflicts:0|g\nedge_edge.common_behind:1|g\n")
+        );
     }
 
     #[test]
     fn a_class_that_nobody_names_is_not_told() {
-        assert!(!Book::new(vec!["read".into()]).lines().contains("none"));
+        assert!(!Metrics::new(vec!["read".into()]).statsd_lines().contains("none"));
     }
 }
--- a/crates/observe/src/events.rs
+++ b/crates/observe/src/events.rs
@@ -24,7 +24,7 @@
 /// What a reader is told.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Told {
+pub struct EventBatch {
     /// Events behind the one that was last seen, in order.
     pub events: Vec<Event>,
     /// How many between are no longer there.
@@ -46,7 +46,7 @@
     }
 
     /// Notes one; the oldest makes room.
-    pub fn note(&mut self, at_ms: u64, level: &str, mut text: String) {
+    pub fn record(&mut self, at_ms: u64, level: &str, mut text: String) {
         if text.len() > LONGEST {
             let cut = (0..=LONGEST).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
             text.truncate(cut);
@@ -66,12 +66,12 @@
 
     /// What came behind an event that was seen, so many at most. A number that was never given, as by a node before
     /// this one, counts as none seen.
-    pub fn after(&self, seen: u64, most: usize) -> Told {
+    pub fn after(&self, seen: u64, most: usize) -> EventBatch {
         let seen = if seen > self.last { 0 } else { seen };
         let first = self.last - self.ring.len() as u64 + 1;
         let missed = first.saturating_sub(seen + 1);
         let skip = (seen + 1).saturating_sub(first) as usize;
-        Told { events: self.ring.iter().skip(skip).take(most).cloned().collect(), missed }
+        EventBatch { events: self.ring.iter().skip(skip).take(most).cloned().collect(), missed }
     }
 }
 
@@ -85,7 +85,7 @@
         let (mut events, mut seen, mut told) = (Events::new(10), 0, 0);
         for round in 0..2_000u64 {
             for _ in 0..rng.u64(0..20) {
-                events.note(round, "INFO", format!("{}", events.last() + 1));
+                events.record(round, "INFO", format!("{}", events.last() + 1));
             }
             let news = events.after(seen, rng.usize(1..15));
             told += news.missed + news.events.len() as u64;
@@ -104,7 +104,7 @@
     #[test]
     fn a_long_text_is_cut_between_characters() {
         let mut events = Events::new(2);
-        events.note(0, "WARN", "é".repeat(1_000));
+        events.record(0, "WARN", "é".repeat(1_000));
         let text = &events.after(0, 1).events[0].text;
         assert!(text.len() <= LONGEST + 3 && text.ends_with("é…"));
     }
--- a/crates/observe/src/latency.rs
+++ b/crates/observe/src/latency.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 use crate::Micros;
-use crate::snapshot::{BUCKETS, Second, Times};
+use crate::snapshot::{LATENCY_BUCKETS, LatencySummary, SecondStats};
 
 /// Seconds that are kept.
 const KEPT: usize = 60;
@@ -17,27 +17,27 @@
 const SECOND: Micros = 1_000_000;
 
 /// The upper limit of a bucket, in microseconds: from a quarter of a millisecond, doubling. The last has none.
-pub fn bucket_limit(bucket: usize) -> Option<Micros> {
-    (bucket + 1 < BUCKETS).then(|| 250 << bucket)
+pub fn bucket_upper_bound_us(bucket: usize) -> Option<Micros> {
+    (bucket + 1 < LATENCY_BUCKETS).then(|| 250 << bucket)
 }
 
 /// The last minute.
 #[derive(Debug, Clone)]
-pub struct Figures {
+pub struct LatencyHistory {
     /// The running second, by number since the clock's start.
     running: u64,
     times: Histogram<u32>,
     answers: u64,
     refused: u64,
     /// Those that are over, the oldest first.
-    over: VecDeque<(Second, Histogram<u32>)>,
+    over: VecDeque<(SecondStats, Histogram<u32>)>,
 }
 
-impl Figures {
+impl LatencyHistory {
     /// Nothing yet.
     pub fn new(now: Micros) -> Self {
         let (over, times) = (VecDeque::new(), empty());
-        Figures { running: now / SECOND, times, answers: 0, refused: 0, over }
+        LatencyHistory { running: now / SECOND, times, answers: 0, refused: 0, over }
     }
 
     /// An answer that was served after so long, or refused.
@@ -51,20 +51,20 @@
     }
 
     /// The seconds that are over, the oldest first.
-    pub fn seconds(&mut self, now: Micros) -> Vec<Second> {
+    pub fn seconds(&mut self, now: Micros) -> Vec<SecondStats> {
         self.roll(now);
         self.over.iter().map(|(second, _)| *second).collect()
     }
 
     /// Times of the last so many seconds that are over, and of the running one.
-    pub fn last(&mut self, now: Micros, seconds: usize) -> Times {
+    pub fn last(&mut self, now: Micros, seconds: usize) -> LatencySummary {
         self.roll(now);
         let mut all = self.times.clone();
         for (_, times) in self.over.iter().rev().take(seconds) {
             let _ = all.add(times); // of one shape
         }
         let of = |part: f64| if all.is_empty() { 0 } else { all.value_at_quantile(part) };
-        Times { count: all.len(), p50_us: of(0.5), p99_us: of(0.99), max_us: all.max() }
+        LatencySummary { count: all.len(), p50_us: of(0.5), p99_us: of(0.99), max_us: all.max() }
     }
 
     /// Closes the seconds that are over. A pause of more than a minute leaves empty ones alone.
@@ -87,7 +87,7 @@
         let times = std::mem::replace(&mut self.times, fresh.unwrap_or_else(empty));
         let of = |part: f64| if times.is_empty() { 0 } else { times.value_at_quantile(part) };
         let second =
-            Second { answers: self.answers, refused: self.refused, p50_us: of(0.5), p99_us: of(0.99) };
+            SecondStats { answers: self.answers, refused: self.refused, p50_us: of(0.5), p99_us: of(0.99) };
         self.over.push_back((second, times));
         (self.answers, self.refused) = (0, 0);
         self.running += 1;
@@ -126,7 +126,9 @@
 
 /// The bucket of a time.
 pub(crate) fn bucket(took: Micros) -> usize {
-    (0..BUCKETS - 1).find(|&b| bucket_limit(b).is_none_or(|limit| took < limit)).unwrap_or(BUCKETS - 1)
+    (0..LATENCY_BUCKETS - 1)
+        .find(|&b| bucket_upper_bound_us(b).is_none_or(|limit| took < limit))
+        .unwrap_or(LATENCY_BUCKETS - 1)
 }
 
 #[cfg(test)]
@@ -135,7 +137,7 @@
 
     #[test]
     fn a_minute_is_told_second_by_second_and_no_longer() {
-        let mut figures = Figures::new(0);
+        let mut figures = LatencyHistory::new(0);
         for second in 0..200u64 {
             for n in 0..100 {
                 let now = second * SECOND + n * 10_000;
@@ -160,7 +162,7 @@
     #[test]
     fn a_pause_ends_what_was_before_it_at_once_however_long() {
         for pause in [61, 62, 100, 1_000_000_000] {
-            let mut figures = Figures::new(0);
+            let mut figures = LatencyHistory::new(0);
             figures.answered(0, Some(1_000));
             assert_eq!(figures.last(pause * SECOND, 60).count, 0, "{pause}");
             assert!(figures.seconds(pause * SECOND).len() <= KEPT);
@@ -173,6 +175,9 @@
 
     #[test]
     fn buckets_cover_all_times() {
-        assert_eq!((bucket(0), bucket(249), bucket(250), bucket(Micros::MAX)), (0, 0, 1, BUCKETS - 1));
+        assert_eq!(
+            (bucket(0), bucket(249), bucket(250), bucket(Micros::MAX)),
+            (0, 0, 1, LATENCY_BUCKETS - 1)
+        );
     }
 }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -11,15 +11,16 @@
 mod snapshot;
 mod trace;
 
-pub use events::{Event, Events, Told};
-pub use latency::{Figures, bucket_limit};
-pub use observer::{Observer, Request};
-pub use rules::Repeats;
+pub use events::{Event, EventBatch, Events};
+pub use latency::{LatencyHistory, bucket_upper_bound_us};
+pub use observer::{Observer, RequestInfo};
+pub use rules::RetrySafety;
 pub use snapshot::{
-    Answers, BUCKETS, BoxNow, CommonNow, List, Measured, OrderNow, Rules, Second, ShareNow, SiblingsNow,
-    SlowNow, Snapshot, Spread, Step, TenantNow, Times,
+    AnswerCounts, AttemptCounts, BoxStatus, LATENCY_BUCKETS, LatencyBuckets, LatencySummary, OrderStatus,
+    ReplicaSummary, RuleCounts, SecondStats, ServerListStatus, ShareStatus, SiblingsSummary, SlowRequest,
+    Snapshot, Step, TenantStats,
 };
-pub use trace::{End, Kind, Waits};
+pub use trace::{AnswerKind, AttemptOutcome, WaitReason};
 
 /// A point in time or a duration, in microseconds. A point that lies before the latest one told counts as that.
 pub type Micros = u64;
--- a/crates/observe/src/snapshot.rs
+++ b/crates/observe/src/snapshot.rs
@@ -4,10 +4,10 @@
 use serde::{Deserialize, Serialize};
 
 /// Buckets of a server's times.
-pub const BUCKETS: usize = 12;
+pub const LATENCY_BUCKETS: usize = 12;
 
-/// How many answers took how long, by [`bucket_limit`](crate::bucket_limit).
-pub type Spread = [u64; BUCKETS];
+/// How many answers took how long, by [`bucket_upper_bound_us`](crate::bucket_upper_bound_us).
+pub type LatencyBuckets = [u64; LATENCY_BUCKETS];
 
 /// A node at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -32,39 +32,39 @@
     /// See [`Snapshot::descriptors`].
     pub descriptor_limit: usize,
     /// Answers since the node started, whoever looked; who had left is not counted.
-    pub since_start: Answers,
+    pub since_start: AnswerCounts,
     /// Attempts written whole to servers since the node started.
     pub tries: u64,
     /// Answers since figures are gathered.
-    pub answers: Answers,
+    pub answers: AnswerCounts,
     /// The last minute, second by second, the oldest first; the running one is not in it.
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondStats>,
     /// Answer times of the last ten seconds.
-    pub last_10s: Times,
+    pub last_10s: LatencySummary,
     /// Answer times of the last minute.
-    pub last_60s: Times,
+    pub last_60s: LatencySummary,
     /// What a node can see of the four rules by itself.
-    pub rules: Rules,
+    pub rules: RuleCounts,
     /// The list of servers.
-    pub list: List,
+    pub list: ServerListStatus,
     /// The servers of the list, by name.
-    pub boxes: Vec<BoxNow>,
+    pub boxes: Vec<BoxStatus>,
     /// Open requests, the oldest first, and behind them the slowest that ended within the last minute.
-    pub slow: Vec<SlowNow>,
+    pub slow: Vec<SlowRequest>,
     /// Tenants, and last the requests of none.
-    pub tenants: Vec<TenantNow>,
+    pub tenants: Vec<TenantStats>,
     /// Shares of quotas.
-    pub shares: Vec<ShareNow>,
+    pub shares: Vec<ShareStatus>,
     /// The other nodes, where nodes speak to one another.
-    pub siblings: Option<SiblingsNow>,
+    pub siblings: Option<SiblingsSummary>,
     /// What all nodes hold in common, where they do.
-    pub common: Option<CommonNow>,
+    pub common: Option<ReplicaSummary>,
 }
 
 /// What all nodes hold in common, as this one has it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct CommonNow {
+pub struct ReplicaSummary {
     /// It may lack what others hold.
     pub behind: bool,
     /// Records.
@@ -78,7 +78,7 @@
 /// The other nodes, as this one sees them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct SiblingsNow {
+pub struct SiblingsSummary {
     /// Heard of lately, and confirmed.
     pub here: usize,
     /// Known to use nothing any more.
@@ -92,7 +92,7 @@
 /// Final answers by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Answers {
+pub struct AnswerCounts {
     /// With a value, a receipt, or the word that there is none.
     pub served: u64,
     /// Refused: trying again is harmless.
@@ -106,7 +106,7 @@
 /// One second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Second {
+pub struct SecondStats {
     /// Answers.
     pub answers: u64,
     /// Of them refused or failed.
@@ -120,7 +120,7 @@
 /// Times of the answers that were served, in microseconds, within 7 %.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Times {
+pub struct LatencySummary {
     /// How many.
     pub count: u64,
     /// Half took no longer.
@@ -134,7 +134,7 @@
 /// What a node sees of the four rules by itself, since figures are gathered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Rules {
+pub struct RuleCounts {
     /// Rule 1: answers later than the client's wait.
     pub late: u64,
     /// Rule 2: sends of a request that must not run twice, after one that may have run.
@@ -146,7 +146,7 @@
 /// The list of servers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct List {
+pub struct ServerListStatus {
     /// Where it came from last: `configuration`, `discovery` or `etcd`.
     pub source: String,
     /// How long ago its source last told anything, in seconds.
@@ -158,7 +158,7 @@
 /// A server of the list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct BoxNow {
+pub struct BoxStatus {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -172,7 +172,7 @@
     /// Whether it serves, under the orders.
     pub serves: bool,
     /// The order that holds it.
-    pub order: Option<OrderNow>,
+    pub order: Option<OrderStatus>,
     /// The node's requests that are out there.
     pub out: usize,
     /// How long the oldest of them has been out, in milliseconds.
@@ -188,15 +188,15 @@
     /// Why it gets nothing but a try now and then, if so.
     pub left_out: Option<String>,
     /// Answer times of the last 10 to 20 seconds.
-    pub times: Spread,
+    pub times: LatencyBuckets,
     /// What ended there in that time.
-    pub measured: Measured,
+    pub measured: AttemptCounts,
 }
 
 /// Attempts at a server that ended within the last 10 to 20 seconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Measured {
+pub struct AttemptCounts {
     /// Served.
     pub served: u64,
     /// No value for the key.
@@ -210,7 +210,7 @@
 /// An operator's order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct OrderNow {
+pub struct OrderStatus {
     /// Its number.
     pub number: u64,
     /// How many seconds it holds yet; until it is lifted if there are none.
@@ -222,7 +222,7 @@
 /// A request that takes long, or took long.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct SlowNow {
+pub struct SlowRequest {
     /// Its key.
     pub key: String,
     /// Its class.
@@ -254,19 +254,19 @@
 /// What was asked and answered for a tenant since figures are gathered.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct TenantNow {
+pub struct TenantStats {
     /// Its name; empty for requests of none.
     pub name: String,
     /// Requests.
     pub asked: u64,
     /// How they were answered.
-    pub answers: Answers,
+    pub answers: AnswerCounts,
 }
 
 /// A share of a measure in the quotas.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct ShareNow {
+pub struct ShareStatus {
     /// Its name.
     pub name: String,
     /// How deep it stands in the tree.
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -7,7 +7,7 @@
 
 /// A final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum AnswerKind {
     /// Served.
     Served,
     /// Refused.
@@ -20,21 +20,21 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// Served.
     Served,
     /// The server holds no value for the key.
     Miss,
     /// Turned away unseen.
-    TurnedAway,
+    Refused,
     /// Answered with an error.
     Error,
     /// No answer in time.
-    Silent,
+    TimedOut,
     /// No connection.
     NoConnection,
     /// The connection broke.
-    Broken,
+    ConnectionLost,
     /// Called off.
     Canceled,
     /// Not sent: no place, or the server serves no more.
@@ -43,56 +43,56 @@
 
 /// What the decision module holds a request for, while no attempt is out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Waits {
+pub enum WaitReason {
     /// Nothing that it told.
-    Nothing,
+    Undecided,
     /// Another request's fetch of the same key.
-    Fetch,
+    SharedFetch,
     /// A place among what may be out at once.
-    Place,
+    ConcurrencyLimit,
     /// A pause before its next try.
-    Pause,
+    RetryBackoff,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Taken {
+enum StepKind {
     Sent(u32),
-    Ended(u32, End),
-    Answered(Kind),
+    Ended(u32, AttemptOutcome),
+    Answered(AnswerKind),
 }
 
 /// A request's way so far.
 #[derive(Debug, Clone)]
-pub(crate) struct Trail {
+pub(crate) struct RequestTrace {
     pub arrived: Micros,
     /// When its client leaves.
     pub until: Micros,
     pub tenant: usize,
     pub class: Option<usize>,
-    steps: Vec<(Micros, Taken)>,
+    steps: Vec<(Micros, StepKind)>,
     /// Steps beyond those that are kept.
     more: usize,
     pub answered: bool,
 }
 
-impl Trail {
+impl RequestTrace {
     pub fn new(now: Micros, wait: Micros, class: Option<usize>, tenant: usize) -> Self {
         let until = now.saturating_add(wait);
-        Trail { arrived: now, until, tenant, class, steps: Vec::new(), more: 0, answered: false }
+        RequestTrace { arrived: now, until, tenant, class, steps: Vec::new(), more: 0, answered: false }
     }
 
     pub fn sent(&mut self, now: Micros, server: u32) {
-        self.take(now, Taken::Sent(server));
+        self.take(now, StepKind::Sent(server));
     }
-    pub fn ended(&mut self, now: Micros, server: u32, end: End) {
-        self.take(now, Taken::Ended(server, end));
+    pub fn ended(&mut self, now: Micros, server: u32, end: AttemptOutcome) {
+        self.take(now, StepKind::Ended(server, end));
     }
-    pub fn answered(&mut self, now: Micros, kind: Kind) {
-        self.take(now, Taken::Answered(kind));
+    pub fn answered(&mut self, now: Micros, kind: AnswerKind) {
+        self.take(now, StepKind::Answered(kind));
         self.answered = true;
     }
 
-    fn take(&mut self, now: Micros, taken: Taken) {
+    fn take(&mut self, now: Micros, taken: StepKind) {
         match self.steps.len() < MOST {
             true => self.steps.push((now, taken)),
             false => self.more += 1,
@@ -104,23 +104,23 @@
         let mut out: Vec<(Micros, u32)> = Vec::new();
         for (at, taken) in &self.steps {
             match taken {
-                Taken::Sent(server) => out.push((*at, *server)),
+                StepKind::Sent(server) => out.push((*at, *server)),
                 // Of two attempts at one server the earlier is taken to have ended.
-                Taken::Ended(server, _) => {
+                StepKind::Ended(server, _) => {
                     if let Some(place) = out.iter().position(|(_, sent)| sent == server) {
                         out.remove(place);
                     }
                 }
-                Taken::Answered(_) => {}
+                StepKind::Answered(_) => {}
             }
         }
         out
     }
 
     /// What it waits for, or how it ended.
-    pub fn why(&self, now: Micros, waits: Waits, name: &dyn Fn(u32) -> String) -> String {
+    pub fn why(&self, now: Micros, waits: WaitReason, name: &dyn Fn(u32) -> String) -> String {
         let last = self.steps.iter().rev().find_map(|(_, taken)| match taken {
-            Taken::Answered(kind) => Some(*kind),
+            StepKind::Answered(kind) => Some(*kind),
             _ => None,
         });
         if let Some(kind) = last {
@@ -133,19 +133,19 @@
             .collect();
         match (out.is_empty(), waits) {
             (false, _) => format!("at {}", out.join(" and at ")),
-            (true, Waits::Place) => "no place: as much is out as may be".into(),
-            (true, Waits::Fetch) => "another request fetches its key".into(),
-            (true, Waits::Pause) => "pauses before its next try".into(),
-            (true, Waits::Nothing) => "is being decided".into(),
+            (true, WaitReason::ConcurrencyLimit) => "no place: as much is out as may be".into(),
+            (true, WaitReason::SharedFetch) => "another request fetches its key".into(),
+            (true, WaitReason::RetryBackoff) => "pauses before its next try".into(),
+            (true, WaitReason::Undecided) => "is being decided".into(),
         }
     }
 
     /// Its steps in words, with their times from its arrival in microseconds.
     pub fn words(&self, name: &dyn Fn(u32) -> String) -> Vec<(Micros, String)> {
-        let word = |taken: &Taken| match taken {
-            Taken::Sent(server) => format!("sent to {}", name(*server)),
-            Taken::Ended(server, end) => format!("{}: {}", name(*server), end_words(*end)),
-            Taken::Answered(kind) => answer_words(*kind).into(),
+        let word = |taken: &StepKind| match taken {
+            StepKind::Sent(server) => format!("sent to {}", name(*server)),
+            StepKind::Ended(server, end) => format!("{}: {}", name(*server), end_words(*end)),
+            StepKind::Answered(kind) => answer_words(*kind).into(),
         };
         let since = |at: Micros| at.saturating_sub(self.arrived);
         let mut words: Vec<_> = self.steps.iter().map(|(at, taken)| (since(*at), word(taken))).collect();
@@ -160,25 +160,25 @@
     micros as f64 / 1e3
 }
 
-fn answer_words(kind: Kind) -> &'static str {
+fn answer_words(kind: AnswerKind) -> &'static str {
     match kind {
-        Kind::Served => "answered: served",
-        Kind::Busy => "answered: refused, to come back later",
-        Kind::Failed => "answered: failed",
-        Kind::Gone => "its client left",
+        AnswerKind::Served => "answered: served",
+        AnswerKind::Busy => "answered: refused, to come back later",
+        AnswerKind::Failed => "answered: failed",
+        AnswerKind::Gone => "its client left",
     }
 }
 
-fn end_words(end: End) -> &'static str {
+fn end_words(end: AttemptOutcome) -> &'static str {
     match end {
-        End::Served => "served",
-        End::Miss => "holds no value for the key",
-        End::TurnedAway => "turned it away",
-        End::Error => "answered with an error",
-        End::Silent => "no answer in time",
-        End::NoConnection => "no connection",
-        End::Broken => "the connection broke",
-        End::Canceled => "called off",
-        End::NotSent => "not sent: no place, or it serves no more",
+        AttemptOutcome::Served => "served",
+        AttemptOutcome::Miss => "holds no value for the key",
+        AttemptOutcome::Refused => "turned it away",
+        AttemptOutcome::Error => "answered with an error",
+        AttemptOutcome::TimedOut => "no answer in time",
+        AttemptOutcome::NoConnection => "no connection",
+        AttemptOutcome::ConnectionLost => "the connection broke",
+        AttemptOutcome::Canceled => "called off",
+        AttemptOutcome::NotSent => "not sent: no place, or it serves no more",
     }
 }
--- a/crates/replica/src/endpoint_reports.rs
+++ b/crates/replica/src/endpoint_reports.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::MOST_NAME;
+use lilacquay_codec::replica::MAX_NAME_BYTES;
 
 use crate::store::Held;
 use crate::{Micros, Replica, kind};
@@ -131,7 +131,7 @@
             Word::read(held).is_some_and(|(of, _, word)| of == server && word.started_ms == *started_ms)
         };
         let said = replica.of_kind(kind::WORD).filter(same).count();
-        if said < ENOUGH && server.len() <= MOST_NAME {
+        if said < ENOUGH && server.len() <= MAX_NAME_BYTES {
             let word = Word { drains: *drains, version: own.version, started_ms: *started_ms };
             replica.write(now, kind::WORD, server.as_bytes(), word.value(), Some(LIFE));
         }
--- a/crates/replica/src/evidence.rs
+++ b/crates/replica/src/evidence.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::MOST_NAME;
+use lilacquay_codec::replica::MAX_NAME_BYTES;
 
 use crate::store::{Held, id_of};
 use crate::{Micros, Replica, kind};
@@ -32,7 +32,7 @@
 
 /// Tells what this node sees by itself.
 pub fn say(replica: &mut Replica, now: Micros, me: u16, mut seen: Vec<Seen>) {
-    seen.retain(|seen| seen.slowness >= SLOW && seen.server.len() <= MOST_NAME);
+    seen.retain(|seen| seen.slowness >= SLOW && seen.server.len() <= MAX_NAME_BYTES);
     seen.sort_by(|a, b| b.slowness.total_cmp(&a.slowness).then(a.server.cmp(&b.server)));
     for Seen { server, slowness } in seen.into_iter().take(MOST) {
         let before = replica.record(id_of(kind::EVIDENCE, me, server.as_bytes()));
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use lilacquay_codec::replica::Rights;
+use lilacquay_codec::replica::LeaseMessage;
 
 use crate::Micros;
 
@@ -84,7 +84,7 @@
 }
 
 /// What is to be said to whom.
-pub type Say = (usize, Rights);
+pub type Say = (usize, LeaseMessage);
 
 impl Purse {
     /// Of a process that starts. `first`: a number above those of lives before, for askings.
@@ -151,7 +151,7 @@
         let lacking = self.wants.saturating_sub(own);
         if lacking < LEAST {
             let back = |(&of, borrowed): (&usize, &Borrowed)| {
-                (now < borrowed.until).then_some((of, Rights::Back { number: borrowed.number }))
+                (now < borrowed.until).then_some((of, LeaseMessage::Release { number: borrowed.number }))
             };
             say.extend(self.borrowed.iter().filter_map(back));
             self.borrowed.clear();
@@ -171,7 +171,7 @@
         let each = lacking.div_ceil(of.len().max(1) as u32).max(LEAST);
         for of in of {
             self.number += 1;
-            say.push((of, Rights::Ask { number: self.number, amount: each }));
+            say.push((of, LeaseMessage::Request { number: self.number, amount: each }));
             let number = self.number;
             // What it holds of that one stays until the new lending comes, or its own end.
             let held = self.borrowed.get(&of).map_or((0, 0), |held| (held.amount, held.until));
@@ -185,12 +185,12 @@
         &mut self,
         now: Micros,
         from: usize,
-        said: Rights,
+        said: LeaseMessage,
         own: u32,
         own_until: Micros,
     ) -> Option<Say> {
         match said {
-            Rights::Ask { number, amount } => {
+            LeaseMessage::Request { number, amount } => {
                 let before = match self.lent.get(&from) {
                     // Guards against: one asking that comes twice, or late, after a newer one.
                     Some(lent) if number <= lent.number => return None,
@@ -209,16 +209,16 @@
                 self.lent.insert(from, Lent { number, amount, until: now + left, before });
                 // Counted from when it was asked, which was before now, and by a clock that may be too slow.
                 let time = left - left * 2 * self.terms.drift / 1_000;
-                Some((from, Rights::Lend { number, amount, time: u32::try_from(time).unwrap_or(0) }))
+                Some((from, LeaseMessage::Grant { number, amount, time: u32::try_from(time).unwrap_or(0) }))
             }
-            Rights::Lend { number, amount, time } => {
+            LeaseMessage::Grant { number, amount, time } => {
                 let borrowed = self.borrowed.get_mut(&from)?;
                 if borrowed.number == number {
                     (borrowed.amount, borrowed.until) = (amount, borrowed.asked + Micros::from(time));
                 }
                 None
             }
-            Rights::Back { number } => {
+            LeaseMessage::Release { number } => {
                 if self.lent.get(&from).is_some_and(|lent| lent.number <= number) {
                     self.lent.remove(&from);
                 }
--- a/crates/replica/src/orders.rs
+++ b/crates/replica/src/orders.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::{MOST_NAME, MOST_VALUE, Record, Version};
+use lilacquay_codec::replica::{MAX_NAME_BYTES, MAX_VALUE_BYTES, Record, Version};
 
 use crate::{Micros, kind};
 
@@ -126,11 +126,11 @@
 
     /// The record that holds it. Of a subject that is too long nothing is held.
     pub fn record(&self) -> Option<Record> {
-        if self.subject.len() > MOST_NAME {
+        if self.subject.len() > MAX_NAME_BYTES {
             return None;
         }
         let Dot { origin, version } = self.dot;
-        let (mut name, mut value) = (Vec::with_capacity(DOT), Vec::with_capacity(MOST_VALUE));
+        let (mut name, mut value) = (Vec::with_capacity(DOT), Vec::with_capacity(MAX_VALUE_BYTES));
         name.put_uint(version.incarnation, 6);
         name.put_u32(version.counter);
         value.put_u8(self.action.code());
@@ -145,7 +145,7 @@
 
     /// How many others it can cover; those beyond stand beside it.
     fn covers_most(subject: &[u8]) -> usize {
-        (MOST_VALUE - HEAD - subject.len()) / DOT
+        (MAX_VALUE_BYTES - HEAD - subject.len()) / DOT
     }
 
     /// Whether it takes the place of another. Two that claim it of each other don't.
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use lilacquay_codec::replica::{BRANCHES, Have, Part, Record, Rights, Said, Sent, Sums, Version, put, read};
+use lilacquay_codec::replica::{
+    BRANCHES, BranchSums, Inventory, LeaseMessage, Message, Part, Record, RecordUpdate, Version, decode,
+    encode,
+};
 
 use crate::gossip_queue::Rumours;
 use crate::orders::{Action, Dot, KEPT, Order, Orders, Standing};
@@ -140,7 +143,7 @@
     due: Micros,
     ticked: Micros,
     /// Rights that were asked for, lent or given back, and by whom.
-    rights: Vec<(usize, Rights)>,
+    rights: Vec<(usize, LeaseMessage)>,
     /// What has changed since that was asked last: which kinds.
     changed: BTreeSet<u8>,
     counts: Counts,
@@ -196,7 +199,7 @@
     /// A datagram came from the address of this node. Tells what is to be sent.
     pub fn heard(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<Out> {
         let mut out = Vec::new();
-        let Ok(said) = read(self.setup.site, datagram) else {
+        let Ok(said) = decode(self.setup.site, datagram) else {
             self.counts.unread += 1;
             return out;
         };
@@ -206,26 +209,26 @@
         }
         self.counts.read += 1;
         self.pace.passed(now);
-        let Said { root, behind, parts } = said;
+        let Message { root, behind, parts } = said;
         self.peers.insert(from, Peer { root, behind, at: now });
         self.level_heard = if behind { self.level_heard } else { Some(now) };
         let (mut answers, mut compared) = (Vec::new(), false);
         for part in parts {
             match part {
                 Part::Record(sent) => self.came(now, from, sent, &mut answers, &mut out),
-                Part::Sums(sums) => {
+                Part::BranchSums(sums) => {
                     compared = true;
                     self.compare(&sums, &mut answers);
                 }
-                Part::Have(have) => {
+                Part::Inventory(have) => {
                     compared = true;
                     self.complete(now, &have, &mut answers);
                 }
-                Part::Want(ids) => self.give(now, &ids, &mut answers),
-                Part::Held(list) => self.held_at(from, &list),
+                Part::Request(ids) => self.give(now, &ids, &mut answers),
+                Part::Ack(list) => self.held_at(from, &list),
                 // Guards against: a fellow that says more of rights than anybody takes.
-                Part::Rights(rights) if self.rights.len() < RIGHTS => self.rights.push((from, rights)),
-                Part::Rights(_) => {}
+                Part::Lease(rights) if self.rights.len() < RIGHTS => self.rights.push((from, rights)),
+                Part::Lease(_) => {}
             }
         }
         self.answer(from, answers, &mut out);
@@ -233,7 +236,7 @@
         if differs && !compared && self.told.get(&from).is_none_or(|told| now >= told + AGAIN) {
             self.told.insert(from, now);
             let sums = self.branches(0, 0);
-            self.answer(from, sums.map(Part::Sums).into_iter().collect(), &mut out);
+            self.answer(from, sums.map(Part::BranchSums).into_iter().collect(), &mut out);
         }
         if let (Stage::Behind(_), false, false) = (self.stage, differs, behind) {
             self.stage = Stage::Level(now);
@@ -258,7 +261,7 @@
             let Some(to) = self.somebody(None) else { break };
             let mut said = self.opening();
             if behind {
-                said.parts.extend(self.branches(0, 0).map(Part::Sums));
+                said.parts.extend(self.branches(0, 0).map(Part::BranchSums));
             }
             self.fill(now, &mut said);
             self.put_out(to, &said, &mut out);
@@ -402,14 +405,14 @@
     }
 
     /// What was said of rights since this was asked last.
-    pub fn rights(&mut self) -> Vec<(usize, Rights)> {
+    pub fn rights(&mut self) -> Vec<(usize, LeaseMessage)> {
         std::mem::take(&mut self.rights)
     }
 
     /// A datagram that says something of rights.
-    pub fn say(&mut self, to: usize, rights: Rights) -> Out {
+    pub fn say(&mut self, to: usize, rights: LeaseMessage) -> Out {
         let mut said = self.opening();
-        said.add(Part::Rights(rights));
+        said.add(Part::Lease(rights));
         let mut out = Vec::new();
         self.put_out(to, &said, &mut out);
         out.remove(0)
@@ -430,8 +433,15 @@
     }
 
     /// A record came.
-    fn came(&mut self, now: Micros, from: usize, sent: Sent, answers: &mut Vec<Part>, out: &mut Vec<Out>) {
-        let Sent { record, left, asks } = sent;
+    fn came(
+        &mut self,
+        now: Micros,
+        from: usize,
+        sent: RecordUpdate,
+        answers: &mut Vec<Part>,
+        out: &mut Vec<Out>,
+    ) {
+        let RecordUpdate { record, left, ack_requested } = sent;
         let origin = usize::from(record.origin);
         if origin >= self.setup.nodes {
             return; // no node of the list
@@ -455,11 +465,11 @@
         // Its origin counts who holds an order: at the first word of it, and whenever it asks.
         let held = matches!(taken, Taken::New | Taken::Newer | Taken::Same);
         if kind == kind::ORDER && held && origin != self.setup.me {
-            if from == origin && (asks || taken.is_news()) {
-                answers.push(Part::Held(vec![(id, sum)]));
+            if from == origin && (ack_requested || taken.is_news()) {
+                answers.push(Part::Ack(vec![(id, sum)]));
             } else if taken.is_news() && self.here.contains(&origin) && self.pace.take(0) {
                 let mut said = self.opening();
-                said.add(Part::Held(vec![(id, sum)]));
+                said.add(Part::Ack(vec![(id, sum)]));
                 self.put_out(origin, &said, out);
             }
         }
@@ -512,9 +522,9 @@
         self.told.retain(|_, told| now < *told + AGAIN);
     }
 
-    fn sent(&self, now: Micros, id: u64, asks: bool) -> Option<Part> {
+    fn sent(&self, now: Micros, id: u64, ack_requested: bool) -> Option<Part> {
         let held = self.store.get(id)?;
-        Some(Part::Record(Sent { record: held.record.clone(), left: held.left(now), asks }))
+        Some(Part::Record(RecordUpdate { record: held.record.clone(), left: held.left(now), ack_requested }))
     }
 
     // ---- news ----
@@ -530,7 +540,7 @@
     }
 
     /// Fills a datagram with what is news.
-    fn fill(&mut self, now: Micros, said: &mut Said) {
+    fn fill(&mut self, now: Micros, said: &mut Message) {
         for _ in 0..self.rumours.len() {
             let Some(id) = self.rumours.next() else { return };
             if let Some(part) = self.sent(now, id, false)
@@ -578,12 +588,12 @@
 
     // ---- differences ----
 
-    fn branches(&self, level: u8, path: u16) -> Option<Sums> {
-        Some(Sums { level, path, sums: self.store.sums(level, path)? })
+    fn branches(&self, level: u8, path: u16) -> Option<BranchSums> {
+        Some(BranchSums { level, path, sums: self.store.sums(level, path)? })
     }
 
     /// Tells more of each branch in which the other's copy differs.
-    fn compare(&mut self, theirs: &Sums, answers: &mut Vec<Part>) {
+    fn compare(&mut self, theirs: &BranchSums, answers: &mut Vec<Part>) {
         let Some(ours) = self.store.sums(theirs.level, theirs.path) else { return };
         let mut differ: Vec<usize> = (0..BRANCHES).filter(|&n| ours[n] != theirs.sums[n]).collect();
         self.dice.0.shuffle(&mut differ);
@@ -592,7 +602,7 @@
             let (first, last) = Store::span(level, path);
             let some = self.store.list(first, last).take(FEW + 1).count();
             match self.branches(level, path).filter(|_| some > FEW && level < LEVELS) {
-                Some(sums) => answers.push(Part::Sums(sums)),
+                Some(sums) => answers.push(Part::BranchSums(sums)),
                 None => answers.extend(self.have(first, last)),
             }
         }
@@ -602,20 +612,20 @@
     fn have(&self, first: u64, last: u64) -> Vec<Part> {
         let all: Vec<(u64, u32)> = self.store.list(first, last).collect();
         let (mut parts, mut from) = (Vec::new(), first);
-        let mut chunks = all.chunks(Have::MOST).peekable();
+        let mut chunks = all.chunks(Inventory::MAX_ENTRIES).peekable();
         while let Some(chunk) = chunks.next() {
             let to = if chunks.peek().is_some() { chunk[chunk.len() - 1].0 } else { last };
-            parts.push(Part::Have(Have { first: from, last: to, list: chunk.into() }));
+            parts.push(Part::Inventory(Inventory { first: from, last: to, list: chunk.into() }));
             from = to + 1;
         }
         if parts.is_empty() {
-            parts.push(Part::Have(Have { first, last, list: Vec::new() }));
+            parts.push(Part::Inventory(Inventory { first, last, list: Vec::new() }));
         }
         parts
     }
 
     /// Gives what the other lacks in a span, and asks for what is lacking here.
-    fn complete(&mut self, now: Micros, have: &Have, answers: &mut Vec<Part>) {
+    fn complete(&mut self, now: Micros, have: &Inventory, answers: &mut Vec<Part>) {
         let theirs: BTreeMap<u64, u32> = have.list.iter().copied().collect();
         let ours: Vec<(u64, u32)> = self.store.list(have.first, have.last).take(4 * GIVEN).collect();
         let lacks = ours.iter().filter(|(id, sum)| theirs.get(id) != Some(sum));
@@ -624,7 +634,7 @@
         let known = |id: u64| self.store.get(id);
         let wanted = theirs.iter().filter(|(id, sum)| known(**id).is_none_or(|held| held.sum() != **sum));
         let wanted: Vec<u64> = wanted.map(|(id, _)| *id).collect();
-        answers.extend(wanted.chunks(30).map(|ids| Part::Want(ids.into())));
+        answers.extend(wanted.chunks(30).map(|ids| Part::Request(ids.into())));
     }
 
     fn give(&self, now: Micros, ids: &[u64], answers: &mut Vec<Part>) {
@@ -653,9 +663,9 @@
 
     // ---- sending ----
 
-    fn opening(&self) -> Said {
+    fn opening(&self) -> Message {
         let behind = matches!(self.stage, Stage::Behind(_));
-        Said { root: self.store.root(), behind, parts: Vec::new() }
+        Message { root: self.store.root(), behind, parts: Vec::new() }
     }
 
     fn somebody(&mut self, but: Option<usize>) -> Option<usize> {
@@ -664,8 +674,8 @@
         self.here.iter().copied().filter(|&node| Some(node) != but).nth(nth)
     }
 
-    fn put_out(&mut self, to: usize, said: &Said, out: &mut Vec<Out>) {
-        let datagram = put(self.setup.site, said);
+    fn put_out(&mut self, to: usize, said: &Message, out: &mut Vec<Out>) {
+        let datagram = encode(self.setup.site, said);
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
         out.push(Out { to, datagram });
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -1,6 +1,6 @@
 //! What is lent: in no order of asking, losing, doubling, pausing and starting again is more used than there is.
 
-use lilacquay_codec::replica::Rights;
+use lilacquay_codec::replica::LeaseMessage;
 use lilacquay_replica::Micros;
 use lilacquay_replica::leases::{Purse, Terms};
 use stateright::{Checker, Model, Property};
@@ -22,7 +22,7 @@
     /// No fellow confirms it: its part runs out.
     cut: [bool; NODES],
     paused: [bool; NODES],
-    under_way: Vec<(usize, usize, Rights)>,
+    under_way: Vec<(usize, usize, LeaseMessage)>,
     starts: u32,
     left: u8,
 }
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lilacquay_codec::replica::{Part, Record, Rights, Said, Sent, Version, put};
+use lilacquay_codec::replica::{LeaseMessage, Message, Part, Record, RecordUpdate, Version, encode};
 use lilacquay_replica::endpoint_reports::{Listed, OwnList, left_out, say};
 use lilacquay_replica::orders::{Action, KEPT};
 use lilacquay_replica::simulation::{MS, S, World};
@@ -320,9 +320,9 @@
         Record { kind: kind::WORD, origin: 2, name: b"box".into(), version, value: vec![value; 17] }
     };
     let said = |record: Record| {
-        let mut said = Said::default();
-        said.add(Part::Record(Sent { record, left: Some(600), asks: false }));
-        put(7, &said)
+        let mut said = Message::default();
+        said.add(Part::Record(RecordUpdate { record, left: Some(600), ack_requested: false }));
+        encode(7, &said)
     };
     for (at, value) in [(0, 1), (1, 9), (3, 5)] {
         world.on(at, |replica, now| _ = replica.heard(now, 2, &said(record(3, value))));
@@ -365,9 +365,9 @@
 #[test]
 fn words_of_rights_that_nobody_takes_do_not_pile_up() {
     let mut world = world(3, 11);
-    let mut said = Said::default();
-    (0..10).for_each(|number| _ = said.add(Part::Rights(Rights::Ask { number, amount: 1 })));
-    let datagram = put(7, &said);
+    let mut said = Message::default();
+    (0..10).for_each(|number| _ = said.add(Part::Lease(LeaseMessage::Request { number, amount: 1 })));
+    let datagram = encode(7, &said);
     let kept = world.on(0, |replica, now| {
         (0..1_000).for_each(|_| _ = replica.heard(now, 1, &datagram));
         replica.rights().len()
--- a/crates/siblings/src/ring.rs
+++ b/crates/siblings/src/ring.rs
@@ -1,6 +1,6 @@
 //! Who watches whom. The same at every node that has the same list.
 
-use lilacquay_codec::siblings::WATCHERS;
+use lilacquay_codec::siblings::MAX_WATCHERS;
 
 /// The ring on which the nodes stand. A node's watchers are its nearest on both sides, and it watches them.
 ///
@@ -31,7 +31,7 @@
 
     /// How many watch each node.
     pub fn watchers(&self) -> usize {
-        WATCHERS.min(self.nodes - 1)
+        MAX_WATCHERS.min(self.nodes - 1)
     }
 
     /// So many watchers at least say that a node's lease has run out when it counts as gone.
@@ -50,7 +50,7 @@
     pub fn of(&self, node: usize) -> impl Iterator<Item = usize> + use<> {
         let (nodes, stride, place) = (self.nodes, self.stride, node * self.back % self.nodes);
         let steps = [1, nodes - 1, 2, nodes.saturating_sub(2)];
-        let mut seen = Vec::with_capacity(WATCHERS);
+        let mut seen = Vec::with_capacity(MAX_WATCHERS);
         for step in steps.into_iter().take(self.watchers()) {
             let at = (place + step) % nodes * stride % nodes;
             if at != node && !seen.contains(&at) {
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -1,6 +1,6 @@
 //! A node's own standing: its incarnation, its beats, who has confirmed them, and until when it may use its part.
 
-use lilacquay_codec::siblings::{Heard, WATCHERS};
+use lilacquay_codec::siblings::{Heard, MAX_WATCHERS};
 
 use crate::Micros;
 use crate::parameters::Terms;
@@ -33,7 +33,7 @@
     began: Micros,
     beat: u32,
     sent: Vec<Micros>,
-    witnesses: [Witness; WATCHERS],
+    witnesses: [Witness; MAX_WATCHERS],
     /// Since when it has been confirmed without a gap.
     confirmed_since: Option<Micros>,
     /// The least time to the next incarnation that is needed.
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -3,7 +3,10 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-use lilacquay_codec::siblings::{BUCKETS, LONGEST, MOST_WANTED, Row, Said, Standing, Unread, put, read};
+use lilacquay_codec::siblings::{
+    DIGEST_BUCKETS, DecodeError, MAX_DATAGRAM_BYTES, MAX_REQUESTED_ROWS, Message, NodeFlags, Row, decode,
+    encode,
+};
 
 use crate::Micros;
 use crate::gossip_queue::Spread;
@@ -244,13 +247,13 @@
     /// A datagram came from the address of this node. Tells what is to be sent.
     pub fn heard(&mut self, now: Micros, wall: Micros, from: usize, datagram: &[u8]) -> Vec<Out> {
         let mut out = Vec::new();
-        let said = match read(self.setup.site, datagram) {
+        let said = match decode(self.setup.site, datagram) {
             Ok(said) => said,
-            Err(Unread::Site) => {
+            Err(DecodeError::WrongSite) => {
                 self.counts.strangers += 1;
                 return out;
             }
-            Err(Unread::Form | Unread::Sum) => {
+            Err(DecodeError::Malformed | DecodeError::ChecksumMismatch) => {
                 self.counts.unread += 1;
                 return out;
             }
@@ -304,7 +307,7 @@
         }
         self.answer_wants(now, from, &said.wants, &mut out);
         self.answer_digests(now, from, said.digests, &mut out);
-        let lacks = !first.standing.confirmed || first.standing.calling;
+        let lacks = !first.flags.confirmed || first.flags.needs_relay;
         // Guards against: two that both lack word and answer one another's answers without end.
         let lately = self.answered[from].is_some_and(|at| now < at + self.setup.terms.period / 5);
         let missed = self.watched.iter().position(|&watched| watched == from).is_some_and(|at| {
@@ -323,23 +326,30 @@
         let stale = self.setup.terms.fresh(self.setup.nodes) / 2;
         let lately = |node: &u16| {
             let known = self.view.get(usize::from(*node))?;
-            let good = now <= known.at + stale && known.row.standing.confirmed;
+            let good = now <= known.at + stale && known.row.flags.confirmed;
             (good && usize::from(*node) != to).then_some(known.row)
         };
         let rows: Vec<Row> = wants.iter().filter_map(lately).collect();
         if !rows.is_empty() && self.has_token() {
             self.own_row(now);
             let mut said = self.opening();
-            rows.into_iter().for_each(|row| _ = said.add(row, true, LONGEST));
+            rows.into_iter().for_each(|row| _ = said.add(row, true, MAX_DATAGRAM_BYTES));
             self.put(to, &said, out);
         }
     }
 
     /// Tells one whose view is another what it may lack: the nodes of a bucket in which they differ.
-    fn answer_digests(&mut self, now: Micros, to: usize, theirs: Option<[u16; BUCKETS]>, out: &mut Vec<Out>) {
+    fn answer_digests(
+        &mut self,
+        now: Micros,
+        to: usize,
+        theirs: Option<[u16; DIGEST_BUCKETS]>,
+        out: &mut Vec<Out>,
+    ) {
         let Some(theirs) = theirs else { return };
         let ours = self.view.digests();
-        let differ: Vec<usize> = (0..BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
+        let differ: Vec<usize> =
+            (0..DIGEST_BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
         if differ.is_empty() || !self.has_token() {
             return;
         }
@@ -357,7 +367,7 @@
                 };
                 let words = by.iter().filter_map(|&by| self.view.get(by)).map(|known| (known.row, false));
                 for (row, brief) in words.chain([(known.row, true)]) {
-                    if !said.has(row.origin) && !said.add(row, brief, LONGEST) {
+                    if !said.has_row_of(row.origin) && !said.add(row, brief, MAX_DATAGRAM_BYTES) {
                         return self.put(to, &said, out);
                     }
                 }
@@ -369,9 +379,9 @@
     /// What it knows nothing certain of, a few at a time.
     fn wants(&mut self) -> Vec<u16> {
         let lacks = |&node: &usize| self.states[node].0 == State::Unknown && node != self.setup.me;
-        let first = if self.numbers()[2] > MOST_WANTED { self.spread.in_turn() } else { 0 };
+        let first = if self.numbers()[2] > MAX_REQUESTED_ROWS { self.spread.in_turn() } else { 0 };
         let (low, high) = (0..first, first..self.setup.nodes);
-        high.chain(low).filter(lacks).take(MOST_WANTED).map(|node| node as u16).collect()
+        high.chain(low).filter(lacks).take(MAX_REQUESTED_ROWS).map(|node| node as u16).collect()
     }
 
     /// Time has passed. Tells what is to be sent.
@@ -488,7 +498,7 @@
         if now > known.at + terms.fresh(self.setup.nodes) {
             return (State::Unknown, Why::Silent);
         }
-        if !known.row.standing.confirmed {
+        if !known.row.flags.confirmed {
             return (State::Unknown, Why::Unconfirmed);
         }
         if let Some(at) = self.watched.iter().position(|&watched| watched == node) {
@@ -671,7 +681,7 @@
         }
         match taken {
             Taken::News => self.spread.news(node, false, false),
-            Taken::Ends => self.spread.news(node, true, row.standing.calling),
+            Taken::Ends => self.spread.news(node, true, row.flags.needs_relay),
             Taken::Old | Taken::Same | Taken::Beat => {}
         }
         let near: Vec<usize> = self.ring.of(node).collect();
@@ -683,12 +693,12 @@
         }
         self.view.judge(&self.ring, node);
         self.tell_state(now, node);
-        taken == Taken::Ends || taken == Taken::News && row.standing.leaving
+        taken == Taken::Ends || taken == Taken::News && row.flags.leaving
     }
 
     /// Speaks to those that others miss: there may be a way from here, and no other.
     fn seek(&mut self, now: Micros, rows: &[Row], out: &mut Vec<Out>) {
-        for row in rows.iter().filter(|row| row.standing.calling) {
+        for row in rows.iter().filter(|row| row.flags.needs_relay) {
             let near: Vec<usize> = self.ring.of(usize::from(row.origin)).collect();
             for (place, node) in near.into_iter().enumerate() {
                 let heard = row.heard[place];
@@ -704,7 +714,7 @@
 
     /// Word of this node itself that it has not given: of a life before, or of another process under its name.
     fn rival(&mut self, now: Micros, row: Row) {
-        let ahead = row.age() > (self.own.incarnation(), self.own.beat());
+        let ahead = row.version() > (self.own.incarnation(), self.own.beat());
         if !ahead {
             return;
         }
@@ -776,10 +786,10 @@
             origin: self.setup.me as u16,
             incarnation: self.own.incarnation(),
             beat: self.own.beat(),
-            standing: Standing {
+            flags: NodeFlags {
                 confirmed: self.is_confirmed(now),
                 leaving: self.leaving,
-                calling: self.in_need(now),
+                needs_relay: self.in_need(now),
                 paused: self.paused,
             },
             watches: self.watched.len() as u8,
@@ -806,17 +816,17 @@
         left
     }
 
-    fn put(&mut self, to: usize, said: &Said, out: &mut Vec<Out>) {
-        let datagram = put(self.setup.site, said);
+    fn put(&mut self, to: usize, said: &Message, out: &mut Vec<Out>) {
+        let datagram = encode(self.setup.site, said);
         self.counts.sent += 1;
         self.counts.sent_bytes += datagram.len() as u64;
         out.push(Out { to, datagram });
     }
 
     /// What each datagram begins with.
-    fn opening(&self) -> Said {
+    fn opening(&self) -> Message {
         let rows = self.view.get(self.setup.me).map(|known| known.row).into_iter().collect();
-        Said { epoch: self.view.epoch(), rows, ..Said::default() }
+        Message { epoch: self.view.epoch(), rows, ..Message::default() }
     }
 
     /// One that it doesn't watch, for word to get round: one that is here, or any, and one whose datagrams come where
@@ -863,14 +873,14 @@
             let Some(known) = self.view.get(node).filter(fresh) else { continue };
             let place = self.ring.place(to, node);
             let deaf = row(&self.view, to).zip(place).is_some_and(|(row, place)| !row.heard[place].direct);
-            if node != to && deaf && said.length() + known.row.length() <= LONGEST {
+            if node != to && deaf && said.length() + known.row.length() <= MAX_DATAGRAM_BYTES {
                 said.rows.push(known.row);
             }
         }
         for _ in 0..self.spread.pending() {
             let Some((node, whole)) = self.spread.next() else { break };
-            let news = row(&self.view, node).filter(|_| node != to && !said.has(node as u16));
-            if news.is_some_and(|row| !said.add(row, !whole, LONGEST)) {
+            let news = row(&self.view, node).filter(|_| node != to && !said.has_row_of(node as u16));
+            if news.is_some_and(|row| !said.add(row, !whole, MAX_DATAGRAM_BYTES)) {
                 break;
             }
             self.spread.told(node);
@@ -879,7 +889,7 @@
         let agrees = beside.is_some_and(|at| !self.differs[at]);
         for _ in 0..self.setup.nodes.min(if agrees { 0 } else { 32 }) {
             let node = self.spread.in_turn();
-            let other = row(&self.view, node).filter(|_| node != to && !said.has(node as u16));
+            let other = row(&self.view, node).filter(|_| node != to && !said.has_row_of(node as u16));
             if other.is_some_and(|row| !said.add(row, true, IN_TURN)) {
                 break;
             }
