--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -1,6 +1,6 @@
 //! What is known of all nodes: the newest row of each, when it came and by whom, and who is gone.
 
-use lilacquay_codec::siblings::{BUCKETS, Row, Standing};
+use lilacquay_codec::siblings::{DIGEST_BUCKETS, NodeFlags, Row};
 
 use crate::Micros;
 use crate::ring::Ring;
@@ -91,7 +91,7 @@
     /// Guards against: one that calls and sends ten datagrams in a period, each of which all others pass on.
     pace: Micros,
     /// Numbers of all incarnations that are known, and of those that are gone, by bucket: those who agree have the same.
-    epoch: [u64; BUCKETS],
+    epoch: [u64; DIGEST_BUCKETS],
 }
 
 /// What taking a row has come to.
@@ -111,7 +111,7 @@
 
 impl View {
     pub fn new(nodes: usize, pace: Micros) -> View {
-        View { known: vec![None; nodes], pace, epoch: [0; BUCKETS] }
+        View { known: vec![None; nodes], pace, epoch: [0; DIGEST_BUCKETS] }
     }
 
     pub fn get(&self, node: usize) -> Option<&Known> {
@@ -126,13 +126,13 @@
     }
 
     /// The view by bucket.
-    pub fn digests(&self) -> [u16; BUCKETS] {
+    pub fn digests(&self) -> [u16; DIGEST_BUCKETS] {
         self.epoch.map(|epoch| (epoch ^ epoch >> 16 ^ epoch >> 32 ^ epoch >> 48) as u16)
     }
 
     /// The nodes of a bucket.
     pub fn bucket(&self, bucket: usize) -> impl Iterator<Item = usize> + use<> {
-        (bucket..self.known.len()).step_by(BUCKETS)
+        (bucket..self.known.len()).step_by(DIGEST_BUCKETS)
     }
 
     /// What a node counts for in the view's number.
@@ -158,10 +158,10 @@
             Some(known) if row.incarnation < known.row.incarnation => return Taken::Old,
             Some(known) => {
                 let (was, begins) = (known.row, row.incarnation > known.row.incarnation);
-                let newer = row.age() > was.age();
+                let newer = row.version() > was.version();
                 let tells = !brief && (begins || known.told.is_none_or(|told| row.beat > told));
                 if !newer && !tells {
-                    return if row.age() == was.age() { Taken::Same } else { Taken::Old };
+                    return if row.version() == was.version() { Taken::Same } else { Taken::Old };
                 }
                 let late = newer && now > known.at + stale;
                 if newer {
@@ -174,7 +174,7 @@
                 } else if begins {
                     (known.row.heard, known.told) = Default::default();
                 }
-                let calls = row.standing.calling && known.called.is_none_or(|called| now >= called + pace);
+                let calls = row.flags.needs_relay && known.called.is_none_or(|called| now >= called + pace);
                 known.called = if calls { Some(now) } else { known.called };
                 match news(&was, &known.row) {
                     Taken::Beat if calls => Taken::Ends,
@@ -183,7 +183,7 @@
                 }
             }
             none => {
-                let called = row.standing.calling.then_some(now);
+                let called = row.flags.needs_relay.then_some(now);
                 *none = Some(Known { row, told, at: now, by, gone: None, called, newer_than: None });
                 if called.is_some() {
                     Taken::Ends
@@ -192,10 +192,10 @@
                 }
             }
         };
-        if row.standing.leaving {
+        if row.flags.leaving {
             self.known[node].as_mut().expect("set above").gone = Some((row.incarnation, Why::Left));
         }
-        self.epoch[node % BUCKETS] ^= before ^ self.share(node);
+        self.epoch[node % DIGEST_BUCKETS] ^= before ^ self.share(node);
         taken
     }
 
@@ -216,7 +216,7 @@
             let before = self.share(node);
             self.known[node].as_mut().expect("looked at above").gone =
                 Some((incarnation, Why::Expired { by }));
-            self.epoch[node % BUCKETS] ^= before ^ self.share(node);
+            self.epoch[node % DIGEST_BUCKETS] ^= before ^ self.share(node);
         }
     }
 
@@ -235,8 +235,8 @@
     }
     let newer = was.incarnation < is.incarnation;
     // One that has just begun has nothing to tell until it is confirmed.
-    let begins = !is.standing.confirmed && !is.standing.leaving && was.standing.confirmed == newer;
+    let begins = !is.flags.confirmed && !is.flags.leaving && was.flags.confirmed == newer;
     // That it calls is told apart from this, at a pace.
-    let same = Standing { calling: was.standing.calling, ..is.standing } == was.standing;
+    let same = NodeFlags { needs_relay: was.flags.needs_relay, ..is.flags } == was.flags;
     if begins || !newer && same { Taken::Beat } else { Taken::News }
 }
--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -335,7 +335,7 @@
 /// Whatever a datagram says that is well made, no node is brought down by it, and none sends without end.
 #[test]
 fn nothing_that_can_be_said_brings_a_node_down() {
-    use lilacquay_codec::siblings::{Heard, Row, Said, Standing, put};
+    use lilacquay_codec::siblings::{Heard, Message, NodeFlags, Row, encode};
     let mut rng = fastrand::Rng::with_seed(12);
     for nodes in [2, 3, 5, 40] {
         let mut world = settled(nodes, 12);
@@ -346,8 +346,12 @@
             let mut row = Row { origin: rng.u16(..50), watches: rng.u8(..5), ..Row::default() };
             row.incarnation = [0, 1, u64::from(number(&mut rng)) << 14, (1 << 48) - 1][rng.usize(..4)];
             row.beat = number(&mut rng);
-            row.standing =
-                Standing { confirmed: rng.bool(), leaving: rng.bool(), calling: rng.bool(), paused: false };
+            row.flags = NodeFlags {
+                confirmed: rng.bool(),
+                leaving: rng.bool(),
+                needs_relay: rng.bool(),
+                paused: false,
+            };
             row.heard = row.heard.map(|_| Heard {
                 incarnation: number(&mut rng),
                 beat: rng.u16(..),
@@ -356,12 +360,12 @@
             });
             let from = rng.usize(1..nodes);
             let first = Row { origin: from as u16, ..row };
-            let mut said = Said { epoch: number(&mut rng), rows: vec![first], ..Said::default() };
+            let mut said = Message { epoch: number(&mut rng), rows: vec![first], ..Message::default() };
             said.add(Row { origin: rng.u16(..50), ..row }, rng.bool(), 256);
             said.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
             said.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
             now += rng.u64(..2 * MS);
-            sent += node.heard(now, 0, from, &put(7, &said)).len();
+            sent += node.heard(now, 0, from, &encode(7, &said)).len();
             if rng.u8(..50) == 0 {
                 node.tick(now, 0);
             }
@@ -374,8 +378,8 @@
 /// One that says of all whom it watches, again and again, that their leases have run out.
 #[test]
 fn one_that_swears_that_all_others_are_dead_ends_nobody() {
-    use lilacquay_codec::siblings::{Heard, Row, Said, put, site};
-    assert_ne!(site("a", 3), site("a", 4));
+    use lilacquay_codec::siblings::{Heard, Message, Row, encode, site_id};
+    assert_ne!(site_id("a", 3), site_id("a", 4));
     let mut world = settled(5, 13);
     world.kill(4);
     world.run(10 * S);
@@ -385,11 +389,11 @@
         world.run(500 * MS);
         let of = |node: usize| world.siblings(node).incarnation() as u32;
         let mut row = Row { origin: 4, incarnation: 1 << 47, beat, watches: 4, ..Row::default() };
-        row.standing.confirmed = true;
+        row.flags.confirmed = true;
         for (heard, node) in row.heard.iter_mut().zip(ring.of(4)) {
             *heard = Heard { incarnation: of(node), beat: 1, direct: true, expired: true };
         }
-        let datagram = put(7, &Said { rows: vec![row], ..Said::default() });
+        let datagram = encode(7, &Message { rows: vec![row], ..Message::default() });
         for node in 0..4 {
             world.deliver(4, node, &datagram);
         }
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lilacquay_codec::memcache::{
-    HEADER, Head, KEY_LIMIT, Opcode, Packet, Status, next_response, response_head,
+    HEADER_BYTES, MAX_KEY_BYTES, Opcode, Packet, ResponseHeader, Status, next_response, parse_response_header,
 };
 use lilacquay_core::{
     Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
@@ -56,7 +56,7 @@
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
         // Nothing is sent of a key that the protocol can't carry.
-        if call.key.len() > KEY_LIMIT {
+        if call.key.len() > MAX_KEY_BYTES {
             return (Reply::from_outcome(Outcome::Ignored), Some(self));
         }
         self.opaque = self.opaque.wrapping_add(1);
@@ -68,7 +68,7 @@
         target.request_written(None); // the protocol has no word for the time that is left
         buffer.clear();
         loop {
-            if let Some(head) = response_head(&buffer).filter(|head| self.is_large(call.verb, head)) {
+            if let Some(head) = parse_response_header(&buffer).filter(|head| self.is_large(call.verb, head)) {
                 return self.flow(buffer, head, target, deadline).await;
             }
             match next_response(&mut buffer, LONGEST) {
@@ -91,30 +91,30 @@
 
 impl Memcache {
     /// Whether a response is the answer to this read, with a value that is to flow.
-    fn is_large(&self, verb: Verb, head: &Head) -> bool {
+    fn is_large(&self, verb: Verb, head: &ResponseHeader) -> bool {
         let ours = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
-        let value = ours && head.status == Status::OK && head.extras == FLAGS && head.key == 0;
+        let value = ours && head.status == Status::OK && head.extras_length == FLAGS && head.key_length == 0;
         verb == Verb::Get
             && value
-            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value)
+            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value_length)
     }
 
     /// Passes a large value on.
     async fn flow(
         mut self,
         mut come: BytesMut,
-        head: Head,
+        head: ResponseHeader,
         target: &Target,
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
-        while come.len() < HEADER + FLAGS {
+        while come.len() < HEADER_BYTES + FLAGS {
             if !matches!(read(deadline, self.stream.read_buf(&mut come)).await, Ok(1..)) {
                 return (Reply::from_outcome(Outcome::Reset), None);
             }
         }
-        come.advance(HEADER);
+        come.advance(HEADER_BYTES);
         let flags = come.get_u32();
-        let mut feeder = target.begin_stream(head.value, flags);
+        let mut feeder = target.begin_stream(head.value_length, flags);
         match pass(&mut self.stream, &mut come, &mut feeder, deadline).await {
             Err(broken) => (Reply::from_outcome(broken.outcome()), None),
             Ok(()) => (
@@ -143,7 +143,7 @@
         extras.put_u32(expiry);
     }
     let (key, value) = (Bytes::copy_from_slice(call.key.as_bytes()), call.value.clone().unwrap_or_default());
-    let mut text = BytesMut::with_capacity(ROOM.max(HEADER + extras.len() + key.len() + value.len()));
+    let mut text = BytesMut::with_capacity(ROOM.max(HEADER_BYTES + extras.len() + key.len() + value.len()));
     Packet { extras: extras.freeze(), key, value, ..Packet::new(opcode(call.verb), opaque) }
         .put_request(&mut text);
     text
--- a/crates/upstreams/src/resp.rs
+++ b/crates/upstreams/src/resp.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, BytesMut};
-use lilacquay_codec::resp::{Frame, Malformed, long_head, next_frame, put_array, put_bulk};
+use lilacquay_codec::resp::{Frame, Malformed, next_frame, parse_long_bulk_header, put_array, put_bulk};
 use lilacquay_core::{
     Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
     Outcome, Reply, Target, ValueSender, Verb,
@@ -63,8 +63,8 @@
         target.request_written(Some(left));
         buffer.clear();
         loop {
-            if let Some((head, length)) =
-                long_head(&buffer, MAX_BUFFERED_VALUE_BYTES).filter(|(_, n)| *n <= MAX_STREAMED_VALUE_BYTES)
+            if let Some((head, length)) = parse_long_bulk_header(&buffer, MAX_BUFFERED_VALUE_BYTES)
+                .filter(|(_, n)| *n <= MAX_STREAMED_VALUE_BYTES)
             {
                 buffer.advance(head);
                 return self.flow(buffer, target.begin_stream(length, 0), deadline).await;
