--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,4 +1,5 @@
-//! Wire formats without I/O: bytes in, frames out, with bounds that hold before anything is allocated.
+//! Encoders and decoders for the wire formats, without I/O: bytes in, frames out. Length bounds are checked before anything
+//! is allocated.
 
 pub mod envelope;
 pub mod memcache;
--- a/crates/codec/src/memcache.rs
+++ b/crates/codec/src/memcache.rs
@@ -1,33 +1,33 @@
 //! memcached's binary protocol: packets of a 24-byte header, extras, a key and a value.
 //!
 //! Source: the protocol's published description (`BinaryProtocolRevamped` in memcached's documentation, and its
-//! SASL page for opcodes 0x20 to 0x22). All numbers are big-endian. Nothing is allocated for a length that a
-//! header merely claims: a packet is cut out of the buffer once it has come whole, and a claim beyond the bound is
-//! an error as soon as its header is there.
+//! SASL page for opcodes 0x20 to 0x22). All numbers are big-endian. Nothing is allocated on the strength of a length in
+//! a header: a packet is split off the buffer once it is complete, and a length beyond the limit is an error as soon
+//! as the header has been received.
 
 use std::fmt;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// A header's length, in bytes.
+/// Length of the header, in bytes.
 pub const HEADER_BYTES: usize = 24;
-/// The longest key, in bytes (section "Packet structure"; memcached's own limit).
+/// Maximum length of a key, in bytes (section "Packet structure"; memcached's own limit).
 pub const MAX_KEY_BYTES: usize = 250;
 /// The first byte of a request.
-const REQUEST: u8 = 0x80;
+const REQUEST_MAGIC: u8 = 0x80;
 /// The first byte of a response.
-const RESPONSE: u8 = 0x81;
+const RESPONSE_MAGIC: u8 = 0x81;
 
 macro_rules! opcodes {
     ($($(#[$doc:meta])* $name:ident = $code:literal,)*) => {
-        /// What a packet is about (section "Command opcodes").
+        /// The operation that a packet requests or answers (section "Command opcodes").
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
         #[repr(u8)]
-        #[allow(missing_docs)] // named as the specification names them
+        #[allow(missing_docs)] // the names of the specification
         pub enum Opcode { $($(#[$doc])* $name = $code,)* }
 
         impl Opcode {
-            /// All of them, in the order of their numbers.
+            /// All opcodes, in ascending order of their codes.
             pub const ALL: &[Opcode] = &[$(Opcode::$name,)*];
         }
     };
@@ -47,17 +47,17 @@
 }
 
 impl Opcode {
-    /// The opcode of this number; nothing if the specification has none.
+    /// The opcode with this code; none if the specification does not define it.
     pub fn from_code(code: u8) -> Option<Opcode> {
         Self::ALL.iter().copied().find(|opcode| *opcode as u8 == code)
     }
 }
 
-/// How a request went (section "Response status").
+/// The result of a request (section "Response status").
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Status(pub u16);
 
-#[allow(missing_docs)] // named as the specification names them
+#[allow(missing_docs)] // the names of the specification
 impl Status {
     pub const OK: Status = Status(0x00);
     pub const KEY_NOT_FOUND: Status = Status(0x01);
@@ -67,7 +67,7 @@
     pub const ITEM_NOT_STORED: Status = Status(0x05);
     pub const NON_NUMERIC: Status = Status(0x06);
     pub const WRONG_VBUCKET: Status = Status(0x07);
-    /// What memcached answers to a failed or missing authentication.
+    /// memcached's answer if authentication has failed or is missing.
     pub const AUTHENTICATION: Status = Status(0x20);
     pub const AUTHENTICATION_CONTINUES: Status = Status(0x21);
     pub const UNKNOWN_COMMAND: Status = Status(0x81);
@@ -78,77 +78,78 @@
     pub const TEMPORARY_FAILURE: Status = Status(0x86);
 }
 
-/// A packet, of either direction. What it does not say is 0 or empty.
+/// A request or response packet. Unused fields are 0 or empty.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Packet {
-    /// The opcode's number, which may be none that the specification has.
+    /// The opcode, which may be one that the specification does not define.
     pub opcode: u8,
-    /// A response's status, or the virtual bucket of a request.
+    /// The status of a response, or the virtual bucket of a request.
     pub status: u16,
-    /// Given back with the response, bit by bit.
+    /// Copied unchanged from the request to the response.
     pub opaque: u32,
-    /// The version of a value.
+    /// The version of the value, for compare-and-swap.
     pub cas: u64,
-    /// What belongs to the opcode beside key and value.
+    /// Parameters that depend on the opcode.
     pub extras: Bytes,
-    /// The key.
+    /// The key, empty if the opcode has none.
     pub key: Bytes,
-    /// The value.
+    /// The value, empty if the opcode has none.
     pub value: Bytes,
 }
 
 impl Packet {
-    /// A packet that says no more than its opcode and opaque.
+    /// A packet with an opcode and an opaque only.
     pub fn new(opcode: Opcode, opaque: u32) -> Packet {
         Packet { opcode: opcode as u8, opaque, ..Packet::default() }
     }
 
-    /// Appends it as a request.
+    /// Appends the packet to `out` as a request.
     pub fn put_request(&self, out: &mut BytesMut) {
-        self.put(REQUEST, out);
+        self.put(REQUEST_MAGIC, out);
     }
 
-    /// Appends it as a response.
+    /// Appends the packet to `out` as a response.
     pub fn put_response(&self, out: &mut BytesMut) {
-        self.put(RESPONSE, out);
+        self.put(RESPONSE_MAGIC, out);
     }
 
-    /// Appends a response up to its value, of which so many bytes follow in place of this packet's.
-    pub fn put_response_header(&self, value: usize, out: &mut BytesMut) {
-        self.put_head(RESPONSE, value, out);
+    /// Appends a response without its value. The caller then sends a value of `value_length` bytes in place of that of
+    /// this packet.
+    pub fn put_response_header(&self, value_length: usize, out: &mut BytesMut) {
+        self.put_header(RESPONSE_MAGIC, value_length, out);
     }
 
     fn put(&self, magic: u8, out: &mut BytesMut) {
         out.reserve(HEADER_BYTES + self.extras.len() + self.key.len() + self.value.len());
-        self.put_head(magic, self.value.len(), out);
+        self.put_header(magic, self.value.len(), out);
         out.put_slice(&self.value);
     }
 
-    fn put_head(&self, magic: u8, value: usize, out: &mut BytesMut) {
-        let body = self.extras.len() + self.key.len() + value;
+    fn put_header(&self, magic: u8, value_length: usize, out: &mut BytesMut) {
+        let body_length = self.extras.len() + self.key.len() + value_length;
         out.put_u8(magic);
         out.put_u8(self.opcode);
         out.put_u16(self.key.len() as u16);
         out.put_u8(self.extras.len() as u8);
         out.put_u8(0); // raw bytes, the only data type
         out.put_u16(self.status);
-        out.put_u32(body as u32);
+        out.put_u32(body_length as u32);
         out.put_u32(self.opaque);
         out.put_u64(self.cas);
         [&self.extras, &self.key].into_iter().for_each(|part| out.put_slice(part));
     }
 }
 
-/// What can't be the beginning of a packet.
+/// Why received bytes cannot be the beginning of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Malformed {
-    /// The first byte is not the one of this direction.
+    /// The first byte is not the magic of the expected direction.
     Magic(u8),
-    /// A data type other than raw bytes.
+    /// The data type is not raw bytes.
     DataType(u8),
-    /// Extras and key are longer than the body that holds them.
+    /// Extras and key together are longer than the body that contains them.
     Lengths,
-    /// A body of so many bytes is over the bound.
+    /// The length of the body, in bytes, exceeds the limit.
     TooLong(u32),
 }
 
@@ -165,53 +166,53 @@
 
 impl std::error::Error for Malformed {}
 
-/// Takes the first request out of the buffer, once it is whole; its body has at most `longest` bytes.
+/// Splits the first request off the buffer; none if it is not complete yet.
 ///
 /// # Errors
-/// If what has come can't be the beginning of one.
-pub fn next_request(buffer: &mut BytesMut, longest: usize) -> Result<Option<Packet>, Malformed> {
-    next(REQUEST, buffer, longest)
+/// If the buffer cannot be the beginning of a request, or its body is longer than `max_body_bytes`.
+pub fn next_request(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<Packet>, Malformed> {
+    next_packet(REQUEST_MAGIC, buffer, max_body_bytes)
 }
 
-/// Takes the first response out of the buffer, once it is whole; its body has at most `longest` bytes.
+/// Splits the first response off the buffer; none if it is not complete yet.
 ///
 /// # Errors
-/// If what has come can't be the beginning of one.
-pub fn next_response(buffer: &mut BytesMut, longest: usize) -> Result<Option<Packet>, Malformed> {
-    next(RESPONSE, buffer, longest)
+/// If the buffer cannot be the beginning of a response, or its body is longer than `max_body_bytes`.
+pub fn next_response(buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<Packet>, Malformed> {
+    next_packet(RESPONSE_MAGIC, buffer, max_body_bytes)
 }
 
-/// How many bytes the first packet has, once its header has come.
+/// Length of the first packet in bytes, by its header; 0 as long as the length field has not been received.
 pub fn packet_length(buffer: &[u8]) -> usize {
     let body = buffer.get(8..12).and_then(|bytes| <[u8; 4]>::try_from(bytes).ok());
     body.map_or(0, |body| HEADER_BYTES.saturating_add(u32::from_be_bytes(body) as usize))
 }
 
-/// What a response says before its body has come.
+/// The header of a response, which can be read before the body has been received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseHeader {
-    /// The opcode's number.
+    /// The opcode.
     pub opcode: u8,
-    /// How the request went.
+    /// The result of the request.
     pub status: Status,
-    /// As the request had it.
+    /// Copied from the request.
     pub opaque: u32,
-    /// The lengths of extras, key and value, in bytes.
+    /// Length of the extras, in bytes.
     pub extras_length: usize,
-    /// As above.
+    /// Length of the key, in bytes.
     pub key_length: usize,
-    /// As above.
+    /// Length of the value, in bytes.
     pub value_length: usize,
 }
 
-/// The head of a response, if it has come and is in order.
+/// Parses the header of a response; none if it is incomplete or invalid.
 pub fn parse_response_header(buffer: &[u8]) -> Option<ResponseHeader> {
     let mut header = buffer.get(..HEADER_BYTES)?;
     let (magic, opcode) = (header.get_u8(), header.get_u8());
     let (key, extras, data_type) = (header.get_u16() as usize, header.get_u8() as usize, header.get_u8());
     let (status, body, opaque) = (Status(header.get_u16()), header.get_u32() as usize, header.get_u32());
     let value = body.checked_sub(key + extras)?;
-    (magic == RESPONSE && data_type == 0).then_some(ResponseHeader {
+    (magic == RESPONSE_MAGIC && data_type == 0).then_some(ResponseHeader {
         opcode,
         status,
         opaque,
@@ -221,8 +222,9 @@
     })
 }
 
-fn next(magic: u8, buffer: &mut BytesMut, longest: usize) -> Result<Option<Packet>, Malformed> {
-    // Guards against: another protocol's short command, for the rest of which nobody would wait in vain.
+fn next_packet(magic: u8, buffer: &mut BytesMut, max_body_bytes: usize) -> Result<Option<Packet>, Malformed> {
+    // Checked before the header is complete: a short command of another protocol would otherwise leave the reader
+    // waiting for the rest of a header that never arrives.
     if let Some(&first) = buffer.first().filter(|first| **first != magic) {
         return Err(Malformed::Magic(first));
     }
@@ -236,7 +238,7 @@
         return Err(Malformed::DataType(data_type));
     }
     let length = usize::try_from(body).unwrap_or(usize::MAX);
-    if length > longest {
+    if length > max_body_bytes {
         return Err(Malformed::TooLong(body));
     }
     if key + extras > length {
@@ -255,28 +257,28 @@
 mod tests {
     use super::*;
 
-    const LONGEST: usize = 4096;
+    const MAX_BODY_BYTES: usize = 4096;
 
-    fn random(rng: &mut fastrand::Rng) -> Packet {
-        let mut bytes = |most: usize| -> Bytes {
-            let length = rng.usize(..=most);
+    fn random_packet(rng: &mut fastrand::Rng) -> Packet {
+        let mut random_bytes = |max: usize| -> Bytes {
+            let length = rng.usize(..=max);
             std::iter::repeat_with(|| rng.u8(..)).take(length).collect()
         };
-        let (extras, key, value) = (bytes(20), bytes(MAX_KEY_BYTES), bytes(2000));
+        let (extras, key, value) = (random_bytes(20), random_bytes(MAX_KEY_BYTES), random_bytes(2000));
         let (opcode, status, opaque, cas) = (rng.u8(..), rng.u16(..), rng.u32(..), rng.u64(..));
         Packet { opcode, status, opaque, cas, extras, key, value }
     }
 
     #[test]
-    fn the_example_of_the_specification_reads_as_it_says() {
-        // Section "Get": the request for "Hello" and its answer "World".
+    fn the_example_of_the_specification_is_decoded() {
+        // Section "Get": the request for "Hello" and the response "World".
         let mut request = BytesMut::from(
             &b"\x80\x00\x00\x05\x00\x00\x00\x00\x00\x00\x00\x05\0\0\0\0\0\0\0\0\0\0\0\0Hello"[..],
         );
-        let packet = next_request(&mut request, LONGEST).unwrap().unwrap();
+        let packet = next_request(&mut request, MAX_BODY_BYTES).unwrap().unwrap();
         assert_eq!(packet, Packet { key: "Hello".into(), ..Packet::new(Opcode::Get, 0) });
         let text = b"\x81\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x09\0\0\0\0\0\0\0\0\0\0\0\x01\xde\xad\xbe\xefWorld";
-        let packet = next_response(&mut BytesMut::from(&text[..]), LONGEST).unwrap().unwrap();
+        let packet = next_response(&mut BytesMut::from(&text[..]), MAX_BODY_BYTES).unwrap().unwrap();
         assert_eq!((packet.cas, &packet.extras[..]), (1, &b"\xde\xad\xbe\xef"[..]));
         assert_eq!(&packet.value[..], b"World");
         let mut out = BytesMut::new();
@@ -285,80 +287,83 @@
     }
 
     #[test]
-    fn every_packet_comes_back_as_it_was_however_it_is_cut() {
+    fn packets_survive_encoding_however_the_stream_is_split() {
         let mut rng = fastrand::Rng::with_seed(1);
         for _ in 0..500 {
-            let packets: Vec<Packet> = (0..rng.usize(1..5)).map(|_| random(&mut rng)).collect();
+            let packets: Vec<Packet> = (0..rng.usize(1..5)).map(|_| random_packet(&mut rng)).collect();
             let mut wire = BytesMut::new();
             packets.iter().for_each(|packet| packet.put_request(&mut wire));
-            let (mut buffer, mut read) = (BytesMut::new(), Vec::new());
+            let (mut buffer, mut decoded) = (BytesMut::new(), Vec::new());
             while !wire.is_empty() {
-                let some = wire.split_to(rng.usize(1..=wire.len()));
-                buffer.extend_from_slice(&some);
-                while let Some(packet) = next_request(&mut buffer, LONGEST).unwrap() {
-                    read.push(packet);
+                let chunk = wire.split_to(rng.usize(1..=wire.len()));
+                buffer.extend_from_slice(&chunk);
+                while let Some(packet) = next_request(&mut buffer, MAX_BODY_BYTES).unwrap() {
+                    decoded.push(packet);
                 }
             }
-            assert_eq!((read, buffer.len()), (packets, 0));
+            assert_eq!((decoded, buffer.len()), (packets, 0));
         }
     }
 
     #[test]
-    fn no_bytes_panic_and_none_are_waited_for_beyond_the_bound() {
+    fn corrupted_packets_neither_panic_nor_wait_for_more_than_the_limit() {
         let mut rng = fastrand::Rng::with_seed(2);
         let mut outcomes = [0; 3];
         for _ in 0..20_000 {
             let mut wire = BytesMut::new();
-            random(&mut rng).put_response(&mut wire);
+            random_packet(&mut rng).put_response(&mut wire);
             for _ in 0..rng.usize(0..4) {
-                let place = rng.usize(..wire.len().min(HEADER_BYTES + 4));
-                wire[place] = rng.u8(..);
+                let position = rng.usize(..wire.len().min(HEADER_BYTES + 4));
+                wire[position] = rng.u8(..);
             }
             if rng.bool() {
                 wire.truncate(rng.usize(..=wire.len()));
             }
             let before = wire.len();
-            match next_response(&mut wire, LONGEST) {
+            match next_response(&mut wire, MAX_BODY_BYTES) {
                 Ok(Some(packet)) => {
                     let body = packet.extras.len() + packet.key.len() + packet.value.len();
                     assert_eq!(wire.len() + HEADER_BYTES + body, before);
                     outcomes[0] += 1;
                 }
                 Ok(None) => {
-                    assert!(before < HEADER_BYTES + LONGEST);
+                    assert!(before < HEADER_BYTES + MAX_BODY_BYTES);
                     outcomes[1] += 1;
                 }
                 Err(_) => outcomes[2] += 1,
             }
         }
-        assert!(outcomes.iter().all(|&n| n > 500), "each of them happens: {outcomes:?}");
+        assert!(outcomes.iter().all(|&n| n > 500), "too few of an outcome: {outcomes:?}");
     }
 
     #[test]
-    fn what_lies_about_its_lengths_is_known_by_its_header() {
+    fn invalid_lengths_are_rejected_by_the_header_alone() {
         let header = |key: u16, extras: u8, data_type: u8, body: u32| {
             let mut out = BytesMut::new();
             Packet::new(Opcode::Set, 7).put_request(&mut out);
             out[2..4].copy_from_slice(&key.to_be_bytes());
             (out[4], out[5]) = (extras, data_type);
             out[8..12].copy_from_slice(&body.to_be_bytes());
-            next_request(&mut out, LONGEST)
+            next_request(&mut out, MAX_BODY_BYTES)
         };
         assert_eq!(header(0, 0, 0, u32::MAX), Err(Malformed::TooLong(u32::MAX)));
-        assert_eq!(header(0, 0, 0, LONGEST as u32 + 1), Err(Malformed::TooLong(LONGEST as u32 + 1)));
-        assert_eq!(header(0, 0, 0, LONGEST as u32), Ok(None));
+        assert_eq!(
+            header(0, 0, 0, MAX_BODY_BYTES as u32 + 1),
+            Err(Malformed::TooLong(MAX_BODY_BYTES as u32 + 1))
+        );
+        assert_eq!(header(0, 0, 0, MAX_BODY_BYTES as u32), Ok(None));
         assert_eq!(header(5, 4, 0, 8), Err(Malformed::Lengths));
         assert_eq!(header(5, 4, 1, 9), Err(Malformed::DataType(1)));
-        assert_eq!(next_request(&mut "*3\r\n".into(), LONGEST), Err(Malformed::Magic(b'*')));
+        assert_eq!(next_request(&mut "*3\r\n".into(), MAX_BODY_BYTES), Err(Malformed::Magic(b'*')));
         assert_eq!(
-            next_response(&mut BytesMut::from(&[REQUEST][..]), LONGEST),
-            Err(Malformed::Magic(REQUEST))
+            next_response(&mut BytesMut::from(&[REQUEST_MAGIC][..]), MAX_BODY_BYTES),
+            Err(Malformed::Magic(REQUEST_MAGIC))
         );
-        assert_eq!(next_request(&mut BytesMut::new(), LONGEST), Ok(None));
+        assert_eq!(next_request(&mut BytesMut::new(), MAX_BODY_BYTES), Ok(None));
     }
 
     #[test]
-    fn each_opcode_is_found_by_its_number() {
+    fn each_opcode_is_found_by_its_code() {
         assert!(Opcode::ALL.iter().all(|opcode| Opcode::from_code(*opcode as u8) == Some(*opcode)));
         assert!(Opcode::ALL.windows(2).all(|pair| (pair[0] as u8) < pair[1] as u8));
         assert_eq!((Opcode::from_code(0x1f), Opcode::from_code(0xff)), (None, None));
--- a/crates/codec/src/replica.rs
+++ b/crates/codec/src/replica.rs
@@ -1,137 +1,153 @@
-//! The datagrams by which nodes keep copies of small records alike: 256 bytes at most, any of them lost, late or doubled.
+//! The datagrams by which nodes replicate small records: 256 bytes at most. A receiver has to expect that any of them is
+//! lost, delayed or duplicated.
 //!
-//! A datagram is in the [`envelope`](crate::envelope), its word the sum of all that the sender holds, with these parts:
+//! A datagram is in the [`envelope`](crate::envelope), with the root digest of the sender's store as its state digest, and has
+//! these parts. Replicas find out where they differ by comparing digests down a hash tree over the ids of the records; the
+//! digest of a record is called its sum.
 //!
 //! ```text
-//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | left u32 | flags u8 | length u8, name | value
-//! sums (kind 2): level u8 | path u16 | u32, 16 times
-//! have (kind 3): first u48 | last u48 | (id u48 | sum u32)...
-//! want (kind 4): id u48...
-//! held (kind 5): (id u48 | sum u32)...
-//! rights (kind 6): what u8 | number u32 | amount u32 | time u32
+//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | left u32 | flags u8 | name length u8 | name | value
+//! branch sums (kind 2): level u8 | path u16 | u32, 16 times
+//! inventory (kind 3): first u48 | last u48 | (id u48 | sum u32)...
+//! request (kind 4): id u48...
+//! ack (kind 5): (id u48 | sum u32)...
+//! lease (kind 6): message u8 | number u32 | amount u32 | time u32
 //! ```
 //!
-//! A record of a kind that this build does not know is kept and passed on as it is: only what it means is not known.
+//! A record of a kind that this build does not know is stored and forwarded unchanged; only its meaning is unknown.
 
 use bytes::{Buf, BufMut};
 
-use crate::envelope::{DecodeError, HEADER_BYTES, Header, MAX_DATAGRAM_BYTES, PART_HEAD, begin, open, seal};
+use crate::envelope::{
+    DecodeError, HEADER_BYTES, Header, MAX_DATAGRAM_BYTES, PART_HEADER_BYTES, begin, finish, open,
+};
 
-/// By which these datagrams are told from others.
+/// The first two bytes of these datagrams, which identify the format.
 pub const MAGIC: [u8; 2] = *b"LR";
-/// Longest name of a record, in bytes.
+/// Maximum length of a record's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest value of a record, in bytes.
+/// Maximum length of a record's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 140;
-/// A sum is of so many branches.
+/// Number of children of each inner node of the hash tree.
 pub const BRANCHES: usize = 16;
-/// Ids have so many bits.
+/// Width of a record's id, in bits.
 pub const ID_BITS: u32 = 48;
-const ID: usize = 6;
+/// Length of an encoded id, in bytes.
+const ID_BYTES: usize = 6;
+// Kinds of part.
 const RECORD: u8 = 1;
-const SUMS: u8 = 2;
-const HAVE: u8 = 3;
-const WANT: u8 = 4;
-const HELD: u8 = 5;
-const RIGHTS: u8 = 6;
-const RECORD_HEAD: usize = 19;
-const SUMS_BODY: usize = 3 + 4 * BRANCHES;
-const HAVE_HEAD: usize = 2 * ID;
-const LISTED: usize = ID + 4;
-const RIGHTS_BODY: usize = 13;
-const BEHIND: u8 = 1;
-const ASKS: u8 = 1;
+const BRANCH_SUMS: u8 = 2;
+const INVENTORY: u8 = 3;
+const REQUEST: u8 = 4;
+const ACK: u8 = 5;
+const LEASE: u8 = 6;
+/// Length of a record before its name, in bytes.
+const RECORD_HEADER_BYTES: usize = 19;
+/// Length of the body of branch sums, in bytes.
+const BRANCH_SUMS_BYTES: usize = 3 + 4 * BRANCHES;
+/// Length of an inventory before its entries, in bytes.
+const INVENTORY_HEADER_BYTES: usize = 2 * ID_BYTES;
+/// Length of an id with its sum, in bytes.
+const ENTRY_BYTES: usize = ID_BYTES + 4;
+/// Length of the body of a lease message, in bytes.
+const LEASE_BYTES: usize = 13;
+/// Flag of a datagram: the sender is behind.
+const FLAG_BEHIND: u8 = 1;
+/// Flag of a record: an acknowledgement is requested.
+const FLAG_ACK_REQUESTED: u8 = 1;
 
-/// Which of two copies of a record is newer: the one of the higher incarnation of its origin, then of the higher counter.
+/// The version of a record. The copy with the higher incarnation of its origin is newer, then the one with the higher
+/// counter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     /// The origin's incarnation, 48 bits.
     pub incarnation: u64,
-    /// Counts what the incarnation has written.
+    /// Number of writes of this incarnation.
     pub counter: u32,
 }
 
-/// A record as it goes from node to node.
+/// A replicated record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// What it means; see the kinds of the store.
+    /// Determines the meaning of the record; see the kinds of the store.
     pub kind: u8,
-    /// Who has written it.
+    /// Index of the node that has written it.
     pub origin: u16,
-    /// Of which thing, [`MAX_NAME_BYTES`] bytes at most.
+    /// The name of what it describes, [`MAX_NAME_BYTES`] bytes at most.
     pub name: Vec<u8>,
-    /// How new it is.
+    /// Decides which of two copies is newer.
     pub version: Version,
-    /// What it says, [`MAX_VALUE_BYTES`] bytes at most.
+    /// Its content, [`MAX_VALUE_BYTES`] bytes at most.
     pub value: Vec<u8>,
 }
 
 impl Record {
     fn length(&self) -> usize {
-        PART_HEAD + RECORD_HEAD + self.name.len() + self.value.len()
+        PART_HEADER_BYTES + RECORD_HEADER_BYTES + self.name.len() + self.value.len()
     }
 }
 
-/// A record with its life.
+/// A record as it is sent to another node, with its remaining lifetime.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordUpdate {
     /// The record.
     pub record: Record,
-    /// How long it lives yet, in tenths of a second; for good if there is no end. At least 1 where there is one.
+    /// Remaining lifetime in tenths of a second, at least 1; none if the record does not expire.
     pub left: Option<u32>,
-    /// Its origin asks whoever reads this to say that it is held.
+    /// The origin requests an acknowledgement that the record is stored.
     pub ack_requested: bool,
 }
 
-/// What the ids of a span come to.
+/// The sums of the branches below one inner node of the hash tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BranchSums {
-    /// How many branchings lie above: 0 is the root.
+    /// Depth of the inner node in the tree; 0 is the root.
     pub level: u8,
-    /// Which branches were taken, four bits each.
+    /// Path from the root to the inner node, four bits for each level.
     pub path: u16,
-    /// The branches' sums.
+    /// One sum for each branch, in the order of the ids.
     pub sums: [u32; BRANCHES],
 }
 
-/// All that is held in a span of ids.
+/// All records that the sender holds in a range of ids.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Inventory {
-    /// The span's first id.
+    /// First id of the range.
     pub first: u64,
-    /// Its last.
+    /// Last id of the range, inclusive.
     pub last: u64,
-    /// Ids, and sums of what is held of each.
+    /// The ids of the records and their sums.
     pub list: Vec<(u64, u32)>,
 }
 
 impl Inventory {
-    /// So many fit into an empty datagram.
-    pub const MAX_ENTRIES: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - PART_HEAD - HAVE_HEAD) / LISTED;
+    /// Number of entries that fit into an empty datagram.
+    pub const MAX_ENTRIES: usize =
+        (MAX_DATAGRAM_BYTES - HEADER_BYTES - PART_HEADER_BYTES - INVENTORY_HEADER_BYTES) / ENTRY_BYTES;
 }
 
-/// Asking for a part of what is divided, and lending it.
+/// A message by which a node borrows another node's part of a capacity that is divided among the nodes, for a limited time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LeaseMessage {
-    /// Asks for so much.
+    /// Requests a lease.
     Request {
-        /// Of which asking: what was asked before is over with it.
+        /// Number of the request; it supersedes all earlier requests.
         number: u32,
-        /// How much, in thousandths of one node's part.
+        /// Amount, in thousandths of one node's part.
         amount: u32,
     },
-    /// Lends so much.
+    /// Grants a lease.
     Grant {
-        /// In answer to which asking.
+        /// Number of the request that is answered.
         number: u32,
-        /// How much, in thousandths of one node's part.
+        /// Amount, in thousandths of one node's part.
         amount: u32,
-        /// For how long from when it was asked, in microseconds.
+        /// Duration of the lease from the time of the request, in microseconds.
         time: u32,
     },
-    /// Gives back all that was lent at that asking.
+    /// Releases all that was granted for a request.
     Release {
-        /// Of which asking.
+        /// Number of the request.
         number: u32,
     },
 }
@@ -141,102 +157,105 @@
 pub enum Part {
     /// A record.
     Record(RecordUpdate),
-    /// What a span comes to, by branches.
+    /// Sums of the branches of an inner node.
     BranchSums(BranchSums),
-    /// What is held in a span.
+    /// The records that the sender holds in a range of ids.
     Inventory(Inventory),
-    /// Records that the sender lacks.
+    /// Ids of records that the sender lacks and requests.
     Request(Vec<u64>),
-    /// Records that the sender holds, said to their origin.
+    /// Records that the sender holds, acknowledged to their origin.
     Ack(Vec<(u64, u32)>),
-    /// Of what is divided.
+    /// A lease of a part of a divided capacity.
     Lease(LeaseMessage),
 }
 
 impl Part {
-    /// Its bytes in a datagram.
+    /// Encoded length of the part, in bytes.
     pub fn length(&self) -> usize {
         match self {
             Part::Record(sent) => sent.record.length(),
-            Part::BranchSums(_) => PART_HEAD + SUMS_BODY,
-            Part::Inventory(have) => PART_HEAD + HAVE_HEAD + LISTED * have.list.len(),
-            Part::Request(ids) => PART_HEAD + ID * ids.len(),
-            Part::Ack(list) => PART_HEAD + LISTED * list.len(),
-            Part::Lease(_) => PART_HEAD + RIGHTS_BODY,
+            Part::BranchSums(_) => PART_HEADER_BYTES + BRANCH_SUMS_BYTES,
+            Part::Inventory(have) => {
+                PART_HEADER_BYTES + INVENTORY_HEADER_BYTES + ENTRY_BYTES * have.list.len()
+            }
+            Part::Request(ids) => PART_HEADER_BYTES + ID_BYTES * ids.len(),
+            Part::Ack(list) => PART_HEADER_BYTES + ENTRY_BYTES * list.len(),
+            Part::Lease(_) => PART_HEADER_BYTES + LEASE_BYTES,
         }
     }
 
     fn put(&self, out: &mut Vec<u8>) {
-        let head = |out: &mut Vec<u8>, kind: u8| out.put_slice(&[kind, (self.length() - PART_HEAD) as u8]);
-        let listed = |out: &mut Vec<u8>, list: &[(u64, u32)]| {
+        let put_header =
+            |out: &mut Vec<u8>, kind: u8| out.put_slice(&[kind, (self.length() - PART_HEADER_BYTES) as u8]);
+        let put_entries = |out: &mut Vec<u8>, list: &[(u64, u32)]| {
             for (id, sum) in list {
-                out.put_uint(*id, ID);
+                out.put_uint(*id, ID_BYTES);
                 out.put_u32(*sum);
             }
         };
         match self {
             Part::Record(RecordUpdate { record, left, ack_requested }) => {
-                head(out, RECORD);
+                put_header(out, RECORD);
                 out.put_u8(record.kind);
                 out.put_u16(record.origin);
                 out.put_uint(record.version.incarnation, 6);
                 out.put_u32(record.version.counter);
                 out.put_u32(left.map_or(0, |left| left.max(1)));
-                out.put_u8(if *ack_requested { ASKS } else { 0 });
+                out.put_u8(if *ack_requested { FLAG_ACK_REQUESTED } else { 0 });
                 out.put_u8(record.name.len() as u8);
                 out.put_slice(&record.name);
                 out.put_slice(&record.value);
             }
             Part::BranchSums(BranchSums { level, path, sums }) => {
-                head(out, SUMS);
+                put_header(out, BRANCH_SUMS);
                 out.put_u8(*level);
                 out.put_u16(*path);
                 sums.iter().for_each(|&sum| out.put_u32(sum));
             }
             Part::Inventory(Inventory { first, last, list }) => {
-                head(out, HAVE);
-                out.put_uint(*first, ID);
-                out.put_uint(*last, ID);
-                listed(out, list);
+                put_header(out, INVENTORY);
+                out.put_uint(*first, ID_BYTES);
+                out.put_uint(*last, ID_BYTES);
+                put_entries(out, list);
             }
             Part::Request(ids) => {
-                head(out, WANT);
-                ids.iter().for_each(|&id| out.put_uint(id, ID));
+                put_header(out, REQUEST);
+                ids.iter().for_each(|&id| out.put_uint(id, ID_BYTES));
             }
             Part::Ack(list) => {
-                head(out, HELD);
-                listed(out, list);
+                put_header(out, ACK);
+                put_entries(out, list);
             }
             Part::Lease(rights) => {
-                head(out, RIGHTS);
-                let (what, number, amount, time) = match *rights {
+                put_header(out, LEASE);
+                let (message, number, amount, time) = match *rights {
                     LeaseMessage::Request { number, amount } => (0, number, amount, 0),
                     LeaseMessage::Grant { number, amount, time } => (1, number, amount, time),
                     LeaseMessage::Release { number } => (2, number, 0, 0),
                 };
-                out.put_u8(what);
-                [number, amount, time].into_iter().for_each(|word| out.put_u32(word));
+                out.put_u8(message);
+                [number, amount, time].into_iter().for_each(|field| out.put_u32(field));
             }
         }
     }
 
-    /// Reads a part; nothing if it is of a kind that is not known here.
+    /// Decodes a part; none if its kind is unknown to this build.
     fn read(kind: u8, mut body: &[u8]) -> Result<Option<Part>, DecodeError> {
-        let listed = |body: &mut &[u8]| {
-            let mut list = Vec::with_capacity(body.len() / LISTED);
-            while body.len() >= LISTED {
-                list.push((body.get_uint(ID), body.get_u32()));
+        let read_entries = |body: &mut &[u8]| {
+            let mut list = Vec::with_capacity(body.len() / ENTRY_BYTES);
+            while body.len() >= ENTRY_BYTES {
+                list.push((body.get_uint(ID_BYTES), body.get_u32()));
             }
             list
         };
-        let least = match kind {
-            RECORD => RECORD_HEAD,
-            SUMS => SUMS_BODY,
-            HAVE => HAVE_HEAD,
-            RIGHTS => RIGHTS_BODY,
+        let min_length = match kind {
+            RECORD => RECORD_HEADER_BYTES,
+            BRANCH_SUMS => BRANCH_SUMS_BYTES,
+            INVENTORY => INVENTORY_HEADER_BYTES,
+            LEASE => LEASE_BYTES,
             _ => 0,
         };
-        if body.len() < least {
+        if body.len() < min_length {
             return Err(DecodeError::Malformed);
         }
         Ok(Some(match kind {
@@ -252,29 +271,29 @@
                 Part::Record(RecordUpdate {
                     record,
                     left: Some(left).filter(|&left| left > 0),
-                    ack_requested: flags & ASKS > 0,
+                    ack_requested: flags & FLAG_ACK_REQUESTED > 0,
                 })
             }
-            SUMS => {
+            BRANCH_SUMS => {
                 let (level, path) = (body.get_u8(), body.get_u16());
                 Part::BranchSums(BranchSums { level, path, sums: std::array::from_fn(|_| body.get_u32()) })
             }
-            HAVE => {
-                let (first, last) = (body.get_uint(ID), body.get_uint(ID));
-                Part::Inventory(Inventory { first, last, list: listed(&mut body) })
+            INVENTORY => {
+                let (first, last) = (body.get_uint(ID_BYTES), body.get_uint(ID_BYTES));
+                Part::Inventory(Inventory { first, last, list: read_entries(&mut body) })
             }
-            WANT => {
-                let mut ids = Vec::with_capacity(body.len() / ID);
-                while body.len() >= ID {
-                    ids.push(body.get_uint(ID));
+            REQUEST => {
+                let mut ids = Vec::with_capacity(body.len() / ID_BYTES);
+                while body.len() >= ID_BYTES {
+                    ids.push(body.get_uint(ID_BYTES));
                 }
                 Part::Request(ids)
             }
-            HELD => Part::Ack(listed(&mut body)),
-            RIGHTS => {
-                let what = body.get_u8();
+            ACK => Part::Ack(read_entries(&mut body)),
+            LEASE => {
+                let message = body.get_u8();
                 let (number, amount, time) = (body.get_u32(), body.get_u32(), body.get_u32());
-                Part::Lease(match what {
+                Part::Lease(match message {
                     0 => LeaseMessage::Request { number, amount },
                     1 => LeaseMessage::Grant { number, amount, time },
                     2 => LeaseMessage::Release { number },
@@ -286,24 +305,24 @@
     }
 }
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Message {
-    /// The sum of all that the sender holds.
+    /// Root digest of the sender's store.
     pub root: u32,
-    /// The sender has come back a moment ago, and lacks what others hold.
+    /// The sender has restarted or rejoined recently and may lack records that others hold.
     pub behind: bool,
-    /// Its parts.
+    /// The parts, in the order in which they are sent.
     pub parts: Vec<Part>,
 }
 
 impl Message {
-    /// How many bytes its datagram has.
+    /// Length of the encoded datagram, in bytes.
     pub fn length(&self) -> usize {
         HEADER_BYTES + self.parts.iter().map(Part::length).sum::<usize>()
     }
 
-    /// Adds a part, if the datagram can take it. Tells whether it could.
+    /// Adds a part if it fits into the datagram. Returns whether it was added.
     pub fn add(&mut self, part: Part) -> bool {
         let fits = self.length() + part.length() <= MAX_DATAGRAM_BYTES;
         if fits {
@@ -313,51 +332,52 @@
     }
 }
 
-/// Writes a datagram; what doesn't fit is left out. Never longer than [`MAX_DATAGRAM_BYTES`].
-pub fn encode(site: u32, said: &Message) -> Vec<u8> {
-    let flags = if said.behind { BEHIND } else { 0 };
-    let mut out = begin(MAGIC, site, Header { flags, word: said.root });
-    for part in &said.parts {
+/// Encodes a datagram. Parts that do not fit are omitted, so that it is never longer than [`MAX_DATAGRAM_BYTES`].
+pub fn encode(site: u32, message: &Message) -> Vec<u8> {
+    let flags = if message.behind { FLAG_BEHIND } else { 0 };
+    let mut out = begin(MAGIC, site, Header { flags, state_digest: message.root });
+    for part in &message.parts {
         if out.len() + part.length() <= MAX_DATAGRAM_BYTES {
             part.put(&mut out);
         }
     }
-    seal(&mut out);
+    finish(&mut out);
     out
 }
 
-/// Reads a datagram of nodes with this site.
+/// Decodes a datagram from a node of this site.
 ///
 /// # Errors
-/// If it is none, or another's.
+/// If it is malformed or corrupted, or comes from another site.
 pub fn decode(site: u32, datagram: &[u8]) -> Result<Message, DecodeError> {
     let (header, parts) = open(MAGIC, site, datagram)?;
-    let mut said = Message { root: header.word, behind: header.flags & BEHIND > 0, parts: Vec::new() };
+    let mut message =
+        Message { root: header.state_digest, behind: header.flags & FLAG_BEHIND > 0, parts: Vec::new() };
     for part in parts {
         let (kind, body) = part?;
-        said.parts.extend(Part::read(kind, body)?);
+        message.parts.extend(Part::read(kind, body)?);
     }
-    Ok(said)
+    Ok(message)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn part(rng: &mut fastrand::Rng) -> Part {
+    fn random_part(rng: &mut fastrand::Rng) -> Part {
         let id = |rng: &mut fastrand::Rng| rng.u64(..1 << ID_BITS);
         let list = |rng: &mut fastrand::Rng| {
             let n = rng.usize(..8);
             (0..n).map(|_| (id(rng), rng.u32(..))).collect()
         };
-        let some = |rng: &mut fastrand::Rng, most: usize| {
-            let n = rng.usize(..=most);
+        let random_bytes = |rng: &mut fastrand::Rng, max: usize| {
+            let n = rng.usize(..=max);
             (0..n).map(|_| rng.u8(..)).collect()
         };
         match rng.u8(..6) {
             0 => {
                 let version = Version { incarnation: rng.u64(..1 << 48), counter: rng.u32(..) };
-                let (name, value) = (some(rng, MAX_NAME_BYTES), some(rng, MAX_VALUE_BYTES));
+                let (name, value) = (random_bytes(rng, MAX_NAME_BYTES), random_bytes(rng, MAX_VALUE_BYTES));
                 let record = Record { kind: rng.u8(..), origin: rng.u16(..), name, version, value };
                 let left = rng.bool().then(|| rng.u32(1..));
                 Part::Record(RecordUpdate { record, left, ack_requested: rng.bool() })
@@ -372,34 +392,34 @@
             4 => Part::Ack(list(rng)),
             _ => {
                 let (number, amount, time) = (rng.u32(..), rng.u32(..), rng.u32(..));
-                let any = [
+                let messages = [
                     LeaseMessage::Request { number, amount },
                     LeaseMessage::Grant { number, amount, time },
                     LeaseMessage::Release { number },
                 ];
-                Part::Lease(any[rng.usize(..3)])
+                Part::Lease(messages[rng.usize(..3)])
             }
         }
     }
 
     #[test]
-    fn what_is_put_is_read_and_no_bytes_bring_it_down() {
+    fn messages_survive_encoding_and_arbitrary_bytes_do_not_panic() {
         let mut rng = fastrand::Rng::with_seed(48);
         for _ in 0..5_000 {
-            let mut told = Message { root: rng.u32(..), behind: rng.bool(), parts: Vec::new() };
-            (0..rng.usize(..6)).for_each(|_| _ = told.add(part(&mut rng)));
-            let text = encode(7, &told);
-            assert_eq!((text.len(), decode(7, &text)), (told.length(), Ok(told.clone())));
-            // A part that a later build brings is passed over; noise in a good envelope is told or read, no more.
-            let mut later = text.clone();
+            let mut message = Message { root: rng.u32(..), behind: rng.bool(), parts: Vec::new() };
+            (0..rng.usize(..6)).for_each(|_| _ = message.add(random_part(&mut rng)));
+            let datagram = encode(7, &message);
+            assert_eq!((datagram.len(), decode(7, &datagram)), (message.length(), Ok(message.clone())));
+            // A part of a later build is skipped. Random bytes in a valid envelope are rejected or decoded, without a panic.
+            let mut later = datagram.clone();
             if later.len() < MAX_DATAGRAM_BYTES - 4 {
                 later.extend_from_slice(&[99, 2, 1, 2]);
-                seal(&mut later);
-                assert_eq!(decode(7, &later), Ok(told));
+                finish(&mut later);
+                assert_eq!(decode(7, &later), Ok(message));
             }
-            let mut noise = begin(MAGIC, 7, Header { flags: rng.u8(..), word: 0 });
+            let mut noise = begin(MAGIC, 7, Header { flags: rng.u8(..), state_digest: 0 });
             (0..rng.usize(..MAX_DATAGRAM_BYTES - HEADER_BYTES)).for_each(|_| noise.push(rng.u8(..9)));
-            seal(&mut noise);
+            finish(&mut noise);
             let _ = decode(7, &noise);
         }
     }
--- a/crates/codec/src/resp.rs
+++ b/crates/codec/src/resp.rs
@@ -1,4 +1,4 @@
-//! RESP2: frames from a buffer, with bounds that the library doesn't set; and what we say.
+//! RESP2: decodes frames with limits that the library does not enforce, and encodes answers.
 
 use std::io::Write as _;
 
@@ -6,97 +6,102 @@
 use redis_protocol::resp2::decode::decode_bytes_mut;
 pub use redis_protocol::resp2::types::BytesFrame as Frame;
 
-/// More elements than any command or answer has.
-const ELEMENTS: usize = 64;
-/// A header or a line is no longer than this.
-const LINE: usize = 1024;
+/// Maximum number of elements of an array; more than any command or answer has.
+const MAX_ARRAY_ELEMENTS: usize = 64;
+/// Maximum length of an element's header or of a line, in bytes.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// Not RESP2, or beyond its bounds here.
+/// The input is not RESP2 or exceeds a limit.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed;
 
-/// Takes the first frame out of the buffer, once it is whole.
+/// Splits the first frame off the buffer; none if it is not complete yet.
 ///
-/// # Errors
-/// If what has come can't be the beginning of a frame.
+/// Nested arrays are rejected, since `redis_protocol` decodes them recursively and deep nesting would overflow the stack.
 ///
-/// Guards against: frames nested so deeply that the codec's recursion overflows the stack, and frames
-/// of more than `limit` bytes.
-pub fn next_frame(buffer: &mut BytesMut, limit: usize) -> Result<Option<Frame>, Malformed> {
-    match frame_length(buffer, limit)? {
+/// # Errors
+/// If the buffer cannot be the beginning of a frame, or the frame is longer than `max_bytes`.
+pub fn next_frame(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Frame>, Malformed> {
+    match frame_length(buffer, max_bytes)? {
         None => Ok(None),
         Some(_) => Ok(decode_bytes_mut(buffer).map_err(|_| Malformed)?.map(|(frame, _, _)| frame)),
     }
 }
 
-/// The head of an array of three whose first element is a bulk string longer than `over` bytes: how many bytes the
-/// head has, and how many the string. Nothing if the buffer begins otherwise, or its head is not whole.
-pub fn parse_long_bulk_header(buffer: &[u8], over: usize) -> Option<(usize, usize)> {
+/// Parses the header of an array of three whose first element is a bulk string longer than `min_length` bytes. Returns the
+/// length of both headers and that of the string, in bytes; none if the buffer begins otherwise or the headers are
+/// incomplete.
+pub fn parse_long_bulk_header(buffer: &[u8], min_length: usize) -> Option<(usize, usize)> {
     let rest = buffer.strip_prefix(b"*3\r\n$")?;
-    let end = rest.windows(2).take(LINE).position(|pair| pair == b"\r\n")?;
+    let end = rest.windows(2).take(MAX_LINE_BYTES).position(|pair| pair == b"\r\n")?;
     let length = std::str::from_utf8(&rest[..end]).ok()?.parse::<u32>().ok()? as usize;
-    (length > over).then_some((buffer.len() - rest.len() + end + 2, length))
+    (length > min_length).then_some((buffer.len() - rest.len() + end + 2, length))
 }
 
-/// Appends the header of a bulk string of so many bytes.
+/// Appends the header of a bulk string of `length` bytes.
 pub fn put_bulk_header(out: &mut BytesMut, length: usize) {
     put_header(out, b'$', length);
 }
 
-/// How many bytes the first frame has at least, by what has come of it.
-pub fn min_frame_length(buffer: &[u8], limit: usize) -> usize {
-    let mut least = 0;
-    // What can't be read is told when it is taken.
-    let _ = measure(buffer, limit, &mut least);
-    least
+/// Minimum length of the first frame in bytes, as far as the bytes received so far determine it.
+pub fn min_frame_length(buffer: &[u8], max_bytes: usize) -> usize {
+    let mut min_length = 0;
+    // A malformed frame is reported by `next_frame`.
+    let _ = measure_frame(buffer, max_bytes, &mut min_length);
+    min_length
 }
 
-/// The length of the first frame, if it is whole: one element, or a flat array of them.
-fn frame_length(buffer: &[u8], limit: usize) -> Result<Option<usize>, Malformed> {
-    measure(buffer, limit, &mut 0)
+/// The length of the first frame in bytes, if it is complete: one element, or a flat array of elements.
+fn frame_length(buffer: &[u8], max_bytes: usize) -> Result<Option<usize>, Malformed> {
+    measure_frame(buffer, max_bytes, &mut 0)
 }
 
-fn measure(buffer: &[u8], limit: usize, least: &mut usize) -> Result<Option<usize>, Malformed> {
+/// Scans the first frame. Returns its length if it is complete, and raises `min_length` to what its headers announce.
+fn measure_frame(
+    buffer: &[u8],
+    max_bytes: usize,
+    min_length: &mut usize,
+) -> Result<Option<usize>, Malformed> {
     let mut rest = buffer;
-    let (mut elements, mut nested) = (1, true);
+    let (mut elements, mut array_allowed) = (1, true);
     while elements > 0 {
-        let Some((kind, size)) = element(&mut rest, nested)? else {
-            return if buffer.len() > limit { Err(Malformed) } else { Ok(None) };
+        let Some((kind, size)) = read_element(&mut rest, array_allowed)? else {
+            return if buffer.len() > max_bytes { Err(Malformed) } else { Ok(None) };
         };
         elements = if kind == b'*' { size } else { elements - 1 };
         if kind == b'$' {
-            if buffer.len() - rest.len() + size > limit {
+            if buffer.len() - rest.len() + size > max_bytes {
                 return Err(Malformed);
             }
-            *least = buffer.len() - rest.len() + size;
+            *min_length = buffer.len() - rest.len() + size;
             if rest.len() < size {
                 return Ok(None);
             }
-            // The codec doesn't look at how a bulk string ends.
+            // `redis_protocol` does not check the line break at the end of a bulk string.
             if size > 0 && &rest[size - 2..size] != b"\r\n" {
                 return Err(Malformed);
             }
             rest.advance(size);
         }
-        nested = false;
+        array_allowed = false;
     }
     Ok(Some(buffer.len() - rest.len()))
 }
 
-/// Reads one element's header, or its line. Tells the kind, and the bytes or elements that follow.
-fn element(rest: &mut &[u8], array_allowed: bool) -> Result<Option<(u8, usize)>, Malformed> {
+/// Reads the header or line of one element. Returns its kind, and the number of bytes or elements that follow.
+fn read_element(rest: &mut &[u8], array_allowed: bool) -> Result<Option<(u8, usize)>, Malformed> {
     let Some(&kind) = rest.first() else { return Ok(None) };
     if !matches!(kind, b'+' | b'-' | b':' | b'$' | b'*') || kind == b'*' && !array_allowed {
         return Err(Malformed);
     }
-    let Some(end) = rest.windows(2).take(LINE).position(|pair| pair == b"\r\n") else {
-        return if rest.len() > LINE { Err(Malformed) } else { Ok(None) };
+    let Some(end) = rest.windows(2).take(MAX_LINE_BYTES).position(|pair| pair == b"\r\n") else {
+        return if rest.len() > MAX_LINE_BYTES { Err(Malformed) } else { Ok(None) };
     };
     let line = std::str::from_utf8(&rest[1..end]).map_err(|_| Malformed)?;
     let size = match kind {
         b'$' | b'*' if line == "-1" => 0,
         b'$' => line.parse::<u32>().map_err(|_| Malformed)? as usize + 2,
-        b'*' => line.parse().ok().filter(|&n| n <= ELEMENTS).ok_or(Malformed)?,
+        b'*' => line.parse().ok().filter(|&n| n <= MAX_ARRAY_ELEMENTS).ok_or(Malformed)?,
         _ => 0,
     };
     rest.advance(end + 2);
@@ -111,17 +116,17 @@
     out.put_slice(b"\r\n");
 }
 
-/// Appends the header of an array of so many elements.
+/// Appends the header of an array.
 pub fn put_array(out: &mut BytesMut, elements: usize) {
     put_header(out, b'*', elements);
 }
 
-/// Appends an error line. The text holds no line break.
+/// Appends an error. The text must not contain a line break.
 pub fn put_error(out: &mut BytesMut, text: std::fmt::Arguments) {
     put_line(out, format_args!("-{text}"));
 }
 
-/// Appends a simple string. The text holds no line break.
+/// Appends a simple string. The text must not contain a line break.
 pub fn put_simple(out: &mut BytesMut, text: &str) {
     put_line(out, format_args!("+{text}"));
 }
@@ -132,7 +137,7 @@
 }
 
 fn put_line(out: &mut BytesMut, text: std::fmt::Arguments) {
-    // A buffer in memory takes whatever it is given.
+    // Writing to a buffer in memory cannot fail.
     let _ = write!(out.writer(), "{text}\r\n");
 }
 
@@ -145,10 +150,10 @@
     }
 
     #[test]
-    fn a_frame_is_taken_once_it_is_whole() {
-        let whole = b"*2\r\n$3\r\nGET\r\n$-1\r\n";
-        for n in 0..whole.len() {
-            assert_eq!(parse(&whole[..n]), Ok(None), "{n} bytes");
+    fn a_frame_is_returned_once_it_is_complete() {
+        let complete = b"*2\r\n$3\r\nGET\r\n$-1\r\n";
+        for n in 0..complete.len() {
+            assert_eq!(parse(&complete[..n]), Ok(None), "{n} bytes");
         }
         let mut buffer = BytesMut::from(&b"*2\r\n$3\r\nGET\r\n$-1\r\n+x"[..]);
         assert!(matches!(next_frame(&mut buffer, 100), Ok(Some(Frame::Array(parts))) if parts.len() == 2));
@@ -156,7 +161,7 @@
     }
 
     #[test]
-    fn what_is_no_frame_or_beyond_bounds_is_malformed() {
+    fn invalid_frames_and_frames_beyond_the_limits_are_malformed() {
         let nested = b"*1\r\n".repeat(20);
         let cases: [&[u8]; 7] =
             [b"GET x\r\n", b"*2\r\n*1\r\n", b"$x\r\n", b"*-2\r\n", b"*65\r\n", b"$99\r\n", &nested];
@@ -166,7 +171,7 @@
     }
 
     #[test]
-    fn what_is_put_reads_as_it_was_meant() {
+    fn encoded_frames_are_decoded_unchanged() {
         let mut text = BytesMut::new();
         put_array(&mut text, 2);
         put_bulk(&mut text, b"a\r\n");
@@ -181,19 +186,22 @@
     }
 
     #[test]
-    fn what_a_frame_needs_is_known_from_its_headers() {
+    fn the_minimum_length_follows_from_the_headers_received() {
         assert_eq!(min_frame_length(b"*2\r\n$3\r\nGET\r\n$70000\r\nab", 100_000), 13 + 8 + 70_002);
         assert_eq!(min_frame_length(b"*2\r\n$3\r\nGE", 100), 13);
         assert_eq!(min_frame_length(b"*2\r", 100), 0);
     }
 
     #[test]
-    fn the_head_of_a_long_value_is_known_before_the_value_has_come() {
-        let head = b"*3\r\n$70000\r\n";
-        for n in 0..head.len() {
-            assert_eq!(parse_long_bulk_header(&head[..n], 100), None);
+    fn the_header_of_a_long_value_is_parsed_before_the_value_is_received() {
+        let header = b"*3\r\n$70000\r\n";
+        for n in 0..header.len() {
+            assert_eq!(parse_long_bulk_header(&header[..n], 100), None);
         }
-        assert_eq!(parse_long_bulk_header(&[&head[..], b"xyz"].concat(), 100), Some((head.len(), 70_000)));
+        assert_eq!(
+            parse_long_bulk_header(&[&header[..], b"xyz"].concat(), 100),
+            Some((header.len(), 70_000))
+        );
         for other in [
             &b"*3\r\n$100\r\n"[..],
             b"*2\r\n$70000\r\n",
@@ -206,7 +214,7 @@
     }
 
     #[test]
-    fn a_bulk_string_ends_with_a_line_break() {
+    fn a_bulk_string_without_its_final_line_break_is_malformed() {
         assert_eq!(parse(b"$1\r\naXY"), Err(Malformed));
     }
 }
