--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -54,7 +54,7 @@
             ..Snapshot::default()
         };
         let totals = self.metrics.totals();
-        let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
+        let (served, busy, failed) = (totals.served, totals.refused, totals.failed);
         snapshot.since_start = AnswerCounts { served, busy, failed, gone: 0 };
         snapshot.tries = totals.attempts;
         snapshot.siblings = self.peer_status.map(|status| SiblingsSummary {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,8 +1,8 @@
-//! One book of counts of a node's work, always kept.
+//! A node's counters and gauges, which are always maintained.
 //!
-//! A request counts once, at its end, whatever way it ends; what ends after its client has left counts nowhere.
-//! Whoever keeps the book has a [`Metrics`], cheap to clone; a count is one addition to a number in memory. Whoever
-//! reads it asks for a form: the operators' lines ([`Metrics::lines`]) or Prometheus' text ([`Metrics::prometheus`]).
+//! A request is counted once, when it ends, by its outcome; it is not counted if its client has disconnected before.
+//! Updates go through [`Metrics`], which is cheap to clone; an update is one addition to a number in memory. The values are
+//! exported as StatsD-style lines ([`Metrics::statsd_lines`]) or in Prometheus' text format ([`Metrics::prometheus`]).
 
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -15,43 +15,43 @@
 use prometheus_client::registry::Registry;
 use tracing::warn;
 
-/// What the operators' lines begin with.
-const PREFIX: &str = "edge_edge";
+/// The prefix of the names in the StatsD-style lines.
+const STATSD_PREFIX: &str = "edge_edge";
 
-/// The figures of other nodes.
-const SIBLINGS: [&str; 3] = ["siblings_here", "siblings_gone", "siblings_unknown"];
-/// The figures of what nodes hold in common.
-const COMMON: [&str; 3] = ["common_records", "common_conflicts", "common_behind"];
+/// Names of the gauges that describe the other nodes.
+const SIBLING_GAUGES: [&str; 3] = ["siblings_here", "siblings_gone", "siblings_unknown"];
+/// Names of the gauges that describe the replicated store.
+const REPLICA_GAUGES: [&str; 3] = ["common_records", "common_conflicts", "common_behind"];
 
-/// How a request has ended, as its client sees it.
+/// The outcome of a request, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a value or a receipt.
+    /// Answered with a value or a confirmation.
     Served,
-    /// Refused: trying again is harmless.
+    /// Refused without side effects, so that a retry is safe.
     Refused,
-    /// Failed, with no promise.
+    /// Failed; whether the request took effect is unknown.
     Failed,
 }
 
-/// A rule of the protocol that the node holds itself to. Its violations are counted where it acts, apart from where it
-/// decides.
+/// A rule of the protocol that the node checks on itself. Violations are counted where the node acts, independently of the
+/// code that decides what to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// A server was told a longer deadline than the client had left.
+    /// The deadline forwarded to a server was later than the client's.
     DeadlineToldTooLong,
     /// An attempt began after the client's deadline.
     BegunAfterDeadline,
-    /// An attempt began after the client had left.
+    /// An attempt began after the client had disconnected.
     BegunAfterClientLeft,
-    /// An attempt began at a server that drains or is gone.
+    /// An attempt began at a server that is draining or has been removed.
     BegunAtDrained,
-    /// A connection was closed with a request that had been read and not answered.
+    /// A connection was closed although a request read from it had not been answered.
     ClosedUnanswered,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 5] = [
         Rule::DeadlineToldTooLong,
         Rule::BegunAfterDeadline,
@@ -60,7 +60,7 @@
         Rule::ClosedUnanswered,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the rule in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Rule::DeadlineToldTooLong => "deadline_told_too_long",
@@ -72,23 +72,23 @@
     }
 }
 
-/// Counts violations. Cheap to clone.
+/// Counts violations of each [`Rule`]. Cheap to clone.
 #[derive(Clone)]
 pub struct ViolationCounters(Arc<[Counter; Rule::ALL.len()]>);
 
 impl ViolationCounters {
-    /// One more, by a request of this number in this process. It is logged.
+    /// Counts and logs a violation by the request with this number, which is unique within the process.
     pub fn record(&self, rule: Rule, request: u32) {
-        self.of(rule).inc();
+        self.counter(rule).inc();
         warn!(request, rule = rule.name(), "a rule was broken");
     }
 
-    /// How many there were of a rule.
+    /// The number of violations of a rule since the start.
     pub fn total(&self, rule: Rule) -> u64 {
-        self.of(rule).get()
+        self.counter(rule).get()
     }
 
-    fn of(&self, rule: Rule) -> &Counter {
+    fn counter(&self, rule: Rule) -> &Counter {
         &self.0[rule as usize]
     }
 }
@@ -98,42 +98,43 @@
     rule: &'static str,
 }
 
-/// A class's requests by their ends.
+/// Counters of the requests of one class, by outcome.
 #[derive(Default, Clone)]
-struct Ends {
-    passed: Counter,
-    dropped: Counter,
+struct OutcomeCounters {
+    served: Counter,
+    refused: Counter,
     failed: Counter,
 }
 
-impl Ends {
-    fn of(&self, end: RequestOutcome) -> &Counter {
-        match end {
-            RequestOutcome::Served => &self.passed,
-            RequestOutcome::Refused => &self.dropped,
+impl OutcomeCounters {
+    fn counter(&self, outcome: RequestOutcome) -> &Counter {
+        match outcome {
+            RequestOutcome::Served => &self.served,
+            RequestOutcome::Refused => &self.refused,
             RequestOutcome::Failed => &self.failed,
         }
     }
 }
 
-/// The book. Clones are of one book.
+/// The metrics of a node. Clones share their values.
 #[derive(Clone)]
-pub struct Metrics(Arc<Pages>);
-
-struct Pages {
-    /// By the classes' places in the settings.
-    classes: Vec<(String, Ends)>,
-    /// Requests that name no class.
-    unnamed: Ends,
-    tries: Counter,
+pub struct Metrics(Arc<Inner>);
+
+struct Inner {
+    /// Names and counters of the classes, in the order of the settings.
+    classes: Vec<(String, OutcomeCounters)>,
+    /// Requests without a class.
+    unclassified: OutcomeCounters,
+    attempts: Counter,
     withheld: Counter,
     violations: ViolationCounters,
     in_progress: Gauge,
     known: Gauge,
     skipped: Gauge,
-    /// Other nodes that are here, gone and not known; only where nodes speak to one another.
+    /// Numbers of other nodes that are alive, gone and in an unknown state; registered only if the node has siblings.
     siblings: OnceLock<[Gauge; 3]>,
-    common: OnceLock<[Gauge; 3]>,
+    /// State of the replicated store; registered only if the node has one.
+    replica: OnceLock<[Gauge; 3]>,
     registry: Mutex<Registry>,
 }
 
@@ -143,109 +144,136 @@
     end: &'static str,
 }
 
-/// What the book holds of all classes together.
+/// Numbers of requests over all classes, and of attempts, since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestTotals {
     /// Requests that were served.
-    pub passed: u64,
+    pub served: u64,
     /// Requests that were refused.
-    pub dropped: u64,
+    pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Attempts written whole to servers, the origin among them.
+    /// Attempts written completely to servers, including the origin.
     pub attempts: u64,
 }
 
 impl Metrics {
-    /// An empty book for classes with these names.
+    /// Metrics for classes with these names; all values are 0.
     pub fn new(classes: Vec<String>) -> Metrics {
         let mut registry = Registry::with_prefix("lilacquay");
         let requests = Family::<RequestLabels, Counter>::default();
-        let ends = |class: &str| {
-            let of = |end| requests.get_or_create_owned(&RequestLabels { class: class.to_owned(), end });
-            Ends { passed: of("passed"), dropped: of("dropped"), failed: of("bad_gateway") }
+        let outcome_counters = |class: &str| {
+            let counter = |end| requests.get_or_create_owned(&RequestLabels { class: class.to_owned(), end });
+            OutcomeCounters {
+                served: counter("passed"),
+                refused: counter("dropped"),
+                failed: counter("bad_gateway"),
+            }
         };
-        let unnamed = ends("");
-        let classes = classes.into_iter().map(|name| (name.clone(), ends(&name))).collect();
-        let (tries, in_progress, known, skipped): (Counter, Gauge, Gauge, Gauge) = Default::default();
-        registry.register("requests", "Requests by class and end", requests);
-        registry.register("upstream_tries", "Attempts written whole to servers", tries.clone());
+        let unclassified = outcome_counters("");
+        let classes = classes.into_iter().map(|name| (name.clone(), outcome_counters(&name))).collect();
+        let (attempts, in_progress, known, skipped): (Counter, Gauge, Gauge, Gauge) = Default::default();
+        registry.register("requests", "Requests by class and outcome", requests);
+        registry.register("upstream_tries", "Attempts written completely to servers", attempts.clone());
         let withheld = Counter::default();
-        registry.register("withheld", "Attempts that were decided and could not begin", withheld.clone());
-        let broken = Family::<RuleLabels, Counter>::default();
-        let of = |rule: Rule| broken.get_or_create_owned(&RuleLabels { rule: rule.name() });
-        let violations = ViolationCounters(Arc::new(Rule::ALL.map(of)));
-        registry.register("violations", "Rules that the node itself saw broken", broken.clone());
-        registry.register("in_progress", "Requests taken and not ended", in_progress.clone());
+        registry.register("withheld", "Attempts that were decided on but could not begin", withheld.clone());
+        let violations_by_rule = Family::<RuleLabels, Counter>::default();
+        let counter = |rule: Rule| violations_by_rule.get_or_create_owned(&RuleLabels { rule: rule.name() });
+        let violations = ViolationCounters(Arc::new(Rule::ALL.map(counter)));
+        registry.register(
+            "violations",
+            "ViolationCounters of protocol rules that the node observed itself",
+            violations_by_rule.clone(),
+        );
+        registry.register("in_progress", "Requests in progress", in_progress.clone());
         registry.register("known_cache_servers", "Caches in the list", known.clone());
-        registry.register("skipped_cache_servers", "Listed caches that are avoided now", skipped.clone());
-        let (siblings, common, registry) = (OnceLock::new(), OnceLock::new(), Mutex::new(registry));
-        Metrics(Arc::new(Pages {
+        registry.register(
+            "skipped_cache_servers",
+            "Caches in the list that are currently avoided",
+            skipped.clone(),
+        );
+        let (siblings, replica, registry) = (OnceLock::new(), OnceLock::new(), Mutex::new(registry));
+        Metrics(Arc::new(Inner {
             classes,
-            unnamed,
-            tries,
+            unclassified,
+            attempts,
             withheld,
             violations,
             in_progress,
             known,
             skipped,
             siblings,
-            common,
+            replica,
             registry,
         }))
     }
 
-    fn ends(&self, class: Option<usize>) -> &Ends {
-        class.and_then(|class| self.0.classes.get(class)).map_or(&self.0.unnamed, |(_, ends)| ends)
+    fn outcomes(&self, class: Option<usize>) -> &OutcomeCounters {
+        class
+            .and_then(|class| self.0.classes.get(class))
+            .map_or(&self.0.unclassified, |(_, outcomes)| outcomes)
     }
 
-    /// A request was taken.
+    /// Counts a request as in progress.
     pub fn request_started(&self) {
         self.0.in_progress.inc();
     }
 
-    /// A request that was taken has ended, with nobody to tell if there is no `end`.
-    pub fn request_ended(&self, class: Option<usize>, end: Option<RequestOutcome>) {
+    /// Counts the end of a request that was in progress. `outcome` is none if the client had disconnected.
+    pub fn request_ended(&self, class: Option<usize>, outcome: Option<RequestOutcome>) {
         self.0.in_progress.dec();
-        if let Some(end) = end {
-            self.ends(class).of(end).inc();
+        if let Some(outcome) = outcome {
+            self.outcomes(class).counter(outcome).inc();
         }
     }
 
-    /// Counts attempts as they are written whole.
+    /// The counter of attempts written completely to a server.
     pub fn attempt_counter(&self) -> AttemptCounter {
-        AttemptCounter(self.0.tries.clone())
+        AttemptCounter(self.0.attempts.clone())
     }
 
-    /// An attempt that was decided could not begin.
+    /// Counts an attempt that was decided on but could not begin.
     pub fn attempt_withheld(&self) {
         self.0.withheld.inc();
     }
 
-    /// Counts violations.
+    /// The counters of violations.
     pub fn violations(&self) -> ViolationCounters {
         self.0.violations.clone()
     }
 
-    /// How many caches the list has, and how many of those are avoided now.
+    /// Sets the number of caches in the list, and of those that are currently avoided.
     pub fn set_cache_counts(&self, known: usize, skipped: usize) {
         self.0.known.set(known as i64);
         self.0.skipped.set(skipped as i64);
     }
 
-    /// How many other nodes are here, gone and not known. Figures of these are told from the first call on.
-    pub fn set_sibling_counts(&self, numbers: [usize; 3]) {
-        self.set(&self.0.siblings, SIBLINGS, "Other nodes, as this one sees them", numbers);
+    /// Sets the numbers of other nodes that are alive, gone and in an unknown state. These metrics are exported from the first
+    /// call on.
+    pub fn set_sibling_counts(&self, counts: [usize; 3]) {
+        self.set_gauges(&self.0.siblings, SIBLING_GAUGES, "Other nodes, as seen by this node", counts);
     }
 
-    /// How many records are held in common, how many orders contradict each other, and whether this node is behind. Figures
-    /// of these are told from the first call on.
-    pub fn set_replica_counts(&self, numbers: [usize; 3]) {
-        self.set(&self.0.common, COMMON, "What all nodes hold in common, as this one has it", numbers);
+    /// Sets the number of replicated records, the number of conflicting orders, and whether this node is behind (1 or 0). These
+    /// metrics are exported from the first call on.
+    pub fn set_replica_counts(&self, counts: [usize; 3]) {
+        self.set_gauges(
+            &self.0.replica,
+            REPLICA_GAUGES,
+            "The replicated store, as seen by this node",
+            counts,
+        );
     }
 
-    fn set(&self, of: &OnceLock<[Gauge; 3]>, names: [&'static str; 3], help: &str, numbers: [usize; 3]) {
-        let gauges = of.get_or_init(|| {
+    /// Sets gauges, and registers them at the first call.
+    fn set_gauges(
+        &self,
+        gauges: &OnceLock<[Gauge; 3]>,
+        names: [&'static str; 3],
+        help: &str,
+        values: [usize; 3],
+    ) {
+        let gauges = gauges.get_or_init(|| {
             let gauges = names.map(|_| Gauge::default());
             let mut registry = self.0.registry.lock().unwrap_or_else(PoisonError::into_inner);
             for (name, gauge) in names.into_iter().zip(&gauges) {
@@ -253,72 +281,78 @@
             }
             gauges
         });
-        for (gauge, number) in gauges.iter().zip(numbers) {
-            gauge.set(number as i64);
+        for (gauge, value) in gauges.iter().zip(values) {
+            gauge.set(value as i64);
         }
     }
 
-    /// All classes together.
+    /// The totals over all classes.
     pub fn totals(&self) -> RequestTotals {
-        let all = self.0.classes.iter().map(|(_, ends)| ends).chain([&self.0.unnamed]);
-        let mut totals = RequestTotals { attempts: self.0.tries.get(), ..RequestTotals::default() };
-        for ends in all {
-            totals.passed += ends.passed.get();
-            totals.dropped += ends.dropped.get();
-            totals.failed += ends.failed.get();
+        let all = self.0.classes.iter().map(|(_, outcomes)| outcomes).chain([&self.0.unclassified]);
+        let mut totals = RequestTotals { attempts: self.0.attempts.get(), ..RequestTotals::default() };
+        for outcomes in all {
+            totals.served += outcomes.served.get();
+            totals.refused += outcomes.refused.get();
+            totals.failed += outcomes.failed.get();
         }
         totals
     }
 
-    /// The operators' lines: `NAME:VALUE|c` for counts since the start, `|g` for what is now.
+    /// The metrics as StatsD-style lines: `NAME:VALUE|c` for counters since the start, `NAME:VALUE|g` for gauges.
     pub fn statsd_lines(&self) -> String {
         let mut text = String::with_capacity(1024);
-        let unnamed = [("none", &self.0.unnamed)];
-        let named = self.0.classes.iter().map(|(name, ends)| (name.as_str(), ends));
-        let any = |ends: &Ends| ends.passed.get() + ends.dropped.get() + ends.failed.get() > 0;
-        for (class, ends) in named.chain(unnamed.into_iter().filter(|(_, ends)| any(ends))) {
-            for (end, count) in
-                [("passed", &ends.passed), ("dropped", &ends.dropped), ("bad_gateway", &ends.failed)]
-            {
-                put(&mut text, format_args!("handled.{class}.{end}"), count.get() as i64, 'c');
+        let unclassified = [("none", &self.0.unclassified)];
+        let named = self.0.classes.iter().map(|(name, outcomes)| (name.as_str(), outcomes));
+        let has_requests = |outcomes: &OutcomeCounters| {
+            outcomes.served.get() + outcomes.refused.get() + outcomes.failed.get() > 0
+        };
+        for (class, outcomes) in
+            named.chain(unclassified.into_iter().filter(|(_, outcomes)| has_requests(outcomes)))
+        {
+            for (end, count) in [
+                ("passed", &outcomes.served),
+                ("dropped", &outcomes.refused),
+                ("bad_gateway", &outcomes.failed),
+            ] {
+                put_line(&mut text, format_args!("handled.{class}.{end}"), count.get() as i64, 'c');
             }
         }
-        put(&mut text, format_args!("upstream_tries"), self.0.tries.get() as i64, 'c');
-        put(&mut text, format_args!("withheld"), self.0.withheld.get() as i64, 'c');
+        put_line(&mut text, format_args!("upstream_tries"), self.0.attempts.get() as i64, 'c');
+        put_line(&mut text, format_args!("withheld"), self.0.withheld.get() as i64, 'c');
         for rule in Rule::ALL {
             let count = self.0.violations.total(rule) as i64;
-            put(&mut text, format_args!("violations.{}", rule.name()), count, 'c');
+            put_line(&mut text, format_args!("violations.{}", rule.name()), count, 'c');
         }
-        put(&mut text, format_args!("in_progress"), self.0.in_progress.get(), 'g');
-        put(&mut text, format_args!("known_cache_servers"), self.0.known.get(), 'g');
-        put(&mut text, format_args!("skipped_cache_servers"), self.0.skipped.get(), 'g');
-        let siblings = SIBLINGS.into_iter().zip(self.0.siblings.get().into_iter().flatten());
-        let common = COMMON.into_iter().zip(self.0.common.get().into_iter().flatten());
-        for (name, gauge) in siblings.chain(common) {
-            put(&mut text, format_args!("{name}"), gauge.get(), 'g');
+        put_line(&mut text, format_args!("in_progress"), self.0.in_progress.get(), 'g');
+        put_line(&mut text, format_args!("known_cache_servers"), self.0.known.get(), 'g');
+        put_line(&mut text, format_args!("skipped_cache_servers"), self.0.skipped.get(), 'g');
+        let siblings = SIBLING_GAUGES.into_iter().zip(self.0.siblings.get().into_iter().flatten());
+        let replica = REPLICA_GAUGES.into_iter().zip(self.0.replica.get().into_iter().flatten());
+        for (name, gauge) in siblings.chain(replica) {
+            put_line(&mut text, format_args!("{name}"), gauge.get(), 'g');
         }
         text
     }
 
-    /// Prometheus' text, in the OpenMetrics form.
+    /// The metrics in Prometheus' text format, as OpenMetrics.
     pub fn prometheus(&self) -> String {
         let mut text = String::new();
         let registry = self.0.registry.lock().unwrap_or_else(PoisonError::into_inner);
-        let _ = encode(&mut text, &registry); // a string takes all
+        let _ = encode(&mut text, &registry); // writing to a string cannot fail
         text
     }
 }
 
-fn put(text: &mut String, name: std::fmt::Arguments, value: i64, kind: char) {
-    let _ = writeln!(text, "{PREFIX}.{name}:{value}|{kind}"); // a string takes all
+fn put_line(text: &mut String, name: std::fmt::Arguments, value: i64, kind: char) {
+    let _ = writeln!(text, "{STATSD_PREFIX}.{name}:{value}|{kind}"); // writing to a string cannot fail
 }
 
-/// Counts attempts written whole.
+/// Counts attempts written completely to a server.
 #[derive(Clone)]
 pub struct AttemptCounter(Counter);
 
 impl AttemptCounter {
-    /// One more.
+    /// Counts one attempt.
     pub fn increment(&self) {
         self.0.inc();
     }
@@ -329,16 +363,16 @@
     use super::*;
 
     #[test]
-    fn a_request_counts_once_under_its_class_and_end() {
+    fn a_request_is_counted_once_under_its_class_and_outcome() {
         let metrics = Metrics::new(vec!["read".into(), "put".into()]);
-        for (class, end) in [
+        for (class, outcome) in [
             (Some(0), Some(RequestOutcome::Served)),
             (Some(1), Some(RequestOutcome::Refused)),
             (Some(1), None),
             (Some(9), Some(RequestOutcome::Failed)),
         ] {
             metrics.request_started();
-            metrics.request_ended(class, end);
+            metrics.request_ended(class, outcome);
         }
         metrics.request_started();
         metrics.attempt_counter().increment();
@@ -355,16 +389,16 @@
             "edge_edge.known_cache_servers:12|g",
             "edge_edge.skipped_cache_servers:3|g",
         ] {
-            assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
+            assert!(text.lines().any(|l| l == line), "{line} is missing in\n{text}");
         }
-        assert_eq!(metrics.totals(), RequestTotals { passed: 1, dropped: 1, failed: 1, attempts: 1 });
+        assert_eq!(metrics.totals(), RequestTotals { served: 1, refused: 1, failed: 1, attempts: 1 });
         let text = metrics.prometheus();
         assert!(text.contains("lilacquay_requests_total{class=\"read\",end=\"passed\"} 1"), "{text}");
         assert!(text.contains("lilacquay_in_progress 1"), "{text}");
     }
 
     #[test]
-    fn a_violation_counts_under_its_rule() {
+    fn a_violation_is_counted_under_its_rule() {
         let metrics = Metrics::new(Vec::new());
         for rule in Rule::ALL {
             metrics.violations().record(rule, 7);
@@ -379,7 +413,7 @@
     }
 
     #[test]
-    fn other_nodes_are_told_once_there_are_any() {
+    fn gauges_of_other_nodes_are_exported_once_they_are_set() {
         let metrics = Metrics::new(Vec::new());
         assert!(!metrics.statsd_lines().contains("siblings") && !metrics.prometheus().contains("siblings"));
         metrics.set_sibling_counts([4, 1, 0]);
@@ -396,7 +430,7 @@
     }
 
     #[test]
-    fn a_class_that_nobody_names_is_not_told() {
+    fn no_line_is_exported_for_unclassified_requests_while_there_are_none() {
         assert!(!Metrics::new(vec!["read".into()]).statsd_lines().contains("none"));
     }
 }
