--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a node sees of its own work: figures of the last minute, the trail of each open request, and events.
+//! What a node records of its own work: statistics of the last minute, a trace of each open request, and events.
 //!
-//! No I/O, no clock, no thread: [`Observer`] is told what happens and when, and fills in the part of a [`Snapshot`]
-//! that it knows; [`Events`] is a bounded ring that tells a reader what it has missed. Nothing here decides anything
-//! about a request. `docs/design/appliance.md` has the reasons.
+//! No I/O, no clock, no thread: [`Observer`] is notified of what happens and when, and fills in its part of a [`Snapshot`];
+//! [`Events`] is a bounded ring buffer that reports to a reader how many events it has missed. Nothing here influences how
+//! requests are handled. `docs/design/appliance.md` gives the reasons.
 
 mod events;
 mod latency;
@@ -22,5 +22,5 @@
 };
 pub use trace::{AnswerKind, AttemptOutcome, WaitReason};
 
-/// A point in time or a duration, in microseconds. A point that lies before the latest one told counts as that.
+/// A point in time or a duration, in microseconds. A point in time before the latest one reported is treated as the latest.
 pub type Micros = u64;
--- a/crates/observe/src/rules.rs
+++ b/crates/observe/src/rules.rs
@@ -1,43 +1,44 @@
-//! What one node can see of the rules by itself, apart from the module that keeps them.
+//! Checks on a single node whether retries obey the rules, independently of the module that decides on them.
 
 use crate::trace::AttemptOutcome;
 
-/// What a request's repeats may do.
+/// Whether a request may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// They are free.
+    /// It may be repeated without effect.
     Safe,
-    /// Servers discard them; which do is not looked at here.
+    /// Servers detect and discard repetitions. Which servers do so is not checked here.
     Deduplicated,
-    /// It must not run twice.
+    /// It must not be executed twice.
     Unsafe,
 }
 
-/// A request's tries, as far as its repeats matter.
+/// Tracks the attempts of one request to detect unsafe repetitions.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RetryCheck {
     retry_safety: RetrySafety,
-    out: u32,
+    in_flight: u32,
     may_have_run: bool,
 }
 
 impl RetryCheck {
     pub fn new(retry_safety: RetrySafety) -> Self {
-        RetryCheck { retry_safety, out: 0, may_have_run: false }
+        RetryCheck { retry_safety, in_flight: 0, may_have_run: false }
     }
 
-    /// One more is sent; whether it may make the request run twice.
-    pub fn sent(&mut self) -> bool {
-        let breach = self.retry_safety == RetrySafety::Unsafe && (self.out > 0 || self.may_have_run);
-        self.out += 1;
-        breach
+    /// Records that an attempt is sent. Returns whether it may cause a second execution of an unsafe request.
+    pub fn attempt_sent(&mut self) -> bool {
+        let is_violation =
+            self.retry_safety == RetrySafety::Unsafe && (self.in_flight > 0 || self.may_have_run);
+        self.in_flight += 1;
+        is_violation
     }
 
-    /// One has ended.
-    pub fn ended(&mut self, end: AttemptOutcome) {
-        self.out = self.out.saturating_sub(1);
+    /// Records the end of an attempt.
+    pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.may_have_run |= matches!(
-            end,
+            outcome,
             AttemptOutcome::Served
                 | AttemptOutcome::Error
                 | AttemptOutcome::TimedOut
--- a/crates/observe/src/snapshot.rs
+++ b/crates/observe/src/snapshot.rs
@@ -1,209 +1,211 @@
-//! What a node tells of itself at one moment. Fields that a reader does not know are skipped, those that a writer
-//! lacks are empty, so that two versions understand each other as far as they can.
+//! The state of a node at one moment, as JSON. For compatibility between versions, readers skip fields that they do not know,
+//! and fields that the writer does not have get default values.
 
 use serde::{Deserialize, Serialize};
 
-/// Buckets of a server's times.
+/// Number of buckets of a server's latencies.
 pub const LATENCY_BUCKETS: usize = 12;
 
-/// How many answers took how long, by [`bucket_upper_bound_us`](crate::bucket_upper_bound_us).
+/// Number of answers by latency; see [`bucket_upper_bound_us`](crate::bucket_upper_bound_us).
 pub type LatencyBuckets = [u64; LATENCY_BUCKETS];
 
-/// A node at one moment.
+/// The state of a node at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Snapshot {
-    /// When it was taken, Unix time in milliseconds.
+    /// When the snapshot was taken, Unix time in milliseconds.
     pub at_ms: u64,
-    /// When the node started, Unix time in milliseconds: another one is another node, or one that has restarted.
+    /// When the node started, Unix time in milliseconds. A different value means another node, or one that has restarted.
     pub started_ms: u64,
-    /// The node's version.
+    /// Version of the program.
     pub version: String,
-    /// For how long figures have been gathered, in seconds: they are while somebody looks. 0 if nobody did before.
+    /// How long statistics have been collected, in seconds. They are collected only while an observer is connected; 0 if none was
+    /// connected before.
     pub watched_s: f64,
-    /// Requests that are owed an answer or have an attempt out.
+    /// Requests that have not been answered or have an attempt in flight.
     pub open: usize,
-    /// Connections to servers, in use or at rest, as last counted.
+    /// Connections to servers, in use or idle, as of the last count.
     pub connections: usize,
-    /// Memory that the process holds, in KiB.
+    /// Resident memory of the process, in KiB.
     pub memory_kb: u64,
-    /// Descriptors that the process holds, and may hold by its settings.
+    /// Open file descriptors of the process.
     pub descriptors: usize,
-    /// See [`Snapshot::descriptors`].
+    /// Maximum number of file descriptors by the settings.
     pub descriptor_limit: usize,
-    /// Answers since the node started, whoever looked; who had left is not counted.
+    /// Answers since the node started, whether or not an observer was connected. Requests whose client had disconnected are not
+    /// counted.
     pub since_start: AnswerCounts,
-    /// Attempts written whole to servers since the node started.
+    /// Attempts written completely to servers since the node started.
     pub tries: u64,
-    /// Answers since figures are gathered.
+    /// Answers since statistics are collected.
     pub answers: AnswerCounts,
-    /// The last minute, second by second, the oldest first; the running one is not in it.
+    /// The complete seconds of the last minute, the oldest first.
     pub seconds: Vec<SecondStats>,
-    /// Answer times of the last ten seconds.
+    /// Latencies of the last ten seconds.
     pub last_10s: LatencySummary,
-    /// Answer times of the last minute.
+    /// Latencies of the last minute.
     pub last_60s: LatencySummary,
-    /// What a node can see of the four rules by itself.
+    /// Violations of the four rules as far as a single node can detect them.
     pub rules: RuleCounts,
-    /// The list of servers.
+    /// State of the list of servers.
     pub list: ServerListStatus,
     /// The servers of the list, by name.
     pub boxes: Vec<BoxStatus>,
-    /// Open requests, the oldest first, and behind them the slowest that ended within the last minute.
+    /// Open requests, the oldest first, followed by the slowest that ended within the last minute.
     pub slow: Vec<SlowRequest>,
-    /// Tenants, and last the requests of none.
+    /// Tenants; the last entry is for requests without a tenant.
     pub tenants: Vec<TenantStats>,
-    /// Shares of quotas.
+    /// Shares of the quotas.
     pub shares: Vec<ShareStatus>,
-    /// The other nodes, where nodes speak to one another.
+    /// The other nodes, if siblings are configured.
     pub siblings: Option<SiblingsSummary>,
-    /// What all nodes hold in common, where they do.
+    /// The replicated store, if replication is configured.
     pub common: Option<ReplicaSummary>,
 }
 
-/// What all nodes hold in common, as this one has it.
+/// This node's replica of the replicated store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicaSummary {
-    /// It may lack what others hold.
+    /// Whether this replica may lack records that others hold.
     pub behind: bool,
-    /// Records.
+    /// Number of records.
     pub records: usize,
-    /// Servers for which orders contradict each other.
+    /// Number of servers for which orders conflict.
     pub conflicts: usize,
-    /// Servers that are left out on the word of others.
+    /// Number of servers that are avoided because of reports by other nodes.
     pub left_out: usize,
 }
 
-/// The other nodes, as this one sees them.
+/// Numbers of the other nodes by state, as seen by this node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SiblingsSummary {
-    /// Heard of lately, and confirmed.
+    /// Nodes heard from recently and confirmed.
     pub here: usize,
-    /// Known to use nothing any more.
+    /// Nodes known to use no shared resources any more.
     pub gone: usize,
-    /// Neither.
+    /// Nodes in neither state.
     pub unknown: usize,
-    /// What this node may use of its equal part of what all share; 0 if it is not confirmed.
+    /// Fraction that this node may use of its equal part of the shared capacity; 0 if it is not confirmed.
     pub part: f64,
 }
 
-/// Final answers by kind.
+/// Numbers of final answers by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AnswerCounts {
-    /// With a value, a receipt, or the word that there is none.
+    /// Answered with a value, a confirmation, or that there is no value.
     pub served: u64,
-    /// Refused: trying again is harmless.
+    /// Refused without side effects, so that a retry is safe.
     pub busy: u64,
-    /// Failed, with no promise.
+    /// Failed; whether the request took effect is unknown.
     pub failed: u64,
-    /// The client had left before.
+    /// Not answered because the client had disconnected.
     pub gone: u64,
 }
 
-/// One second.
+/// Statistics of one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SecondStats {
-    /// Answers.
+    /// Number of answers.
     pub answers: u64,
-    /// Of them refused or failed.
+    /// Number of these answers that were refused or failed.
     pub refused: u64,
-    /// Half of those served took no longer, in microseconds; 0 if none was.
+    /// Median latency of the served answers, in microseconds; 0 if there was none.
     pub p50_us: u64,
-    /// 99 of 100 of those served took no longer, in microseconds.
+    /// 99th percentile of the latency of the served answers, in microseconds.
     pub p99_us: u64,
 }
 
-/// Times of the answers that were served, in microseconds, within 7 %.
+/// Summary of the latencies of served answers, in microseconds, with an error of at most 7 %.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LatencySummary {
-    /// How many.
+    /// Number of served answers.
     pub count: u64,
-    /// Half took no longer.
+    /// Median.
     pub p50_us: u64,
-    /// 99 of 100 took no longer.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// None took longer.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// What a node sees of the four rules by itself, since figures are gathered.
+/// Violations of the four rules as far as a single node can detect them, since statistics are collected.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RuleCounts {
-    /// Rule 1: answers later than the client's wait.
+    /// Rule 1: answers sent after the client's deadline.
     pub late: u64,
-    /// Rule 2: sends of a request that must not run twice, after one that may have run.
+    /// Rule 2: repeated attempts of a request that must not be executed twice, after an attempt that may have been executed.
     pub repeated: u64,
-    /// Rule 3: sends that were stopped before their first byte, for their server serves no more. Not a breach.
+    /// Rule 3: attempts stopped before their first byte because the server was no longer in service. Not a violation.
     pub stopped: u64,
 }
 
-/// The list of servers.
+/// The state of the list of servers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServerListStatus {
-    /// Where it came from last: `configuration`, `discovery` or `etcd`.
+    /// Source of the current list: `configuration`, `discovery` or `etcd`.
     pub source: String,
-    /// How long ago its source last told anything, in seconds.
+    /// Time since the last message from the source, in seconds.
     pub told_s: f64,
-    /// Calls to its source that failed since then.
+    /// Failed calls to the source since then.
     pub failures: u64,
 }
 
-/// A server of the list.
+/// The state of a server of the list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct BoxStatus {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub kind: String,
     /// Whether it is the origin.
     pub origin: bool,
-    /// Whether it serves by the list.
+    /// Whether the server is in service according to the list.
     pub listed: bool,
-    /// Whether it serves, under the orders.
+    /// Whether the server is in service, taking operators' orders into account.
     pub serves: bool,
-    /// The order that holds it.
+    /// The order that keeps the server out of service.
     pub order: Option<OrderStatus>,
-    /// The node's requests that are out there.
+    /// Number of this node's attempts in flight at the server.
     pub out: usize,
-    /// How long the oldest of them has been out, in milliseconds.
+    /// Age of the oldest of them, in milliseconds.
     pub oldest_ms: f64,
-    /// The longest that one of them may yet take, in milliseconds: by then it holds nothing of ours.
+    /// Time until the last of them must have ended, in milliseconds; after it, the server holds no request of this node.
     pub free_in_ms: f64,
-    /// The node's connections that rest there.
+    /// Number of this node's idle connections to the server.
     pub idle: usize,
-    /// Part of its capacity that it has for certain since it started: 1 is warm.
+    /// Fraction of its capacity that the server certainly has since its start; 1 means that its warm-up is complete.
     pub warmth: f64,
-    /// Its answer times in comparison with the others', 1 being usual.
+    /// Its latency relative to that of the other servers; 1 is usual.
     pub slowness: f64,
-    /// Why it gets nothing but a try now and then, if so.
+    /// Why the server is avoided, if it is: it then receives only an occasional probe request.
     pub left_out: Option<String>,
-    /// Answer times of the last 10 to 20 seconds.
+    /// Latencies of the last 10 to 20 seconds.
     pub times: LatencyBuckets,
-    /// What ended there in that time.
+    /// Attempts that ended at the server in that time.
     pub measured: AttemptCounts,
 }
 
-/// Attempts at a server that ended within the last 10 to 20 seconds.
+/// Numbers of attempts at a server that ended within the last 10 to 20 seconds, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AttemptCounts {
     /// Served.
     pub served: u64,
-    /// No value for the key.
+    /// The server had no value for the key.
     pub misses: u64,
-    /// Turned away, failed, broken or unanswered.
+    /// Refused, failed, timed out, or without a connection.
     pub bad: u64,
-    /// Called off: another answer came first.
+    /// Canceled because another attempt was answered first.
     pub canceled: u64,
 }
 
@@ -211,76 +213,76 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct OrderStatus {
-    /// Its number.
+    /// Number of the order.
     pub number: u64,
-    /// How many seconds it holds yet; until it is lifted if there are none.
+    /// Remaining validity in seconds; none if the order is valid until it is revoked.
     pub seconds_left: Option<f64>,
-    /// Whether it lasts over a restart.
+    /// Whether the order remains valid after a restart of the node.
     pub lasting: bool,
 }
 
-/// A request that takes long, or took long.
+/// A request that takes or took a long time.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SlowRequest {
-    /// Its key.
+    /// Key of the request.
     pub key: String,
-    /// Its class.
+    /// Name of its class.
     pub class: String,
-    /// Its tenant.
+    /// Name of its tenant.
     pub tenant: String,
-    /// Whether it is open.
+    /// Whether the request is still open.
     pub open: bool,
-    /// How long it has taken, in milliseconds.
+    /// Time since its arrival, or until its end, in milliseconds.
     pub elapsed_ms: f64,
-    /// How long its client waits yet, in milliseconds.
+    /// Time until the client's deadline, in milliseconds.
     pub left_ms: f64,
-    /// What it waits for, or how it ended.
+    /// What the request is waiting for, or how it ended.
     pub why: String,
-    /// What was decided and what came of it, in order.
+    /// The steps of the request, in order.
     pub steps: Vec<Step>,
 }
 
-/// A step of a request's way.
+/// A step in the processing of a request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// When, in milliseconds from the request's arrival.
+    /// Time since the arrival of the request, in milliseconds.
     pub at_ms: f64,
-    /// What.
+    /// Description of the step.
     pub what: String,
 }
 
-/// What was asked and answered for a tenant since figures are gathered.
+/// Requests and answers of a tenant since statistics are collected.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TenantStats {
-    /// Its name; empty for requests of none.
+    /// Name of the tenant; empty for requests without a tenant.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub asked: u64,
-    /// How they were answered.
+    /// Their answers.
     pub answers: AnswerCounts,
 }
 
-/// A share of a measure in the quotas.
+/// The state of a share in the quotas.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ShareStatus {
-    /// Its name.
+    /// Name of the share.
     pub name: String,
-    /// How deep it stands in the tree.
+    /// Depth in the tree of shares.
     pub depth: usize,
-    /// What is measured, and in which lane.
+    /// What is measured, and for which lane.
     pub measure: String,
-    /// What it gets whenever it asks.
+    /// Amount that the share can always obtain.
     pub guarantee: u64,
-    /// What it never gets more than; none if only its parent's holds.
+    /// Maximum that the share can obtain; none if only the parent's maximum applies.
     pub ceiling: Option<u64>,
-    /// What it has used over the window.
+    /// Amount used within the window.
     pub used: u64,
-    /// What it has used beyond its guarantee and not yet been forgiven.
+    /// Amount used beyond the guarantee, minus what has decayed since.
     pub debt: f64,
-    /// Requests of the share itself that were refused.
+    /// Number of the share's own requests that were refused, without those of its children.
     pub refused: u64,
 }
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -1,20 +1,20 @@
-//! The way of one request, step by step, and why it waits.
+//! The trace of one request: its steps, and why it is waiting.
 
 use crate::Micros;
 
-/// More steps of one request are not kept.
-const MOST: usize = 24;
+/// Maximum number of steps kept for one request; further steps are only counted.
+const MAX_STEPS: usize = 24;
 
-/// A final answer.
+/// The kind of a request's final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
     /// Served.
     Served,
-    /// Refused.
+    /// Refused because of load; the client may retry later.
     Busy,
     /// Failed.
     Failed,
-    /// Its client had left.
+    /// Not sent, because the client had disconnected.
     Gone,
 }
 
@@ -23,144 +23,166 @@
 pub enum AttemptOutcome {
     /// Served.
     Served,
-    /// The server holds no value for the key.
+    /// The server has no value for the key.
     Miss,
-    /// Turned away unseen.
+    /// Refused by the server without being executed.
     Refused,
     /// Answered with an error.
     Error,
-    /// No answer in time.
+    /// No answer before the timeout.
     TimedOut,
-    /// No connection.
+    /// No connection could be established.
     NoConnection,
-    /// The connection broke.
+    /// The connection was lost before the answer.
     ConnectionLost,
-    /// Called off.
+    /// Canceled by this node.
     Canceled,
-    /// Not sent: no place, or the server serves no more.
+    /// Not sent: the concurrency limit was reached, or the server is no longer in service.
     NotSent,
 }
 
-/// What the decision module holds a request for, while no attempt is out.
+/// Why the decision module makes a request wait while it has no attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitReason {
-    /// Nothing that it told.
+    /// The decision module has reported no reason.
     Undecided,
-    /// Another request's fetch of the same key.
+    /// Another request is fetching the same key.
     SharedFetch,
-    /// A place among what may be out at once.
+    /// The concurrency limit is reached.
     ConcurrencyLimit,
-    /// A pause before its next try.
+    /// Backoff before the next attempt.
     RetryBackoff,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StepKind {
+    /// An attempt was sent to the server with this id.
     Sent(u32),
+    /// The attempt at the server with this id ended.
     Ended(u32, AttemptOutcome),
+    /// The request was answered.
     Answered(AnswerKind),
 }
 
-/// A request's way so far.
+/// The steps of a request so far.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestTrace {
     pub arrived: Micros,
-    /// When its client leaves.
-    pub until: Micros,
+    /// When the client stops waiting.
+    pub deadline: Micros,
     pub tenant: usize,
     pub class: Option<usize>,
     steps: Vec<(Micros, StepKind)>,
-    /// Steps beyond those that are kept.
-    more: usize,
+    /// Number of steps beyond [`MAX_STEPS`].
+    dropped_steps: usize,
     pub answered: bool,
 }
 
 impl RequestTrace {
-    pub fn new(now: Micros, wait: Micros, class: Option<usize>, tenant: usize) -> Self {
-        let until = now.saturating_add(wait);
-        RequestTrace { arrived: now, until, tenant, class, steps: Vec::new(), more: 0, answered: false }
+    pub fn new(now: Micros, timeout: Micros, class: Option<usize>, tenant: usize) -> Self {
+        let deadline = now.saturating_add(timeout);
+        RequestTrace {
+            arrived: now,
+            deadline,
+            tenant,
+            class,
+            steps: Vec::new(),
+            dropped_steps: 0,
+            answered: false,
+        }
     }
 
-    pub fn sent(&mut self, now: Micros, server: u32) {
-        self.take(now, StepKind::Sent(server));
+    pub fn attempt_sent(&mut self, now: Micros, server: u32) {
+        self.push_step(now, StepKind::Sent(server));
     }
-    pub fn ended(&mut self, now: Micros, server: u32, end: AttemptOutcome) {
-        self.take(now, StepKind::Ended(server, end));
+    pub fn attempt_ended(&mut self, now: Micros, server: u32, outcome: AttemptOutcome) {
+        self.push_step(now, StepKind::Ended(server, outcome));
     }
-    pub fn answered(&mut self, now: Micros, kind: AnswerKind) {
-        self.take(now, StepKind::Answered(kind));
+    pub fn request_answered(&mut self, now: Micros, kind: AnswerKind) {
+        self.push_step(now, StepKind::Answered(kind));
         self.answered = true;
     }
 
-    fn take(&mut self, now: Micros, taken: StepKind) {
-        match self.steps.len() < MOST {
-            true => self.steps.push((now, taken)),
-            false => self.more += 1,
+    fn push_step(&mut self, now: Micros, step: StepKind) {
+        match self.steps.len() < MAX_STEPS {
+            true => self.steps.push((now, step)),
+            false => self.dropped_steps += 1,
         }
     }
 
-    /// The attempts that are out: when, and where.
-    fn out(&self) -> Vec<(Micros, u32)> {
-        let mut out: Vec<(Micros, u32)> = Vec::new();
-        for (at, taken) in &self.steps {
-            match taken {
-                StepKind::Sent(server) => out.push((*at, *server)),
-                // Of two attempts at one server the earlier is taken to have ended.
+    /// The attempts in flight, as the time at which each was sent and the id of its server.
+    fn attempts_in_flight(&self) -> Vec<(Micros, u32)> {
+        let mut in_flight: Vec<(Micros, u32)> = Vec::new();
+        for (at, step) in &self.steps {
+            match step {
+                StepKind::Sent(server) => in_flight.push((*at, *server)),
+                // Of two attempts at the same server, the earlier is assumed to have ended.
                 StepKind::Ended(server, _) => {
-                    if let Some(place) = out.iter().position(|(_, sent)| sent == server) {
-                        out.remove(place);
+                    if let Some(position) = in_flight.iter().position(|(_, sent_to)| sent_to == server) {
+                        in_flight.remove(position);
                     }
                 }
                 StepKind::Answered(_) => {}
             }
         }
-        out
+        in_flight
     }
 
-    /// What it waits for, or how it ended.
-    pub fn why(&self, now: Micros, waits: WaitReason, name: &dyn Fn(u32) -> String) -> String {
-        let last = self.steps.iter().rev().find_map(|(_, taken)| match taken {
+    /// Describes what the request is waiting for or how it ended. `server_name` maps the id of a server to its name.
+    pub fn describe_state(
+        &self,
+        now: Micros,
+        wait_reason: WaitReason,
+        server_name: &dyn Fn(u32) -> String,
+    ) -> String {
+        let answer = self.steps.iter().rev().find_map(|(_, step)| match step {
             StepKind::Answered(kind) => Some(*kind),
             _ => None,
         });
-        if let Some(kind) = last {
-            return answer_words(kind).into();
+        if let Some(kind) = answer {
+            return describe_answer(kind).into();
         }
-        let out: Vec<String> = self
-            .out()
+        let in_flight: Vec<String> = self
+            .attempts_in_flight()
             .iter()
-            .map(|(at, server)| format!("{} since {:.0} ms", name(*server), ms(now.saturating_sub(*at))))
+            .map(|(at, server)| {
+                format!("{} since {:.0} ms", server_name(*server), ms(now.saturating_sub(*at)))
+            })
             .collect();
-        match (out.is_empty(), waits) {
-            (false, _) => format!("at {}", out.join(" and at ")),
-            (true, WaitReason::ConcurrencyLimit) => "no place: as much is out as may be".into(),
+        match (in_flight.is_empty(), wait_reason) {
+            (false, _) => format!("at {}", in_flight.join(" and at ")),
+            (true, WaitReason::ConcurrencyLimit) => "the concurrency limit is reached".into(),
             (true, WaitReason::SharedFetch) => "another request fetches its key".into(),
             (true, WaitReason::RetryBackoff) => "pauses before its next try".into(),
             (true, WaitReason::Undecided) => "is being decided".into(),
         }
     }
 
-    /// Its steps in words, with their times from its arrival in microseconds.
-    pub fn words(&self, name: &dyn Fn(u32) -> String) -> Vec<(Micros, String)> {
-        let word = |taken: &StepKind| match taken {
-            StepKind::Sent(server) => format!("sent to {}", name(*server)),
-            StepKind::Ended(server, end) => format!("{}: {}", name(*server), end_words(*end)),
-            StepKind::Answered(kind) => answer_words(*kind).into(),
+    /// Describes each step, with its time since the arrival of the request.
+    pub fn describe_steps(&self, server_name: &dyn Fn(u32) -> String) -> Vec<(Micros, String)> {
+        let describe = |step: &StepKind| match step {
+            StepKind::Sent(server) => format!("sent to {}", server_name(*server)),
+            StepKind::Ended(server, outcome) => {
+                format!("{}: {}", server_name(*server), describe_outcome(*outcome))
+            }
+            StepKind::Answered(kind) => describe_answer(*kind).into(),
         };
-        let since = |at: Micros| at.saturating_sub(self.arrived);
-        let mut words: Vec<_> = self.steps.iter().map(|(at, taken)| (since(*at), word(taken))).collect();
-        if let Some((at, _)) = words.last().cloned().filter(|_| self.more > 0) {
-            words.push((at, format!("and {} steps more", self.more)));
+        let since_arrival = |at: Micros| at.saturating_sub(self.arrived);
+        let mut steps: Vec<_> =
+            self.steps.iter().map(|(at, step)| (since_arrival(*at), describe(step))).collect();
+        if let Some((at, _)) = steps.last().cloned().filter(|_| self.dropped_steps > 0) {
+            steps.push((at, format!("and {} steps more", self.dropped_steps)));
         }
-        words
+        steps
     }
 }
 
+/// Converts microseconds to milliseconds.
 pub(crate) fn ms(micros: Micros) -> f64 {
     micros as f64 / 1e3
 }
 
-fn answer_words(kind: AnswerKind) -> &'static str {
+fn describe_answer(kind: AnswerKind) -> &'static str {
     match kind {
         AnswerKind::Served => "answered: served",
         AnswerKind::Busy => "answered: refused, to come back later",
@@ -169,16 +191,16 @@
     }
 }
 
-fn end_words(end: AttemptOutcome) -> &'static str {
-    match end {
+fn describe_outcome(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Served => "served",
         AttemptOutcome::Miss => "holds no value for the key",
-        AttemptOutcome::Refused => "turned it away",
+        AttemptOutcome::Refused => "refused it",
         AttemptOutcome::Error => "answered with an error",
         AttemptOutcome::TimedOut => "no answer in time",
         AttemptOutcome::NoConnection => "no connection",
         AttemptOutcome::ConnectionLost => "the connection broke",
-        AttemptOutcome::Canceled => "called off",
-        AttemptOutcome::NotSent => "not sent: no place, or it serves no more",
+        AttemptOutcome::Canceled => "canceled",
+        AttemptOutcome::NotSent => "not sent: the concurrency limit is reached, or it is out of service",
     }
 }
