--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,4 +1,4 @@
-//! The operator's side.
+//! The client of the control socket, for operators' tools.
 
 use std::fmt;
 use std::io::{self, BufRead, BufReader, Write};
@@ -8,20 +8,20 @@
 
 use crate::messages::{Answer, ControlRequest, RequestEnvelope, VERSION};
 
-/// A node that answers nothing for so long is held to be stuck.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// A node that does not answer within this time is considered stuck.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A connection to a node's control socket.
 pub struct Client(BufReader<UnixStream>);
 
-/// Why a node could not be asked.
+/// Why a request to a node failed.
 #[derive(Debug)]
 pub enum ClientError {
-    /// Nobody listens in that folder.
+    /// No node listens in that state directory.
     NoNode(io::Error),
-    /// The connection broke, or nothing came in time.
+    /// The connection was lost, or the node did not answer in time.
     Broken(io::Error),
-    /// The node speaks otherwise, or did not understand.
+    /// The node did not understand the request, or sent an answer that cannot be parsed.
     Protocol(String),
 }
 
@@ -40,63 +40,68 @@
 impl std::error::Error for ClientError {}
 
 impl Client {
-    /// Connects to the node whose state folder this is.
+    /// Connects to the node with this state directory.
     ///
     /// # Errors
-    /// If none listens there.
-    pub fn connect(folder: &Path) -> Result<Client, ClientError> {
-        let stream = UnixStream::connect(folder.join("control.sock")).map_err(ClientError::NoNode)?;
-        let limit = Some(PATIENCE);
+    /// If no node listens there.
+    pub fn connect(state_dir: &Path) -> Result<Client, ClientError> {
+        let stream = UnixStream::connect(state_dir.join("control.sock")).map_err(ClientError::NoNode)?;
+        let limit = Some(ANSWER_TIMEOUT);
         stream.set_read_timeout(limit).and(stream.set_write_timeout(limit)).map_err(ClientError::Broken)?;
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Asks for what goes on and on. A node that says nothing for `patience` is held to be stuck, if there is one.
+    /// Sends a request that is answered by a stream of answers. If `answer_timeout` is given, a node that sends nothing for that
+    /// time is considered stuck.
     ///
     /// # Errors
-    /// If the question can't be sent.
-    pub fn stream(mut self, verb: ControlRequest, patience: Option<Duration>) -> Result<Stream, ClientError> {
-        self.send(verb)?;
-        self.0.get_ref().set_read_timeout(patience).map_err(ClientError::Broken)?;
+    /// If the request cannot be sent.
+    pub fn stream(
+        mut self,
+        request: ControlRequest,
+        answer_timeout: Option<Duration>,
+    ) -> Result<Stream, ClientError> {
+        self.send(request)?;
+        self.0.get_ref().set_read_timeout(answer_timeout).map_err(ClientError::Broken)?;
         Ok(Stream(self))
     }
 
-    /// Asks one question.
+    /// Sends a request and waits for its answer.
     ///
     /// # Errors
-    /// If no answer comes, or none that can be read.
-    pub fn request(&mut self, verb: ControlRequest) -> Result<Answer, ClientError> {
-        self.send(verb)?;
-        self.answer()
+    /// If no answer arrives, or one that cannot be parsed.
+    pub fn request(&mut self, request: ControlRequest) -> Result<Answer, ClientError> {
+        self.send(request)?;
+        self.read_answer()
     }
 
-    fn send(&mut self, verb: ControlRequest) -> Result<(), ClientError> {
-        let question = serde_json::to_string(&RequestEnvelope { v: VERSION, verb }).unwrap_or_default();
-        self.0.get_mut().write_all(format!("{question}\n").as_bytes()).map_err(ClientError::Broken)
+    fn send(&mut self, request: ControlRequest) -> Result<(), ClientError> {
+        let line = serde_json::to_string(&RequestEnvelope { v: VERSION, request }).unwrap_or_default();
+        self.0.get_mut().write_all(format!("{line}\n").as_bytes()).map_err(ClientError::Broken)
     }
 
-    fn answer(&mut self) -> Result<Answer, ClientError> {
+    fn read_answer(&mut self) -> Result<Answer, ClientError> {
         let mut line = String::new();
         match self.0.read_line(&mut line).map_err(ClientError::Broken)? {
             0 => Err(ClientError::Broken(io::ErrorKind::UnexpectedEof.into())),
             _ => match serde_json::from_str(&line) {
                 Ok(Answer::Error { what, .. }) => Err(ClientError::Protocol(what)),
                 Ok(answer) => Ok(answer),
-                Err(error) => Err(ClientError::Protocol(format!("the node speaks otherwise: {error}"))),
+                Err(error) => Err(ClientError::Protocol(format!("unknown answer from the node: {error}"))),
             },
         }
     }
 }
 
-/// Answers that go on; see [`Client::stream`].
+/// A stream of answers; see [`Client::stream`].
 pub struct Stream(Client);
 
 impl Stream {
-    /// Waits for the next.
+    /// Waits for the next answer.
     ///
     /// # Errors
-    /// If none comes, or none that can be read.
+    /// If no answer arrives, or one that cannot be parsed.
     pub fn next_answer(&mut self) -> Result<Answer, ClientError> {
-        self.0.answer()
+        self.0.read_answer()
     }
 }
--- a/crates/control/src/event_log.rs
+++ b/crates/control/src/event_log.rs
@@ -1,4 +1,4 @@
-//! What has happened at a node, for those who follow it.
+//! The events of a node, for readers that poll or follow them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -6,27 +6,27 @@
 use lilacquay_observe::{EventBatch, Events};
 use tokio::sync::watch;
 
-/// Events that are kept.
-const KEPT: usize = 1_000;
+/// Number of events that are kept.
+const MAX_EVENTS: usize = 1_000;
 
-/// The latest events. Cheap to clone; may be told from any thread, and never waits.
+/// The latest events. Cheap to clone. Events can be recorded from any thread; recording never waits for readers.
 #[derive(Clone)]
 pub struct EventLog(Arc<Shared>);
 
 struct Shared {
     events: Mutex<Events>,
-    /// The number of the latest.
+    /// The number of the latest event.
     last: watch::Sender<u64>,
 }
 
 impl EventLog {
-    /// None yet.
+    /// An empty log.
     pub fn new() -> Self {
-        let (events, last) = (Mutex::new(Events::new(KEPT)), watch::Sender::new(0));
+        let (events, last) = (Mutex::new(Events::new(MAX_EVENTS)), watch::Sender::new(0));
         EventLog(Arc::new(Shared { events, last }))
     }
 
-    /// Notes one, at the system's time.
+    /// Records an event with the current time.
     pub fn record(&self, level: &str, text: String) {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let last = {
@@ -37,12 +37,12 @@
         self.0.last.send_replace(last);
     }
 
-    /// What came behind one that was seen; see [`Events::after`].
-    pub fn after(&self, seen: u64, most: usize) -> EventBatch {
-        self.events().after(seen, most)
+    /// At most `max` events after the one with the number `seen`; see [`Events::after`].
+    pub fn after(&self, seen: u64, max: usize) -> EventBatch {
+        self.events().after(seen, max)
     }
 
-    /// By which a follower waits for the next.
+    /// A receiver that is notified of the number of each new event.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.0.last.subscribe()
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! A node's control socket: a Unix socket in its state folder, over which operators order servers away and read what
-//! holds. `docs/control.md` has the words.
+//! A node's control socket: a Unix socket in its state directory, over which operators take servers out of service and inspect
+//! the node. `docs/control.md` describes the messages.
 
 mod client;
 mod event_log;
@@ -14,7 +14,7 @@
 pub use folder::StateDir;
 pub use messages::{
     ActiveOrder, Answer, ControlRequest, LinkStatus, OrderAcks, PeerReplicaStatus, RecordKindStatus,
-    RecordSummary, ReplicaReport, ReplicatedOrder, RequestEnvelope, Server, SiblingReport, SiblingsReport,
-    Version,
+    RecordSummary, ReplicaReport, ReplicatedOrder, RequestEnvelope, ServerReport, SiblingReport,
+    SiblingsReport, Version,
 };
 pub use server::{ClusterOrder, CommandResult, Control, NodeCommand, NodeContext, SiblingsQuery};
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -1,420 +1,423 @@
-//! What is said over the control socket: a question and its answer are a line of JSON each.
+//! The messages of the control socket: a request and its answer are one line of JSON each.
 
 use lilacquay_core::{ServerState, ServerStatus};
 use lilacquay_observe::{EventBatch, Snapshot};
 use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
 use serde::{Deserialize, Serialize};
 
-/// The version of these words. A node answers questions of this version and of all before it, in words that those know.
+/// The version of the protocol. A node answers requests of this version and of all earlier ones, with answers that those versions
+/// understand.
 pub const VERSION: Version = 2;
-/// The longest line.
-pub const LONGEST: usize = 4096;
+/// Maximum length of a request, in bytes.
+pub const MAX_LINE_BYTES: usize = 4096;
 
-/// A version of the words.
+/// A version of the protocol.
 pub type Version = u32;
 
-/// A question, or an order.
+/// A request with the version of its protocol.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestEnvelope {
-    /// The version that the asker speaks.
+    /// The version that the client speaks.
     pub v: Version,
-    /// What is asked.
+    /// The request.
     #[serde(flatten)]
-    pub verb: ControlRequest,
+    pub request: ControlRequest,
 }
 
-/// What is asked.
+/// A query or an order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum ControlRequest {
-    /// The orders that hold.
+    /// Lists the orders in force.
     Orders,
-    /// The servers of the list and what is out at each.
+    /// Lists the servers with the number of attempts in flight at each.
     Servers,
-    /// The other nodes, as this one sees them.
+    /// Reports the other nodes, as seen by this node.
     Siblings,
-    /// What this node holds of what all hold in common.
+    /// Reports this node's replica of the replicated store.
     Replica,
-    /// The node at this moment. From version 2, as all below that have no server.
+    /// Takes a snapshot of the node. Since version 2, as are all requests below that do not name a server.
     #[serde(rename = "look")]
     Snapshot,
-    /// The node again and again, at the asker's own pace, and its events. The connection takes no other question then.
+    /// Streams snapshots of the node and its events, at the pace of the client. The connection accepts no further request.
     Watch {
-        /// How often, in milliseconds; 200 at least.
+        /// Interval between snapshots in milliseconds, at least 200.
         every_ms: u64,
-        /// The last event that was seen, 0 for none.
+        /// Number of the last event seen, 0 for none.
         #[serde(default)]
         after: u64,
     },
-    /// Events behind one that was seen.
+    /// Returns the events after one that was seen.
     Events {
-        /// The last that was seen, 0 for none.
+        /// Number of the last event seen, 0 for none.
         #[serde(default)]
         after: u64,
-        /// Whether to go on with those to come. The connection takes no other question then.
+        /// Whether to continue with future events. The connection then accepts no further request.
         #[serde(default)]
         follow: bool,
     },
-    /// To read the configuration again, as by SIGHUP.
+    /// Reloads the configuration, as SIGHUP does.
     Reload,
-    /// To log more or less.
+    /// Sets the log level.
     Level {
         /// `error`, `warn`, `info`, `debug` or `trace`.
         level: String,
-        /// At all nodes, where they hold orders in common.
+        /// Whether to set it at all nodes, if orders are replicated.
         #[serde(default)]
         everywhere: bool,
     },
-    /// To drain the node itself, as by SIGTERM: it answers all that it has taken, and ends.
+    /// Stops the node, as SIGTERM does: it answers all requests that it has accepted, then exits.
     Stop,
-    /// To take the node itself out of service; it goes on running.
+    /// Takes the node itself out of service; the process continues to run.
     Leave,
-    /// To have it in service again.
+    /// Returns the node to service.
     Join,
-    /// To write a bundle for whoever looks for a fault.
+    /// Writes a diagnosis bundle for troubleshooting.
     Diagnose,
-    /// To take a server out of service.
+    /// Takes a server out of service.
     Drain {
-        /// Its name.
+        /// Name of the server.
         server: String,
-        /// Only for so many seconds.
+        /// Validity of the order in seconds; if none, it is valid until it is revoked.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         seconds: Option<u64>,
-        /// Also after a restart.
+        /// Whether the order remains valid after a restart of the node.
         #[serde(default)]
         lasting: bool,
-        /// Also if no cache serves after it.
+        /// Whether to obey even if no cache remains in service.
         #[serde(default)]
         force: bool,
-        /// The server's latest order that was seen, 0 for none.
+        /// Number of the server's latest order that the client has seen, 0 for none. The order is refused if the latest
+        /// is another one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         seen: Option<u64>,
-        /// To wait until so many nodes hold it, where they hold orders in common.
+        /// Number of nodes that are to hold the order before it is answered, if orders are replicated.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         wait_for: Option<usize>,
     },
-    /// To lift the order that holds a server.
+    /// Revokes the order that keeps a server out of service.
     Undrain {
-        /// Its name.
+        /// Name of the server.
         server: String,
-        /// The server's latest order that was seen.
+        /// Number of the server's latest order that the client has seen.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         seen: Option<u64>,
-        /// To wait until so many nodes hold it, where they hold orders in common.
+        /// Number of nodes that are to hold the order before it is answered, if orders are replicated.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         wait_for: Option<usize>,
     },
 }
 
-/// The answer to a question.
+/// The answer to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum Answer {
-    /// The orders that hold.
+    /// The orders in force.
     Orders {
-        /// By server.
+        /// In the order of the servers.
         orders: Vec<ActiveOrder>,
     },
     /// The servers of the list.
     Servers {
-        /// By name.
-        servers: Vec<Server>,
+        /// In the order of their names.
+        servers: Vec<ServerReport>,
     },
     /// The other nodes.
     Siblings {
-        /// As this one sees them.
+        /// As seen by this node.
         sight: Box<SiblingsReport>,
     },
-    /// What this node holds of what all hold in common.
+    /// This node's replica of the replicated store.
     Replica {
-        /// Its copy.
+        /// The contents of the replica.
         copy: Box<ReplicaReport>,
     },
-    /// The node at a moment.
+    /// The state of the node at one moment.
     Snapshot {
-        /// What it told.
+        /// The state.
         snapshot: Box<Snapshot>,
     },
     /// Events, in order.
     Events {
-        /// Which, and how many are missing before them.
+        /// The events, and how many are missing before them.
         #[serde(flatten)]
         batch: EventBatch,
     },
-    /// An order on the node itself is obeyed.
+    /// An order to the node itself has been carried out.
     Done {
         /// What was done.
         what: String,
-        /// What could not be recorded of it, and why.
+        /// Why the order could not be persisted or written to the audit log, if so.
         unrecorded: Option<String>,
     },
-    /// The order is obeyed.
+    /// An order on a server has been carried out.
     #[serde(rename = "obeyed")]
     Accepted {
-        /// Its number.
+        /// Number of the order.
         number: u64,
-        /// What it took the place of.
+        /// The order that it replaces.
         replaced: Option<ActiveOrder>,
-        /// What could not be recorded of it, and why.
+        /// Why the order could not be persisted or written to the audit log, if so.
         unrecorded: Option<String>,
-        /// How many nodes hold it, where they hold orders in common.
+        /// How many nodes hold the order, if orders are replicated.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         held: Option<OrderAcks>,
     },
-    /// The order is not obeyed, and nothing has changed.
+    /// The order was refused; nothing has changed.
     Refused {
-        /// Why, and what to do.
+        /// The reason, and what to do about it.
         why: String,
     },
-    /// The question can't be understood.
+    /// The request cannot be understood.
     Error {
         /// The version that the node speaks.
         v: Version,
-        /// What is wrong with it.
+        /// What is wrong with the request.
         what: String,
     },
 }
 
-/// An order that holds.
+/// An order in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ActiveOrder {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// How many seconds it holds yet; until it is lifted if there are none.
+    /// Remaining validity in seconds; none if the order is valid until it is revoked.
     pub seconds_left: Option<f64>,
-    /// Whether it lasts over a restart.
+    /// Whether the order remains valid after a restart of the node.
     pub lasting: bool,
-    /// Its number.
+    /// Number of the order.
     pub number: u64,
 }
 
-/// The other nodes, as one sees them.
+/// The other nodes, as seen by one node.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SiblingsReport {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// The node's own number, among so many.
+    /// Index of this node in the list of nodes.
     pub me: usize,
-    /// How many nodes the list has.
+    /// Number of nodes in the list.
     pub nodes: usize,
-    /// The node's own incarnation.
+    /// Incarnation of this node.
     pub incarnation: u64,
-    /// A number of its view: nodes that agree on who lives, in which incarnation, and who is gone, have the same.
+    /// Digest of the node's view. It is the same at nodes that agree on which nodes are alive, in which incarnation, and which are
+    /// gone.
     pub epoch: String,
-    /// Whether enough of those that watch it confirm it.
+    /// Whether enough of the nodes that watch this node confirm its lease.
     pub confirmed: bool,
-    /// Whether another process has taken its name.
+    /// Whether another process has taken over the identity of this node.
     pub superseded: bool,
-    /// What it may use of its equal part of what all nodes share.
+    /// Fraction that the node may use of its equal part of the shared capacity.
     pub part: f64,
-    /// How much it doubts its own hearing, 0 to 8.
+    /// How unreliable the node considers its own reception of heartbeats, 0 to 8.
     pub doubt: u64,
-    /// Pauses of its own that it noticed.
+    /// Number of suspensions of its own process that the node has detected.
     pub pauses: u64,
-    /// Others that are here.
+    /// Number of other nodes that are alive.
     pub here: usize,
-    /// Others that are gone.
+    /// Number of other nodes that are gone.
     pub gone: usize,
-    /// Others that are not known.
+    /// Number of other nodes whose state is unknown.
     pub unknown: usize,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Total length of the datagrams sent, in bytes.
     pub sent_bytes: u64,
-    /// Datagrams that were read.
+    /// Number of datagrams received and decoded.
     pub read: u64,
-    /// Datagrams that could not be read.
+    /// Number of datagrams that could not be decoded.
     pub unread: u64,
-    /// Datagrams of another site or list.
+    /// Number of datagrams from nodes with another site or list of nodes.
     pub strangers: u64,
-    /// Datagrams from addresses that are no node's.
+    /// Number of datagrams from addresses that are not in the list.
     pub unlisted: u64,
-    /// The others, by number.
+    /// The other nodes, in the order of their indexes.
     pub fellows: Vec<SiblingReport>,
-    /// Who hears whom, among neighbours on the ring.
+    /// Which nodes receive datagrams from which, among neighbours on the ring.
     pub ways: Vec<LinkStatus>,
 }
 
-/// Another node.
+/// Another node, as seen by this node.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SiblingReport {
-    /// Its number.
+    /// Index of the node.
     pub node: usize,
-    /// Where this node reaches it.
+    /// Address at which this node reaches it.
     pub address: String,
-    /// `here`, `gone` or `unknown`.
+    /// `here` (alive), `gone` or `unknown`.
     pub state: String,
-    /// For how long, in seconds.
+    /// How long it has been in this state, in seconds.
     pub since_s: f64,
-    /// On what evidence.
+    /// The evidence for the state.
     pub why: String,
-    /// Its incarnation; 0 if none is known.
+    /// Its incarnation; 0 if unknown.
     pub incarnation: u64,
-    /// How long ago its newest word came, in seconds.
+    /// Time since its newest heartbeat was received, in seconds.
     pub heard_s: Option<f64>,
-    /// Through which node.
+    /// Index of the node through which that heartbeat was received.
     pub heard_by: Option<usize>,
-    /// Whether its own datagrams come, where this node watches it.
+    /// Whether datagrams arrive from it directly, if this node watches it.
     pub we_hear: Option<bool>,
-    /// Whether ours come to it, by its own word.
+    /// Whether this node's datagrams arrive there, as it reports.
     pub hears_us: Option<bool>,
-    /// It is watched here and has been silent for three periods.
+    /// Whether this node watches it and has received nothing from it for three heartbeat periods.
     pub suspected: bool,
 }
 
 /// How many nodes hold an order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAcks {
-    /// So many have said so, the one that it was given at among them.
+    /// Number of nodes that have acknowledged the order, including the one at which it was given.
     pub nodes: usize,
-    /// Of so many that are here.
+    /// Number of nodes that are alive.
     pub of: usize,
-    /// After so long, in milliseconds.
+    /// Time until these acknowledgements had arrived, in milliseconds.
     pub after_ms: u64,
-    /// Other orders that had not seen this one contradict it: the drain stands.
+    /// Whether concurrent orders conflict with this one; the drain then takes precedence.
     pub conflict: bool,
 }
 
-/// A node's copy of what all hold in common.
+/// A node's replica of the replicated store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicaReport {
-    /// The node's own number, among so many.
+    /// Index of this node in the list of nodes.
     pub me: usize,
-    /// How many nodes the list has.
+    /// Number of nodes in the list.
     pub nodes: usize,
-    /// `level` or `behind`.
+    /// `level` (up to date) or `behind`.
     pub stage: String,
-    /// Since how long, in seconds.
+    /// How long the replica has been in this stage, in seconds.
     pub since_s: f64,
-    /// A number of all that it tells: copies that are alike have the same.
+    /// Root digest of the replica; identical replicas have the same.
     pub root: String,
-    /// What is held of each kind, and whether this node goes by it.
+    /// The number of records of each kind, and whether this node uses them.
     pub kinds: Vec<RecordKindStatus>,
-    /// Operators' orders.
+    /// Replicated orders of operators.
     pub orders: Vec<ReplicatedOrder>,
-    /// Servers that are left out on the word of other nodes.
+    /// Servers that are avoided because of reports by other nodes.
     pub left_out: Vec<String>,
-    /// Servers that other nodes have seen to be slow, and by how much.
+    /// Servers that other nodes report as slow, with their relative slowness.
     pub believed: Vec<(String, f64)>,
-    /// What is known of the other nodes' copies.
+    /// What is known of the replicas of the other nodes.
     pub peers: Vec<PeerReplicaStatus>,
-    /// Records that a bound has kept out.
+    /// Number of records that were rejected because a limit was reached.
     pub dropped: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Total length of the datagrams sent, in bytes.
     pub sent_bytes: u64,
-    /// Datagrams that were read.
+    /// Number of datagrams received and decoded.
     pub read: u64,
-    /// Datagrams that could not be read.
+    /// Number of datagrams that could not be decoded.
     pub unread: u64,
-    /// All records, as far as there is room to tell them.
+    /// The records, up to the limit of the report.
     pub records: Vec<RecordSummary>,
 }
 
-/// The records of a kind.
+/// The records of one kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordKindStatus {
-    /// Its name.
+    /// Name of the kind.
     pub kind: String,
-    /// How many are held.
+    /// Number of records.
     pub records: usize,
-    /// Whether this node writes such, and goes by them.
+    /// Whether this node writes such records and uses them.
     pub on: bool,
 }
 
-/// An order that is held in common.
+/// A replicated order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicatedOrder {
-    /// Of which server; of the nodes themselves if there is none.
+    /// Name of the server; empty if the order is for the nodes themselves.
     pub server: String,
-    /// What stands.
+    /// The action that is in force.
     pub action: String,
-    /// At which node it was given.
+    /// Index of the node at which it was given.
     pub node: usize,
-    /// When, Unix time in seconds by that node's clock.
+    /// When it was given, as Unix time in seconds by that node's clock.
     pub at: u32,
-    /// How many seconds it holds yet, if it ends by itself.
+    /// Remaining validity in seconds; none if it does not expire.
     pub seconds_left: Option<f64>,
-    /// It holds nothing, and is kept for what it has lifted.
+    /// Whether the order only records that earlier orders have been revoked.
     pub tombstone: bool,
-    /// Orders that had not seen it, nor it them, in words.
+    /// Descriptions of concurrent orders: none of them was known where another was given.
     pub beside: Vec<String>,
-    /// They contradict each other: somebody is to order anew.
+    /// Whether the concurrent orders conflict, so that an operator has to give a new order.
     pub conflict: bool,
 }
 
-/// What is known of another's copy.
+/// What is known of another node's replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerReplicaStatus {
-    /// Its number.
+    /// Index of the node.
     pub node: usize,
-    /// It held the same when it was heard of last.
+    /// Whether its replica was identical according to its last datagram.
     pub same: bool,
-    /// It was behind, by its own word.
+    /// Whether it reported that it was behind.
     pub behind: bool,
-    /// How long ago that was, in seconds.
+    /// Time since that datagram, in seconds.
     pub ago_s: f64,
 }
 
-/// A record.
+/// A record of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordSummary {
-    /// By what it is known.
+    /// Id of the record.
     pub id: u64,
-    /// Its kind's name.
+    /// Name of its kind.
     pub kind: String,
-    /// Who wrote it.
+    /// Index of the node that wrote it.
     pub origin: usize,
-    /// In which incarnation, and how manieth there.
+    /// Incarnation of that node, and counter of its writes.
     pub version: (u64, u32),
-    /// A number of what it says.
+    /// Digest of the record.
     pub sum: u32,
 }
 
-/// A way from one node to another.
+/// The link from one node to another.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LinkStatus {
-    /// Whose datagrams.
+    /// Index of the sender.
     pub from: usize,
-    /// To whom.
+    /// Index of the receiver.
     pub to: usize,
-    /// Whether they come.
+    /// Whether datagrams arrive.
     pub open: bool,
 }
 
 /// A server of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Server {
-    /// Its name.
+pub struct ServerReport {
+    /// Name of the server.
     pub server: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub kind: String,
-    /// Whether it serves by the list.
+    /// Whether the server is in service according to the list.
     pub listed: bool,
-    /// Whether it serves, under the orders.
+    /// Whether the server is in service, taking operators' orders into account.
     pub serves: bool,
-    /// The node's requests that are out there.
+    /// Number of this node's attempts in flight at the server.
     pub out: usize,
-    /// The node's connections that rest there.
+    /// Number of this node's idle connections to the server.
     pub idle: usize,
-    /// The number of the order that holds it.
+    /// Number of the order that keeps it out of service.
     pub order: Option<u64>,
 }
 
-impl Server {
-    /// In words.
-    pub fn new(now: ServerStatus) -> Self {
+impl ServerReport {
+    /// Converts the state of a server as the core reports it.
+    pub fn new(status: ServerStatus) -> Self {
         let ServerStatus {
             name,
             zone,
@@ -424,15 +427,15 @@
             attempts_in_flight: out,
             idle_connections: idle,
             order: held,
-        } = now;
+        } = status;
         let (listed, serves) = (listed == ServerState::Serving, state == ServerState::Serving);
         let order = held.map(|held| held.number);
-        Server { server: name, zone, kind, listed, serves, out, idle, order }
+        ServerReport { server: name, zone, kind, listed, serves, out, idle, order }
     }
 }
 
 impl ActiveOrder {
-    /// In words, at a time.
+    /// Describes an order on a server, with its remaining validity at the time `now`.
     pub fn new(server: &str, held: Held, now: Micros) -> Self {
         let seconds_left = match held.hold {
             Hold::Drain => None,
@@ -443,7 +446,7 @@
 }
 
 impl ControlRequest {
-    /// How many nodes are to hold the order before it is answered, if that is asked for.
+    /// Number of nodes that are to hold the order before it is answered, if requested.
     pub fn wait_for(&self) -> Option<usize> {
         match self {
             ControlRequest::Drain { wait_for, .. } | ControlRequest::Undrain { wait_for, .. } => *wait_for,
@@ -451,8 +454,8 @@
         }
     }
 
-    /// The order on a server that it gives, if it is one.
-    pub fn order(&self) -> Option<Ask> {
+    /// The order on a server that this request gives; none if it is another request.
+    pub fn server_order(&self) -> Option<Ask> {
         match self.clone() {
             ControlRequest::Orders
             | ControlRequest::Servers
@@ -467,8 +470,8 @@
             | ControlRequest::Join
             | ControlRequest::Diagnose => None,
             ControlRequest::Drain { server, seconds, lasting, force, seen, .. } => {
-                let time = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
-                Some(Ask { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
+                let leave_out = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
+                Some(Ask { server, order: seconds.map_or(Order::Drain, leave_out), lasting, force, seen })
             }
             ControlRequest::Undrain { server, seen, .. } => {
                 Some(Ask { server, order: Order::Undrain, lasting: false, force: false, seen })
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -1,4 +1,4 @@
-//! Snapshots for those who watch: made when one is wanted, and shared by all who want one at about the same time.
+//! Snapshots for observers: taken on request, and shared by requests that arrive at about the same time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,28 +12,27 @@
 use crate::messages::Answer;
 use crate::process;
 
-/// A snapshot is shared for so long.
-///
-/// Guards against: sixteen consoles that have the core walk over its books sixteen times.
-const FRESH: Duration = Duration::from_millis(150);
+/// How long a snapshot is shared, so that sixteen consoles do not make the core walk through its state sixteen times.
+const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(150);
 
-/// Makes snapshots. The core is asked, never made to wait: what is slow (files, JSON) runs on another thread.
+/// Takes snapshots. The core only answers a message; slow work (files, JSON) runs on another thread and never blocks it.
 pub(crate) struct Publisher {
-    orders: CoreHandle,
+    core: CoreHandle,
     descriptor_limit: usize,
+    /// The latest snapshot as a line of JSON, and when it was taken.
     last: Mutex<Option<(Instant, Arc<str>)>>,
 }
 
 impl Publisher {
-    pub fn new(orders: CoreHandle, descriptor_limit: usize) -> Self {
-        Publisher { orders, descriptor_limit, last: Mutex::default() }
+    pub fn new(core: CoreHandle, descriptor_limit: usize) -> Self {
+        Publisher { core, descriptor_limit, last: Mutex::default() }
     }
 
-    /// A line with a snapshot that is no older than [`FRESH`]; nothing once the core has ended.
-    pub async fn line(&self) -> Option<Arc<str>> {
+    /// A line with a snapshot that is no older than [`SNAPSHOT_MAX_AGE`]; none once the core has ended.
+    pub async fn snapshot_line(&self) -> Option<Arc<str>> {
         let mut last = self.last.lock().await;
         if let Some((at, line)) = &*last
-            && at.elapsed() < FRESH
+            && at.elapsed() < SNAPSHOT_MAX_AGE
         {
             return Some(line.clone());
         }
@@ -44,9 +43,11 @@
         Some(line)
     }
 
+    /// A new snapshot; none once the core has ended.
     pub async fn snapshot(&self) -> Option<Snapshot> {
-        let mut snapshot = self.orders.snapshot().await.ok()?;
-        (snapshot.memory_kb, snapshot.descriptors) = spawn_blocking(process::holds).await.unwrap_or_default();
+        let mut snapshot = self.core.snapshot().await.ok()?;
+        (snapshot.memory_kb, snapshot.descriptors) =
+            spawn_blocking(process::resource_usage).await.unwrap_or_default();
         snapshot.descriptor_limit = self.descriptor_limit;
         Some(snapshot)
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The node's side: questions come in, orders go to the core and to the node.
+//! The server of the control socket: accepts requests, and forwards orders to the core and to the node.
 
 use std::io;
 use std::sync::Arc;
@@ -18,118 +18,122 @@
 use crate::event_log::EventLog;
 use crate::folder::StateDir;
 use crate::messages::{
-    ActiveOrder, Answer, ControlRequest, LONGEST, OrderAcks, ReplicaReport, RequestEnvelope, Server,
-    SiblingsReport, VERSION,
+    ActiveOrder, Answer, ControlRequest, MAX_LINE_BYTES, OrderAcks, ReplicaReport, RequestEnvelope,
+    ServerReport, SiblingsReport, VERSION,
 };
 use crate::publisher::Publisher;
 
-/// Who speaks at once; others wait until one is done.
-const MOST: usize = 48;
-/// Who watches or follows at once: the others' places stay free for questions.
-const STREAMS: usize = 32;
-/// Who neither asks nor reads for so long is hung up on; one who watches, and may have stopped, after longer.
-const IDLE: Duration = Duration::from_secs(60);
-const STOPPED: Duration = Duration::from_secs(600);
-/// The quickest pace of snapshots.
-const QUICKEST: Duration = Duration::from_millis(200);
-/// Events in one line.
-const AT_ONCE: usize = 100;
-/// How often the socket's place is looked at.
-const LOOK: Duration = Duration::from_secs(5);
-
-/// What an order on the node itself came to: what was done, or why not.
+/// Maximum number of connections served at once; further clients wait until one ends.
+const MAX_CONNECTIONS: usize = 48;
+/// Maximum number of connections that stream snapshots or events at once. The other connections remain available for single
+/// requests.
+const MAX_STREAMS: usize = 32;
+/// A client that sends no request or reads no answer for this time is disconnected.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The same for a client that receives a stream. It is longer, since a console may have been suspended.
+const STREAM_TIMEOUT: Duration = Duration::from_secs(600);
+/// Minimum interval between the snapshots of a stream.
+const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of events in one line.
+const EVENTS_PER_LINE: usize = 100;
+/// Interval between checks that the socket still exists.
+const SOCKET_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+
+/// The result of an order to the node itself: what was done, or why it was refused.
 pub type CommandResult = Result<String, String>;
 
-/// An order on the node itself.
+/// An order to the node itself. The result is sent to the sender that it contains.
 #[derive(Debug)]
 pub enum NodeCommand {
-    /// To read the configuration again.
+    /// Reload the configuration.
     Reload(oneshot::Sender<CommandResult>),
-    /// To log from this level on.
+    /// Set the log level.
     SetLogLevel(String, oneshot::Sender<CommandResult>),
-    /// To leave service, or to be in service again.
+    /// Take the node out of service (false) or return it to service (true).
     SetInService(bool, oneshot::Sender<CommandResult>),
-    /// To answer what was taken, and end.
+    /// Answer the requests that have been accepted, then exit.
     Stop(oneshot::Sender<CommandResult>),
 }
 
-/// An order that all nodes are to hold.
+/// An order that is replicated to all nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterOrder {
-    /// On a server, which is obeyed here already.
+    /// An order on a server, which this node has already carried out.
     Server(Ask),
-    /// To log from this level on.
+    /// Set the log level.
     Level(String),
 }
 
-/// What whoever speaks to the other nodes is asked.
+/// A request to the task that communicates with the other nodes.
 #[derive(Debug)]
 pub enum SiblingsQuery {
-    /// What it sees of them.
+    /// Report the state of the other nodes.
     Siblings(oneshot::Sender<SiblingsReport>),
-    /// What it holds of what all hold in common; nothing where they hold nothing so.
+    /// Report the local replica of the replicated store; none if nothing is replicated.
     Replica(oneshot::Sender<Option<ReplicaReport>>),
-    /// All records of its copy, as text, and how long each lives yet, in microseconds: for the process that follows.
+    /// All records of the replica, encoded as text, with their remaining lifetime in microseconds. They are handed over to the
+    /// process that replaces this one.
     Records(oneshot::Sender<Vec<(String, Option<u64>)>>),
-    /// To have all nodes hold an order, and to say how many do: once these many do, or all, or it has taken too long.
-    /// Nothing where they hold no orders in common.
+    /// Replicate an order and report how many nodes hold it: once the given number of nodes do, or all, or a timeout has passed.
+    /// None if orders are not replicated.
     ReplicateOrder(ClusterOrder, Option<usize>, oneshot::Sender<Option<OrderAcks>>),
 }
 
-/// What a node gives its control socket beside the core.
+/// What the control socket needs of its node, besides the core.
 #[derive(Clone)]
 pub struct NodeContext {
-    /// What has happened there.
+    /// The events of the node.
     pub events: EventLog,
-    /// Who carries out orders on the node itself.
+    /// Receiver of orders to the node itself.
     pub commands: mpsc::Sender<NodeCommand>,
-    /// Its configuration, without secrets, for diagnosis bundles.
+    /// The configuration without secrets, for diagnosis bundles.
     pub redacted_config: Value,
-    /// Who tells what it sees of the other nodes, where they speak to one another.
+    /// The task that communicates with the other nodes, if siblings are configured.
     pub siblings: Option<Arc<mpsc::Sender<SiblingsQuery>>>,
-    /// Descriptors that it may hold.
+    /// Maximum number of file descriptors of the process.
     pub descriptor_limit: usize,
 }
 
-/// A node's control socket.
+/// The server of a node's control socket.
 pub struct Control {
     listener: UnixListener,
     inner: Arc<Inner>,
 }
 
 struct Inner {
-    folder: StateDir,
-    orders: CoreHandle,
-    host: NodeContext,
+    state_dir: StateDir,
+    core: CoreHandle,
+    node: NodeContext,
     publisher: Publisher,
-    places: Arc<Semaphore>,
+    connections: Arc<Semaphore>,
     streams: Semaphore,
-    /// Held from the look at what holds until it is written. Guards against: an older state written over a newer one.
-    recording: Mutex<()>,
+    /// Locked from reading the orders in force until they are written, so that an older state never overwrites a newer one.
+    persisting: Mutex<()>,
 }
 
 impl Control {
-    /// Listens in a folder. Orders go to that core, which must be steered.
+    /// Listens on the socket in a state directory. Orders on servers are applied by the core, which must be configured to accept
+    /// orders.
     ///
     /// # Errors
-    /// If another node listens there, or the socket can't be made.
-    pub fn listen(folder: StateDir, orders: CoreHandle, host: NodeContext) -> io::Result<Control> {
-        let listener = bind(&folder)?;
-        let (places, recording) = (Arc::new(Semaphore::new(MOST)), Mutex::default());
-        let publisher = Publisher::new(orders.clone(), host.descriptor_limit);
-        let streams = Semaphore::new(STREAMS);
-        let inner = Inner { folder, orders, host, publisher, places, streams, recording };
+    /// If another node listens there, or the socket cannot be created.
+    pub fn listen(state_dir: StateDir, core: CoreHandle, node: NodeContext) -> io::Result<Control> {
+        let listener = bind(&state_dir)?;
+        let (connections, persisting) = (Arc::new(Semaphore::new(MAX_CONNECTIONS)), Mutex::default());
+        let publisher = Publisher::new(core.clone(), node.descriptor_limit);
+        let streams = Semaphore::new(MAX_STREAMS);
+        let inner = Inner { state_dir, core, node, publisher, connections, streams, persisting };
         Ok(Control { listener, inner: Arc::new(inner) })
     }
 
-    /// Serves until it is dropped. Costs nothing while nobody asks, but for a look at the socket's place.
+    /// Serves clients until the future is dropped. While there are none, it only checks periodically that the socket exists.
     pub async fn run(mut self) {
         loop {
-            let Ok(place) = self.inner.places.clone().acquire_owned().await else { return };
+            let Ok(permit) = self.inner.connections.clone().acquire_owned().await else { return };
             let accepted = tokio::select! {
                 accepted = self.listener.accept() => accepted,
-                () = sleep(LOOK) => {
-                    self.mend();
+                () = sleep(SOCKET_CHECK_INTERVAL) => {
+                    self.restore_socket();
                     continue;
                 }
             };
@@ -137,110 +141,119 @@
                 Ok((stream, _)) => {
                     let inner = self.inner.clone();
                     tokio::spawn(async move {
-                        inner.attend(stream).await;
-                        drop(place);
+                        inner.serve(stream).await;
+                        drop(permit);
                     });
                 }
                 Err(error) => {
                     warn!("control: {error}");
-                    sleep(Duration::from_millis(100)).await; // descriptors may be free again by then
+                    sleep(Duration::from_millis(100)).await; // file descriptors may be available again by then
                 }
             }
         }
     }
 
-    /// Listens anew where somebody has cleared the folder.
-    fn mend(&mut self) {
-        if self.inner.folder.has_socket() {
+    /// Creates the socket again if the state directory has been cleared.
+    fn restore_socket(&mut self) {
+        if self.inner.state_dir.has_socket() {
             return;
         }
-        match bind(&self.inner.folder) {
+        match bind(&self.inner.state_dir) {
             Ok(listener) => {
                 self.listener = listener;
-                warn!("control: the socket had gone from the state folder; it is made anew");
+                warn!("control: the socket was missing from the state folder; it is made anew");
             }
             Err(error) => {
-                warn!("control: the socket has gone from the state folder: {error}; tried again in 5 s")
+                warn!(
+                    "control: the socket is missing from the state folder and cannot be created: {error}; next attempt in 5 s"
+                )
             }
         }
     }
 }
 
-fn bind(folder: &StateDir) -> io::Result<UnixListener> {
-    folder.remove_stale_socket()?;
-    let listener = UnixListener::bind(folder.socket())?;
-    folder.restrict_socket()?;
+fn bind(state_dir: &StateDir) -> io::Result<UnixListener> {
+    state_dir.remove_stale_socket()?;
+    let listener = UnixListener::bind(state_dir.socket())?;
+    state_dir.restrict_socket()?;
     Ok(listener)
 }
 
 type Lines = Framed<UnixStream, LinesCodec>;
 
 impl Inner {
-    async fn attend(&self, stream: UnixStream) {
-        let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(LONGEST));
-        while let Ok(Some(line)) = timeout(IDLE, lines.next()).await {
-            let answer =
-                match line.map_err(|error| wrong(format!("no line: {error}"))).and_then(|l| question(&l)) {
-                    Ok(ControlRequest::Watch { every_ms, after }) => {
-                        return self.watched(&mut lines, Duration::from_millis(every_ms), after).await;
-                    }
-                    Ok(ControlRequest::Events { after, follow: true }) => {
-                        return self.followed(&mut lines, after).await;
-                    }
-                    Ok(verb) => self.answer(verb).await,
-                    Err(answer) => answer,
-                };
-            let last = matches!(answer, Answer::Error { .. });
-            if !send(&mut lines, text(&answer), IDLE).await || last {
+    async fn serve(&self, stream: UnixStream) {
+        let mut lines = Framed::new(stream, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
+        while let Ok(Some(line)) = timeout(CLIENT_TIMEOUT, lines.next()).await {
+            let answer = match line
+                .map_err(|error| error_answer(format!("no line: {error}")))
+                .and_then(|l| parse_request(&l))
+            {
+                Ok(ControlRequest::Watch { every_ms, after }) => {
+                    return self.stream_snapshots(&mut lines, Duration::from_millis(every_ms), after).await;
+                }
+                Ok(ControlRequest::Events { after, follow: true }) => {
+                    return self.follow_events(&mut lines, after).await;
+                }
+                Ok(request) => self.answer(request).await,
+                Err(answer) => answer,
+            };
+            let is_error = matches!(answer, Answer::Error { .. });
+            if !send(&mut lines, to_line(&answer), CLIENT_TIMEOUT).await || is_error {
                 return;
             }
         }
     }
 
-    /// Sends snapshots at the reader's own pace: the next is made only when the last has been taken.
-    async fn watched(&self, lines: &mut Lines, every: Duration, mut after: u64) {
-        let Ok(_place) = self.streams.try_acquire() else {
-            let most = wrong(format!("{STREAMS} look already; close a console first"));
-            send(lines, text(&most), IDLE).await;
+    /// Sends snapshots and events at the pace of the client: the next snapshot is taken only when the client has read the last.
+    async fn stream_snapshots(&self, lines: &mut Lines, interval: Duration, mut after: u64) {
+        let Ok(_permit) = self.streams.try_acquire() else {
+            let answer = error_answer(format!(
+                "{MAX_STREAMS} consoles or followers are connected already; close one first"
+            ));
+            send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
-        let _watching = self.orders.observe();
-        let every = every.max(QUICKEST);
+        let _observing = self.core.observe();
+        let interval = interval.max(MIN_SNAPSHOT_INTERVAL);
         loop {
-            let next = Instant::now() + every;
-            let Some(snapshot) = self.publisher.line().await else { return };
-            if !send(lines, &*snapshot, STOPPED).await || !self.news(lines, &mut after).await {
+            let next = Instant::now() + interval;
+            let Some(snapshot) = self.publisher.snapshot_line().await else { return };
+            if !send(lines, &*snapshot, STREAM_TIMEOUT).await || !self.send_events(lines, &mut after).await {
                 return;
             }
             tokio::select! {
                 () = sleep_until(next) => {}
-                _ = lines.next() => return, // it has left, or asks what it can't here
+                _ = lines.next() => return, // the client has disconnected, or has sent a request, which a stream does not accept
             }
         }
     }
 
-    /// Sends the events behind one, if there are any; false if nobody takes them.
-    async fn news(&self, lines: &mut Lines, after: &mut u64) -> bool {
+    /// Sends the events after the one with the number `after`, and updates it. Returns false if the client does not read them.
+    async fn send_events(&self, lines: &mut Lines, after: &mut u64) -> bool {
         loop {
-            let batch = self.host.events.after(*after, AT_ONCE);
+            let batch = self.node.events.after(*after, EVENTS_PER_LINE);
             let Some(last) = batch.events.last().map(|event| event.number) else { return true };
             *after = last;
-            if !send(lines, text(&Answer::Events { batch }), STOPPED).await {
+            if !send(lines, to_line(&Answer::Events { batch }), STREAM_TIMEOUT).await {
                 return false;
             }
         }
     }
 
-    async fn followed(&self, lines: &mut Lines, mut after: u64) {
-        let Ok(_place) = self.streams.try_acquire() else {
-            let most = wrong(format!("{STREAMS} look already; close a console first"));
-            send(lines, text(&most), IDLE).await;
+    /// Sends events until the client disconnects or sends anything.
+    async fn follow_events(&self, lines: &mut Lines, mut after: u64) {
+        let Ok(_permit) = self.streams.try_acquire() else {
+            let answer = error_answer(format!(
+                "{MAX_STREAMS} consoles or followers are connected already; close one first"
+            ));
+            send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
-        let mut changes = self.host.events.changes();
+        let mut changes = self.node.events.changes();
         loop {
             changes.borrow_and_update();
-            if !self.news(lines, &mut after).await {
+            if !self.send_events(lines, &mut after).await {
                 return;
             }
             tokio::select! {
@@ -250,39 +263,41 @@
         }
     }
 
-    async fn answer(&self, verb: ControlRequest) -> Answer {
-        if let Some(ask) = verb.order() {
-            return match self.orders.apply_order(ask.clone()).await {
+    async fn answer(&self, request: ControlRequest) -> Answer {
+        if let Some(order) = request.server_order() {
+            return match self.core.apply_order(order.clone()).await {
                 Ok(Ok(done)) => {
-                    let held = self.in_common(ClusterOrder::Server(ask), verb.wait_for()).await;
-                    self.obeyed(verb, &done, held).await
+                    let held = self.replicate(ClusterOrder::Server(order), request.wait_for()).await;
+                    self.accepted(request, &done, held).await
                 }
-                Ok(Err(refusal)) => self.refused(verb, &refusal.to_string()).await,
-                Err(_) => ended(),
+                Ok(Err(refusal)) => self.refused(request, &refusal.to_string()).await,
+                Err(_) => ending(),
             };
         }
-        match &verb {
-            ControlRequest::Servers => match self.orders.servers().await {
-                Ok(servers) => Answer::Servers { servers: servers.into_iter().map(Server::new).collect() },
-                Err(_) => ended(),
+        match &request {
+            ControlRequest::Servers => match self.core.servers().await {
+                Ok(servers) => {
+                    Answer::Servers { servers: servers.into_iter().map(ServerReport::new).collect() }
+                }
+                Err(_) => ending(),
             },
             ControlRequest::Snapshot => match self.publisher.snapshot().await {
                 Some(snapshot) => Answer::Snapshot { snapshot: Box::new(snapshot) },
-                None => ended(),
+                None => ending(),
             },
             ControlRequest::Siblings => self.siblings().await,
             ControlRequest::Replica => self.replica().await,
             ControlRequest::Events { after, .. } => {
-                Answer::Events { batch: self.host.events.after(*after, usize::MAX) }
+                Answer::Events { batch: self.node.events.after(*after, usize::MAX) }
             }
-            ControlRequest::Reload => self.command(verb, NodeCommand::Reload).await,
+            ControlRequest::Reload => self.command(request, NodeCommand::Reload).await,
             ControlRequest::Level { level, everywhere } => {
                 let (level, everywhere) = (level.clone(), *everywhere);
                 let answer =
-                    self.command(verb, |answer| NodeCommand::SetLogLevel(level.clone(), answer)).await;
+                    self.command(request, |answer| NodeCommand::SetLogLevel(level.clone(), answer)).await;
                 match answer {
                     Answer::Done { what, unrecorded } if everywhere => {
-                        let held = self.in_common(ClusterOrder::Level(level), None).await;
+                        let held = self.replicate(ClusterOrder::Level(level), None).await;
                         let held = held.map_or("at this node alone".into(), |held| {
                             format!("at {} of {} nodes so far", held.nodes, held.of)
                         });
@@ -291,93 +306,94 @@
                     other => other,
                 }
             }
-            ControlRequest::Stop => self.command(verb, NodeCommand::Stop).await,
+            ControlRequest::Stop => self.command(request, NodeCommand::Stop).await,
             ControlRequest::Leave => {
-                self.command(verb, |answer| NodeCommand::SetInService(false, answer)).await
+                self.command(request, |answer| NodeCommand::SetInService(false, answer)).await
             }
             ControlRequest::Join => {
-                self.command(verb, |answer| NodeCommand::SetInService(true, answer)).await
+                self.command(request, |answer| NodeCommand::SetInService(true, answer)).await
             }
             ControlRequest::Diagnose => {
-                let outcome = self.bundle().await;
-                self.done(verb, outcome).await
+                let outcome = self.write_diagnosis().await;
+                self.done(request, outcome).await
             }
             ControlRequest::Orders
             | ControlRequest::Watch { .. }
             | ControlRequest::Drain { .. }
-            | ControlRequest::Undrain { .. } => self.holding().await,
+            | ControlRequest::Undrain { .. } => self.orders_in_force().await,
         }
     }
 
     async fn siblings(&self) -> Answer {
         let none = || Answer::Refused { why: "this node has no siblings; list them in [siblings]".into() };
-        let Some(told) = self.ask_siblings(SiblingsQuery::Siblings).await else { return none() };
-        told.await.map_or_else(|_| ended(), |sight| Answer::Siblings { sight: Box::new(sight) })
+        let Some(answer) = self.query_siblings(SiblingsQuery::Siblings).await else { return none() };
+        answer.await.map_or_else(|_| ending(), |sight| Answer::Siblings { sight: Box::new(sight) })
     }
 
     async fn replica(&self) -> Answer {
         let why = "this node holds nothing in common with others; name kinds in `common` of [siblings]";
         let none = || Answer::Refused { why: why.into() };
-        let Some(told) = self.ask_siblings(SiblingsQuery::Replica).await else { return none() };
-        match told.await {
+        let Some(answer) = self.query_siblings(SiblingsQuery::Replica).await else { return none() };
+        match answer.await {
             Ok(Some(copy)) => Answer::Replica { copy: Box::new(copy) },
             Ok(None) => none(),
-            Err(_) => ended(),
+            Err(_) => ending(),
         }
     }
 
-    /// Has all nodes hold an order that is obeyed here; tells how many do.
-    async fn in_common(&self, order: ClusterOrder, wait_for: Option<usize>) -> Option<OrderAcks> {
-        let told = self.ask_siblings(|answer| SiblingsQuery::ReplicateOrder(order, wait_for, answer)).await?;
-        told.await.ok().flatten()
+    /// Replicates an order that this node has carried out, and returns how many nodes hold it.
+    async fn replicate(&self, order: ClusterOrder, wait_for: Option<usize>) -> Option<OrderAcks> {
+        let answer =
+            self.query_siblings(|answer| SiblingsQuery::ReplicateOrder(order, wait_for, answer)).await?;
+        answer.await.ok().flatten()
     }
 
-    /// Asks whoever speaks to the other nodes; nothing if nobody does.
-    async fn ask_siblings<T>(
+    /// Sends a query to the task that communicates with the other nodes; none if there is no such task.
+    async fn query_siblings<T>(
         &self,
-        ask: impl FnOnce(oneshot::Sender<T>) -> SiblingsQuery,
+        query: impl FnOnce(oneshot::Sender<T>) -> SiblingsQuery,
     ) -> Option<oneshot::Receiver<T>> {
-        let to = self.host.siblings.as_ref()?;
-        let (answer, told) = oneshot::channel();
-        to.send(ask(answer)).await.ok()?;
-        Some(told)
+        let queries = self.node.siblings.as_ref()?;
+        let (sender, answer) = oneshot::channel();
+        queries.send(query(sender)).await.ok()?;
+        Some(answer)
     }
 
-    /// Has the node carry out an order on itself.
+    /// Has the node carry out an order to itself.
     async fn command(
         &self,
-        verb: ControlRequest,
+        request: ControlRequest,
         command: impl FnOnce(oneshot::Sender<CommandResult>) -> NodeCommand,
     ) -> Answer {
-        let (answer, told) = oneshot::channel();
-        if self.host.commands.send(command(answer)).await.is_err() {
-            return ended();
+        let (sender, outcome) = oneshot::channel();
+        if self.node.commands.send(command(sender)).await.is_err() {
+            return ending();
         }
-        match told.await {
-            Ok(outcome) => self.done(verb, outcome).await,
-            Err(_) => ended(),
+        match outcome.await {
+            Ok(outcome) => self.done(request, outcome).await,
+            Err(_) => ending(),
         }
     }
 
-    async fn done(&self, verb: ControlRequest, outcome: CommandResult) -> Answer {
+    async fn done(&self, request: ControlRequest, outcome: CommandResult) -> Answer {
         match outcome {
             Ok(what) => {
-                let unrecorded = self.record(verb, what.clone(), None).await.err();
+                let unrecorded = self.record(request, what.clone(), None).await.err();
                 Answer::Done { what, unrecorded: unrecorded.map(|error| error.to_string()) }
             }
-            Err(why) => self.refused(verb, &why).await,
+            Err(why) => self.refused(request, &why).await,
         }
     }
 
-    /// Writes a diagnosis bundle: configuration without secrets, figures, orders, the last events.
-    async fn bundle(&self) -> CommandResult {
-        let ending = || "the node is ending".to_owned();
-        let snapshot = self.publisher.snapshot().await.ok_or_else(ending)?;
-        let orders = self.holding().await;
-        let events = self.host.events.after(0, usize::MAX);
-        let contents = json!({ "configuration": self.host.redacted_config, "snapshot": snapshot, "orders": orders, "events": events });
-        let folder = self.folder.clone();
-        let written = spawn_blocking(move || folder.write_diagnosis(&contents))
+    /// Writes a diagnosis bundle: the configuration without secrets, a snapshot, the orders, and the latest events.
+    async fn write_diagnosis(&self) -> CommandResult {
+        let is_ending = || "the node is ending".to_owned();
+        let snapshot = self.publisher.snapshot().await.ok_or_else(is_ending)?;
+        let orders = self.orders_in_force().await;
+        let events = self.node.events.after(0, usize::MAX);
+        let contents = json!({ "configuration": self.node.redacted_config, "snapshot": snapshot, "orders": orders, "events": events });
+        let state_dir = self.state_dir.clone();
+        let written = spawn_blocking(move || state_dir.write_diagnosis(&contents))
             .await
             .map_err(|error| error.to_string())?;
         match written {
@@ -386,80 +402,89 @@
         }
     }
 
-    async fn obeyed(&self, verb: ControlRequest, done: &Done, held: Option<OrderAcks>) -> Answer {
-        let _turn = self.recording.lock().await;
-        let Ok(holding) = self.orders.orders_in_force().await else { return ended() };
-        let replaced = done.replaced.map(|held| ActiveOrder::new(server(&verb), held, holding.now));
-        let by = held.map_or(String::new(), |held| format!(", held by {} of {} nodes", held.nodes, held.of));
-        let outcome = format!("obeyed as order {}{by}", done.number);
-        let unrecorded = self.record(verb, outcome, Some(holding.kept)).await.err();
+    async fn accepted(&self, request: ControlRequest, done: &Done, held: Option<OrderAcks>) -> Answer {
+        let _guard = self.persisting.lock().await;
+        let Ok(in_force) = self.core.orders_in_force().await else { return ending() };
+        let replaced = done.replaced.map(|held| ActiveOrder::new(server_name(&request), held, in_force.now));
+        let held_by =
+            held.map_or(String::new(), |held| format!(", held by {} of {} nodes", held.nodes, held.of));
+        let outcome = format!("obeyed as order {}{held_by}", done.number);
+        let unrecorded = self.record(request, outcome, Some(in_force.kept)).await.err();
         let unrecorded = unrecorded.map(|error| error.to_string());
         Answer::Accepted { number: done.number, replaced, unrecorded, held }
     }
 
-    async fn refused(&self, verb: ControlRequest, why: &str) -> Answer {
-        if let Err(error) = self.record(verb, format!("refused: {why}"), None).await {
+    async fn refused(&self, request: ControlRequest, why: &str) -> Answer {
+        if let Err(error) = self.record(request, format!("refused: {why}"), None).await {
             warn!("control: a refused order is not recorded: {error}");
         }
         Answer::Refused { why: why.to_owned() }
     }
 
-    async fn holding(&self) -> Answer {
-        let Ok(OrdersInForce { orders, now, .. }) = self.orders.orders_in_force().await else {
-            return ended();
+    async fn orders_in_force(&self) -> Answer {
+        let Ok(OrdersInForce { orders, now, .. }) = self.core.orders_in_force().await else {
+            return ending();
         };
         let orders = orders.iter().map(|(server, held)| ActiveOrder::new(server, *held, now)).collect();
         Answer::Orders { orders }
     }
 
-    /// Records an order, and keeps those that last. A disk that is full or slow holds up nobody else.
-    async fn record(&self, verb: ControlRequest, outcome: String, kept: Option<Vec<Kept>>) -> io::Result<()> {
-        let asked = serde_json::to_string(&verb).unwrap_or_default();
-        info!(order = asked, "{outcome}");
-        let folder = self.folder.clone();
+    /// Logs an order, appends it to the audit log, and persists `kept` if given. Runs on a blocking thread, so that a full or slow
+    /// disk does not delay others.
+    async fn record(
+        &self,
+        request: ControlRequest,
+        outcome: String,
+        kept: Option<Vec<Kept>>,
+    ) -> io::Result<()> {
+        let request_json = serde_json::to_string(&request).unwrap_or_default();
+        info!(order = request_json, "{outcome}");
+        let state_dir = self.state_dir.clone();
         let write = move || {
-            let kept = kept.map_or(Ok(()), |kept| folder.save_orders(kept));
-            folder.append_audit(&verb, &outcome).and(kept)
+            let kept = kept.map_or(Ok(()), |kept| state_dir.save_orders(kept));
+            state_dir.append_audit(&request, &outcome).and(kept)
         };
         spawn_blocking(write).await.map_err(io::Error::other)?
     }
 }
 
-/// Sends a line; false if nobody takes it in time.
-async fn send(lines: &mut Lines, text: impl AsRef<str> + Send, within: Duration) -> bool {
-    matches!(timeout(within, lines.send(text)).await, Ok(Ok(())))
+/// Sends a line. Returns false if the client does not read it within `limit`.
+async fn send(lines: &mut Lines, line: impl AsRef<str> + Send, limit: Duration) -> bool {
+    matches!(timeout(limit, lines.send(line)).await, Ok(Ok(())))
 }
 
-fn text(answer: &Answer) -> String {
+fn to_line(answer: &Answer) -> String {
     serde_json::to_string(answer).unwrap_or_default()
 }
 
-/// Reads a question, or tells what is wrong with it.
-fn question(line: &str) -> Result<ControlRequest, Answer> {
-    let version = serde_json::from_str::<Value>(line).ok().and_then(|asked| asked["v"].as_u64());
+/// Parses a request. The error is the answer to a request that cannot be parsed.
+fn parse_request(line: &str) -> Result<ControlRequest, Answer> {
+    let version = serde_json::from_str::<Value>(line).ok().and_then(|value| value["v"].as_u64());
     match version {
         Some(v) if (1..=u64::from(VERSION)).contains(&v) => {}
         Some(v) => {
-            return Err(wrong(format!("this node speaks version {VERSION}, not {v}; use its own program")));
+            return Err(error_answer(format!(
+                "this node speaks version {VERSION}, not {v}; use its own program"
+            )));
         }
-        None => return Err(wrong("no question; write a line of JSON with \"v\" and \"ask\"".into())),
+        None => return Err(error_answer("no request; write a line of JSON with \"v\" and \"ask\"".into())),
     }
     serde_json::from_str::<RequestEnvelope>(line)
-        .map(|question| question.verb)
-        .map_err(|error| wrong(format!("no question: {error}")))
+        .map(|envelope| envelope.request)
+        .map_err(|error| error_answer(format!("invalid request: {error}")))
 }
 
-fn server(verb: &ControlRequest) -> &str {
-    match verb {
+fn server_name(request: &ControlRequest) -> &str {
+    match request {
         ControlRequest::Drain { server, .. } | ControlRequest::Undrain { server, .. } => server,
         _ => "",
     }
 }
 
-fn wrong(what: String) -> Answer {
+fn error_answer(what: String) -> Answer {
     Answer::Error { v: VERSION, what }
 }
 
-fn ended() -> Answer {
-    wrong("the node is ending".into())
+fn ending() -> Answer {
+    error_answer("the node is ending".into())
 }
