--- a/crates/codec/src/siblings.rs
+++ b/crates/codec/src/siblings.rs
@@ -4,11 +4,11 @@
 //! A datagram is in the [`envelope`](crate::envelope), with the epoch as its state digest, and has these parts:
 //!
 //! ```text
-//! row (kind 1): origin u16 | incarnation u48 | beat u32 | watches u4, flags u4 | expired u4, direct u4 | heard...
-//! heard: low bits of the incarnation u32 | low bits of the beat u16
-//! wants (kind 2): node u16...
+//! row (kind 1): origin u16 | incarnation u48 | heartbeat u32 | watches u4, flags u4 | expired u4, direct u4 | heard...
+//! heard: low bits of the incarnation u32 | low bits of the heartbeat u16
+//! requested nodes (kind 2): node u16...
 //! digests (kind 4): u16, 32 times
-//! briefs (kind 3): (origin u16 | incarnation u48 | beat u32 | flags u8)...
+//! brief rows (kind 3): (origin u16 | incarnation u48 | heartbeat u32 | flags u8)...
 //! ```
 //!
 //! For compatibility, later builds add data only as new kinds of part or at the end of a row. Decoders skip parts of unknown
@@ -25,8 +25,8 @@
 pub const MAX_WATCHERS: usize = 4;
 // Kinds of part.
 const ROW: u8 = 1;
-const WANTS: u8 = 2;
-const BRIEFS: u8 = 3;
+const REQUESTED_NODES: u8 = 2;
+const BRIEF_ROWS: u8 = 3;
 const DIGESTS: u8 = 4;
 /// Number of buckets into which the nodes are divided by their index in the list; each bucket has a digest.
 pub const DIGEST_BUCKETS: usize = 32;
@@ -44,10 +44,10 @@
 /// The newest heartbeat that a node has received from a node that it monitors.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Heard {
-    /// The low bits of that node's incarnation. If this and `beat` are both 0, no heartbeat has been received.
+    /// The low bits of that node's incarnation. If this and `heartbeat` are both 0, no heartbeat has been received.
     pub incarnation: u32,
     /// The low bits of its newest heartbeat.
-    pub beat: u16,
+    pub heartbeat: u16,
     /// Whether datagrams arrive from it directly, not only through other nodes.
     pub direct: bool,
     /// Whether its lease has expired at this watcher, which therefore no longer confirms this incarnation.
@@ -85,7 +85,7 @@
 }
 
 /// One node's state: its heartbeat, and those that it has received from the nodes that it watches. Of two rows of a node,
-/// the one with the higher incarnation is newer, then the one with the higher beat.
+/// the one with the higher incarnation is newer, then the one with the higher heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Row {
     /// Index of the node in the list of nodes.
@@ -93,7 +93,7 @@
     /// Incremented with each start of the node and whenever the others considered it gone. 48 bits.
     pub incarnation: u64,
     /// Heartbeat counter, incremented with each row.
-    pub beat: u32,
+    pub heartbeat: u32,
     /// The state that the node reports of itself.
     pub flags: NodeFlags,
     /// Number of nodes that it watches.
@@ -105,7 +105,7 @@
 impl Row {
     /// Orders the rows of one node from older to newer.
     pub fn version(&self) -> (u64, u32) {
-        (self.incarnation, self.beat)
+        (self.incarnation, self.heartbeat)
     }
 
     /// Whether nothing in the row is urgent: no lease has expired and it does not ask to be forwarded.
@@ -125,14 +125,14 @@
         out.put_u8((ROW_HEADER_BYTES + HEARD_BYTES * watches) as u8);
         out.put_u16(self.origin);
         out.put_uint(self.incarnation, 6);
-        out.put_u32(self.beat);
+        out.put_u32(self.heartbeat);
         out.put_u8(self.flags.bits() | (watches as u8) << 4);
         out.put_u8(
             bits(self.heard.map(|heard| heard.direct)) | bits(self.heard.map(|heard| heard.expired)) << 4,
         );
         for heard in &self.heard[..watches] {
             out.put_u32(heard.incarnation);
-            out.put_u16(heard.beat);
+            out.put_u16(heard.heartbeat);
         }
     }
 
@@ -140,15 +140,16 @@
         if body.len() < ROW_HEADER_BYTES {
             return None;
         }
-        let (origin, incarnation, beat) = (body.get_u16(), body.get_uint(6), body.get_u32());
+        let (origin, incarnation, heartbeat) = (body.get_u16(), body.get_uint(6), body.get_u32());
         let (flags, receipt_bits) = (body.get_u8(), body.get_u8());
-        let mut row = Row { origin, incarnation, beat, flags: NodeFlags::from_bits(flags), ..Row::default() };
+        let mut row =
+            Row { origin, incarnation, heartbeat, flags: NodeFlags::from_bits(flags), ..Row::default() };
         let watches = usize::from(flags >> 4).min(MAX_WATCHERS).min(body.len() / HEARD_BYTES);
         row.watches = watches as u8;
         for (index, heard) in row.heard[..watches].iter_mut().enumerate() {
             *heard = Heard {
                 incarnation: body.get_u32(),
-                beat: body.get_u16(),
+                heartbeat: body.get_u16(),
                 direct: bit(receipt_bits, index),
                 expired: bit(receipt_bits, index + 4),
             };
@@ -175,9 +176,9 @@
     /// The sender's own row, then rows that it forwards.
     pub rows: Vec<Row>,
     /// Rows without their lists of received heartbeats.
-    pub briefs: Vec<Row>,
+    pub brief_rows: Vec<Row>,
     /// Indexes of nodes whose rows the sender lacks and requests.
-    pub wants: Vec<u16>,
+    pub requested_nodes: Vec<u16>,
     /// Digests of the sender's view by bucket. Where they differ, the views differ on some node of that bucket.
     pub digests: Option<[u16; DIGEST_BUCKETS]>,
 }
@@ -191,21 +192,21 @@
         HEADER_BYTES
             + rows
             + part_length(digests)
-            + part_length(2 * self.wants.len().min(MAX_REQUESTED_ROWS))
-            + part_length(BRIEF_BYTES * self.briefs.len())
+            + part_length(2 * self.requested_nodes.len().min(MAX_REQUESTED_ROWS))
+            + part_length(BRIEF_BYTES * self.brief_rows.len())
     }
 
     /// Adds a row, in brief or in full, unless the datagram would become longer than `max_bytes`. Returns whether it was
     /// added.
     pub fn add(&mut self, row: Row, brief: bool, max_bytes: usize) -> bool {
-        let length = match (brief, self.briefs.is_empty()) {
+        let length = match (brief, self.brief_rows.is_empty()) {
             (false, _) => row.length(),
             (true, false) => BRIEF_BYTES,
             (true, true) => PART_HEADER_BYTES + BRIEF_BYTES,
         };
         let fits = self.length() + length <= max_bytes.min(MAX_DATAGRAM_BYTES);
         if fits {
-            let list = if brief { &mut self.briefs } else { &mut self.rows };
+            let list = if brief { &mut self.brief_rows } else { &mut self.rows };
             list.push(row);
         }
         fits
@@ -213,18 +214,18 @@
 
     /// Whether it contains a row of this node.
     pub fn has_row_of(&self, origin: u16) -> bool {
-        self.rows.iter().chain(&self.briefs).any(|row| row.origin == origin)
+        self.rows.iter().chain(&self.brief_rows).any(|row| row.origin == origin)
     }
 }
 
 /// Encodes a datagram. Rows that do not fit are omitted, so that it is never longer than [`MAX_DATAGRAM_BYTES`].
 pub fn encode(site: u32, message: &Message) -> Vec<u8> {
     let mut out = begin(MAGIC, site, Header { flags: 0, state_digest: message.epoch });
-    let wants = &message.wants[..message.wants.len().min(MAX_REQUESTED_ROWS)];
-    if !wants.is_empty() {
-        out.put_u8(WANTS);
-        out.put_u8(2 * wants.len() as u8);
-        wants.iter().for_each(|&node| out.put_u16(node));
+    let requested_nodes = &message.requested_nodes[..message.requested_nodes.len().min(MAX_REQUESTED_ROWS)];
+    if !requested_nodes.is_empty() {
+        out.put_u8(REQUESTED_NODES);
+        out.put_u8(2 * requested_nodes.len() as u8);
+        requested_nodes.iter().for_each(|&node| out.put_u16(node));
     }
     if let Some(digests) = &message.digests {
         out.put_u8(DIGESTS);
@@ -237,14 +238,14 @@
         }
     }
     let max_briefs = MAX_DATAGRAM_BYTES.saturating_sub(out.len() + PART_HEADER_BYTES) / BRIEF_BYTES;
-    let briefs = &message.briefs[..message.briefs.len().min(max_briefs)];
-    if !briefs.is_empty() {
-        out.put_u8(BRIEFS);
-        out.put_u8((BRIEF_BYTES * briefs.len()) as u8);
-        for brief in briefs {
+    let brief_rows = &message.brief_rows[..message.brief_rows.len().min(max_briefs)];
+    if !brief_rows.is_empty() {
+        out.put_u8(BRIEF_ROWS);
+        out.put_u8((BRIEF_BYTES * brief_rows.len()) as u8);
+        for brief in brief_rows {
             out.put_u16(brief.origin);
             out.put_uint(brief.incarnation, 6);
-            out.put_u32(brief.beat);
+            out.put_u32(brief.heartbeat);
             out.put_u8(brief.flags.bits());
         }
     }
@@ -263,19 +264,19 @@
         let (kind, mut body) = part?;
         match kind {
             ROW => message.rows.push(Row::read(body).ok_or(DecodeError::Malformed)?),
-            WANTS => {
-                while body.len() >= 2 && message.wants.len() < MAX_REQUESTED_ROWS {
-                    message.wants.push(body.get_u16());
+            REQUESTED_NODES => {
+                while body.len() >= 2 && message.requested_nodes.len() < MAX_REQUESTED_ROWS {
+                    message.requested_nodes.push(body.get_u16());
                 }
             }
             DIGESTS if body.len() >= 2 * DIGEST_BUCKETS => {
                 message.digests = Some(std::array::from_fn(|_| body.get_u16()));
             }
-            BRIEFS => {
+            BRIEF_ROWS => {
                 while body.len() >= BRIEF_BYTES {
-                    let (origin, incarnation, beat) = (body.get_u16(), body.get_uint(6), body.get_u32());
+                    let (origin, incarnation, heartbeat) = (body.get_u16(), body.get_uint(6), body.get_u32());
                     let flags = NodeFlags::from_bits(body.get_u8());
-                    message.briefs.push(Row { origin, incarnation, beat, flags, ..Row::default() });
+                    message.brief_rows.push(Row { origin, incarnation, heartbeat, flags, ..Row::default() });
                 }
             }
             _ => {}
@@ -293,14 +294,14 @@
         let mut row = Row {
             origin: rng.u16(..),
             incarnation: rng.u64(..1 << INCARNATION_BITS),
-            beat: rng.u32(..),
+            heartbeat: rng.u32(..),
             watches,
             ..Row::default()
         };
         row.flags = NodeFlags::from_bits(rng.u8(..));
         for heard in &mut row.heard[..usize::from(watches)] {
-            let (incarnation, beat) = (rng.u32(..), rng.u16(..));
-            *heard = Heard { incarnation, beat, direct: rng.u8(..9) > 0, expired: rng.u8(..9) == 0 };
+            let (incarnation, heartbeat) = (rng.u32(..), rng.u16(..));
+            *heard = Heard { incarnation, heartbeat, direct: rng.u8(..9) > 0, expired: rng.u8(..9) == 0 };
         }
         row
     }
@@ -311,21 +312,23 @@
         for _ in 0..3_000 {
             let rows: Vec<Row> = (0..rng.usize(1..=9)).map(|_| random_row(&mut rng)).collect();
             let epoch = rng.u32(..);
-            let wants: Vec<u16> = (0..rng.usize(0..=MAX_REQUESTED_ROWS)).map(|_| rng.u16(..)).collect();
+            let requested_nodes: Vec<u16> =
+                (0..rng.usize(0..=MAX_REQUESTED_ROWS)).map(|_| rng.u16(..)).collect();
             let digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
-            let mut message = Message { epoch, rows: vec![rows[0]], wants, digests, ..Message::default() };
+            let mut message =
+                Message { epoch, rows: vec![rows[0]], requested_nodes, digests, ..Message::default() };
             rows[1..].iter().for_each(|row| _ = message.add(*row, row.is_routine(), MAX_DATAGRAM_BYTES));
             let datagram = encode(7, &message);
             assert_eq!(datagram.len(), message.length());
             let decoded = decode(7, &datagram).unwrap();
             assert_eq!(
-                (decoded.epoch, &decoded.rows, &decoded.wants),
-                (epoch, &message.rows, &message.wants)
+                (decoded.epoch, &decoded.rows, &decoded.requested_nodes),
+                (epoch, &message.rows, &message.requested_nodes)
             );
             assert_eq!(decoded.digests, digests);
             let brief = |row: &Row| (row.version(), row.origin, row.flags);
-            assert!(decoded.briefs.iter().map(brief).eq(message.briefs.iter().map(brief)));
-            let all = Message { epoch, rows: rows.clone(), briefs: rows, ..Message::default() };
+            assert!(decoded.brief_rows.iter().map(brief).eq(message.brief_rows.iter().map(brief)));
+            let all = Message { epoch, rows: rows.clone(), brief_rows: rows, ..Message::default() };
             assert!(encode(7, &all).len() <= MAX_DATAGRAM_BYTES);
             assert_eq!(decode(8, &datagram), Err(DecodeError::WrongSite));
             let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
@@ -341,14 +344,16 @@
             finish(&mut datagram);
             datagram
         });
-        let datagram =
-            encode(7, &Message { epoch: 3, rows: vec![known], wants: vec![5], ..Message::default() });
+        let datagram = encode(
+            7,
+            &Message { epoch: 3, rows: vec![known], requested_nodes: vec![5], ..Message::default() },
+        );
         let mut newer = datagram.clone();
         newer[2] = 9; // a later version
         newer.extend_from_slice(&[200, 5, 1, 2, 3, 4, 5]); // a part of an unknown kind
         assert_eq!(
             decode(7, &finished(newer)),
-            Ok(Message { epoch: 3, rows: vec![known], wants: vec![5], ..Message::default() })
+            Ok(Message { epoch: 3, rows: vec![known], requested_nodes: vec![5], ..Message::default() })
         );
         let mut longer = datagram.clone();
         longer[HEADER_BYTES + 5] += 7; // a row with extra bytes at its end
--- a/crates/siblings/src/lib.rs
+++ b/crates/siblings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Membership among the nodes of a site: who is here, who is gone, who is not known, and whose part is whose.
 //!
 //! Each node is watched by four others and confirmed by them. It may use its part of what all share for a lease's time
-//! from when it sent a beat that enough of them have heard; when enough of them have heard nothing new of it, by any way
+//! from when it sent a heartbeat that enough of them have heard; when enough of them have heard nothing new of it, by any way
 //! round, for longer than that by the slowest clock, it is gone. Any that confirm and any that end have one in common, and
 //! who has ended an incarnation never confirms it again: so nobody is held to be gone who still uses its part.
 //! `docs/design/siblings.md` has the reasons and the bounds.
--- a/crates/siblings/src/parameters.rs
+++ b/crates/siblings/src/parameters.rs
@@ -7,7 +7,7 @@
 pub struct Terms {
     /// A node speaks to each that it watches once in so long.
     pub period: Micros,
-    /// A node may use its part for so long, by its own clock, after it sent a beat that was confirmed.
+    /// A node may use its part for so long, by its own clock, after it sent a heartbeat that was confirmed.
     pub lease: Micros,
     /// By how much a clock may be too quick or too slow, in thousandths.
     pub drift: u64,
--- a/crates/siblings/src/peer_monitor.rs
+++ b/crates/siblings/src/peer_monitor.rs
@@ -8,9 +8,9 @@
 /// A node that is watched.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Watch {
-    /// Its newest incarnation and beat, as far as its lease goes.
+    /// Its newest incarnation and heartbeat, as far as its lease goes.
     incarnation: u64,
-    beat: u32,
+    heartbeat: u32,
     /// When word of it came that was new; its lease runs from there.
     fresh: Option<Micros>,
     /// When a datagram of its own came.
@@ -21,13 +21,13 @@
 
 impl Watch {
     /// Word of it that is newer than all before. Tells whether it is a new incarnation.
-    pub fn heard(&mut self, now: Micros, incarnation: u64, beat: u32) -> bool {
+    pub fn heard(&mut self, now: Micros, incarnation: u64, heartbeat: u32) -> bool {
         let begins = incarnation > self.incarnation;
         if begins {
             self.expired = false;
         }
         if !self.expired {
-            (self.incarnation, self.beat, self.fresh) = (incarnation, beat, Some(now));
+            (self.incarnation, self.heartbeat, self.fresh) = (incarnation, heartbeat, Some(now));
         }
         begins
     }
@@ -83,7 +83,7 @@
     pub fn told(&self, now: Micros, terms: &Terms) -> Heard {
         Heard {
             incarnation: self.incarnation as u32,
-            beat: self.beat as u16,
+            heartbeat: self.heartbeat as u16,
             direct: self.is_direct(now, terms),
             expired: self.expired,
         }
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -31,7 +31,7 @@
     /// The low bits of all its incarnations, by which two processes of one name can be told apart.
     nonce: u8,
     began: Micros,
-    beat: u32,
+    heartbeat: u32,
     sent: Vec<Micros>,
     witnesses: [Witness; MAX_WATCHERS],
     /// Since when it has been confirmed without a gap.
@@ -51,7 +51,7 @@
             incarnation: (wall / 10_000).max(1) << 8 | u64::from(nonce),
             nonce,
             began: now,
-            beat: 0,
+            heartbeat: 0,
             sent: vec![0; REMEMBERED],
             witnesses: Default::default(),
             confirmed_since: None,
@@ -68,27 +68,27 @@
         self.incarnation
     }
 
-    /// Its newest beat.
-    pub fn beat(&self) -> u32 {
-        self.beat
+    /// Its newest heartbeat.
+    pub fn heartbeat(&self) -> u32 {
+        self.heartbeat
     }
 
-    /// The next beat is sent now.
+    /// The next heartbeat is sent now.
     pub fn beats(&mut self, now: Micros) {
-        self.beat += 1;
-        self.sent[self.beat as usize % REMEMBERED] = now;
+        self.heartbeat += 1;
+        self.sent[self.heartbeat as usize % REMEMBERED] = now;
     }
 
     /// A watcher's word of this node.
     pub fn heard_by(&mut self, watcher: usize, heard: Heard) {
-        if heard.incarnation != self.incarnation as u32 || (heard.incarnation, heard.beat) == (0, 0) {
+        if heard.incarnation != self.incarnation as u32 || (heard.incarnation, heard.heartbeat) == (0, 0) {
             return; // of an incarnation before, or nothing
         }
-        let behind = (self.beat as u16).wrapping_sub(heard.beat);
+        let behind = (self.heartbeat as u16).wrapping_sub(heard.heartbeat);
         let witness = &mut self.witnesses[watcher];
         witness.denies = heard.expired;
-        if usize::from(behind) < REMEMBERED.min(self.beat as usize) && !heard.expired {
-            let sent = self.sent[(self.beat - u32::from(behind)) as usize % REMEMBERED];
+        if usize::from(behind) < REMEMBERED.min(self.heartbeat as usize) && !heard.expired {
+            let sent = self.sent[(self.heartbeat - u32::from(behind)) as usize % REMEMBERED];
             witness.acked = witness.acked.max(Some(sent));
         }
     }
@@ -126,7 +126,7 @@
         self.holds_until(&self.witnesses[watcher])
     }
 
-    /// When the newest beat was sent that a watcher has heard, whether or not its word counts.
+    /// When the newest heartbeat was sent that a watcher has heard, whether or not its word counts.
     pub fn acked(&self, watcher: usize) -> Option<Micros> {
         self.witnesses[watcher].acked
     }
@@ -211,11 +211,11 @@
 
     const MS: Micros = 1_000;
 
-    /// Says a beat, and has this watcher confirm it.
+    /// Says a heartbeat, and has this watcher confirm it.
     fn confirmed(own: &mut Own, watcher: usize, now: Micros) {
         own.beats(now);
-        let (incarnation, beat) = (own.incarnation() as u32, own.beat() as u16);
-        own.heard_by(watcher, Heard { incarnation, beat, direct: true, expired: false });
+        let (incarnation, heartbeat) = (own.incarnation() as u32, own.heartbeat() as u16);
+        own.heard_by(watcher, Heard { incarnation, heartbeat, direct: true, expired: false });
     }
 
     /// It may have held this incarnation to be gone in its life before, and has forgotten that.
@@ -244,7 +244,7 @@
         let before = own.incarnation() as u32;
         own.beats(10 * MS);
         own.begin(20 * MS, 0);
-        let said = |incarnation, beat| Heard { incarnation, beat, direct: true, expired: false };
+        let said = |incarnation, heartbeat| Heard { incarnation, heartbeat, direct: true, expired: false };
         own.heard_by(0, said(before, 1));
         own.heard_by(0, said(own.incarnation() as u32, 9));
         assert_eq!(own.confirmed_until(), 0);
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -275,14 +275,14 @@
         let behind = self.view.get(from).is_some_and(|known| {
             let same = known.row.incarnation == first.incarnation;
             known.row.incarnation > first.incarnation
-                || same && known.row.beat > first.beat.saturating_add(LATE_BEATS)
+                || same && known.row.heartbeat > first.heartbeat.saturating_add(LATE_BEATS)
         });
         let mut cries = false;
         for (n, row) in said.rows.iter().enumerate() {
             cries |= self.take(now, *row, false, from, n == 0);
         }
         // Of those beside it a node hears more, and a brief would hide that.
-        for row in &said.briefs {
+        for row in &said.brief_rows {
             if !self.watched.contains(&usize::from(row.origin)) {
                 self.take(now, *row, true, from, false);
             }
@@ -305,7 +305,7 @@
                 }
             }
         }
-        self.answer_wants(now, from, &said.wants, &mut out);
+        self.answer_wants(now, from, &said.requested_nodes, &mut out);
         self.answer_digests(now, from, said.digests, &mut out);
         let lacks = !first.flags.confirmed || first.flags.needs_relay;
         // Guards against: two that both lack word and answer one another's answers without end.
@@ -465,7 +465,7 @@
     }
 
     /// Until when a piece of the part of a node beside it is its own, if it is: enough watchers hold that one to be
-    /// gone, this node among them, and the others did so after a beat of ours that is younger than a lease.
+    /// gone, this node among them, and the others did so after a heartbeat of ours that is younger than a lease.
     fn taken_until(&self, at: usize) -> Option<Micros> {
         let (node, watch) = (self.watched[at], &self.watches[at]);
         let known = self.view.get(node)?;
@@ -669,7 +669,7 @@
             return false;
         }
         if let Some(at) = self.watched.iter().position(|&watched| watched == node) {
-            if self.watches[at].heard(now, row.incarnation, row.beat) {
+            if self.watches[at].heard(now, row.incarnation, row.heartbeat) {
                 self.own.met(at, now);
             }
             if direct {
@@ -714,7 +714,7 @@
 
     /// Word of this node itself that it has not given: of a life before, or of another process under its name.
     fn rival(&mut self, now: Micros, row: Row) {
-        let ahead = row.version() > (self.own.incarnation(), self.own.beat());
+        let ahead = row.version() > (self.own.incarnation(), self.own.heartbeat());
         if !ahead {
             return;
         }
@@ -779,13 +779,13 @@
         };
     }
 
-    /// Its own row, with the next beat, as the newest of its own.
+    /// Its own row, with the next heartbeat, as the newest of its own.
     fn own_row(&mut self, now: Micros) {
         self.own.beats(now);
         let mut row = Row {
             origin: self.setup.me as u16,
             incarnation: self.own.incarnation(),
-            beat: self.own.beat(),
+            heartbeat: self.own.heartbeat(),
             flags: NodeFlags {
                 confirmed: self.is_confirmed(now),
                 leaving: self.leaving,
@@ -863,7 +863,7 @@
             said.rows.extend(row(&self.view, to)); // so that it learns of the life before, or of its double
         }
         if beside.is_none() {
-            said.wants = self.wants();
+            said.requested_nodes = self.wants();
             let lately = now < self.disagreed + 2 * self.setup.terms.period;
             said.digests = lately.then(|| self.view.digests());
         }
--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Known {
     pub row: Row,
-    /// Of which beat the row is that told what it has heard; none did if there is none.
+    /// Of which heartbeat the row is that told what it has heard; none did if there is none.
     pub told: Option<u32>,
     /// When its newest row came, and by whom.
     pub at: Micros,
@@ -153,13 +153,13 @@
             return Taken::Old; // no node of the list
         }
         let before = self.share(node);
-        let (told, pace) = ((!brief).then_some(row.beat), self.pace);
+        let (told, pace) = ((!brief).then_some(row.heartbeat), self.pace);
         let taken = match &mut self.known[node] {
             Some(known) if row.incarnation < known.row.incarnation => return Taken::Old,
             Some(known) => {
                 let (was, begins) = (known.row, row.incarnation > known.row.incarnation);
                 let newer = row.version() > was.version();
-                let tells = !brief && (begins || known.told.is_none_or(|told| row.beat > told));
+                let tells = !brief && (begins || known.told.is_none_or(|told| row.heartbeat > told));
                 if !newer && !tells {
                     return if row.version() == was.version() { Taken::Same } else { Taken::Old };
                 }
--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -345,7 +345,7 @@
             let number = |rng: &mut fastrand::Rng| [0, 1, u32::MAX, rng.u32(..)][rng.usize(..4)];
             let mut row = Row { origin: rng.u16(..50), watches: rng.u8(..5), ..Row::default() };
             row.incarnation = [0, 1, u64::from(number(&mut rng)) << 14, (1 << 48) - 1][rng.usize(..4)];
-            row.beat = number(&mut rng);
+            row.heartbeat = number(&mut rng);
             row.flags = NodeFlags {
                 confirmed: rng.bool(),
                 leaving: rng.bool(),
@@ -354,7 +354,7 @@
             };
             row.heard = row.heard.map(|_| Heard {
                 incarnation: number(&mut rng),
-                beat: rng.u16(..),
+                heartbeat: rng.u16(..),
                 direct: rng.bool(),
                 expired: rng.bool(),
             });
@@ -362,7 +362,7 @@
             let first = Row { origin: from as u16, ..row };
             let mut said = Message { epoch: number(&mut rng), rows: vec![first], ..Message::default() };
             said.add(Row { origin: rng.u16(..50), ..row }, rng.bool(), 256);
-            said.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
+            said.requested_nodes = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
             said.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
             now += rng.u64(..2 * MS);
             sent += node.heard(now, 0, from, &encode(7, &said)).len();
@@ -385,13 +385,13 @@
     world.run(10 * S);
     world.changes.clear();
     let ring = lilacquay_siblings::Ring::new(5);
-    for beat in 1..=120 {
+    for heartbeat in 1..=120 {
         world.run(500 * MS);
         let of = |node: usize| world.siblings(node).incarnation() as u32;
-        let mut row = Row { origin: 4, incarnation: 1 << 47, beat, watches: 4, ..Row::default() };
+        let mut row = Row { origin: 4, incarnation: 1 << 47, heartbeat, watches: 4, ..Row::default() };
         row.flags.confirmed = true;
         for (heard, node) in row.heard.iter_mut().zip(ring.of(4)) {
-            *heard = Heard { incarnation: of(node), beat: 1, direct: true, expired: true };
+            *heard = Heard { incarnation: of(node), heartbeat: 1, direct: true, expired: true };
         }
         let datagram = encode(7, &Message { rows: vec![row], ..Message::default() });
         for node in 0..4 {
