--- a/crates/codec/src/envelope.rs
+++ b/crates/codec/src/envelope.rs
@@ -5,7 +5,7 @@
 //! part: kind u8 | length u8 | body
 //! ```
 //!
-//! The checksum (the low 32 bits of XXH3) covers the whole datagram except itself. It detects truncation and corruption; it
+//! The checksum (the low 32 bits of 64-bit XXH3) covers the whole datagram except itself. It detects truncation and corruption; it
 //! does not authenticate the sender. For compatibility, later builds keep the header and add data only as new kinds of part;
 //! decoders skip parts of unknown kinds.
 
--- a/crates/codec/src/replica.rs
+++ b/crates/codec/src/replica.rs
@@ -6,12 +6,12 @@
 //! digest of a record is called its sum.
 //!
 //! ```text
-//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | left u32 | flags u8 | name length u8 | name | value
+//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | remaining tenths u32 | flags u8 | name length u8 | name | value
 //! branch sums (kind 2): level u8 | path u16 | u32, 16 times
 //! inventory (kind 3): first u48 | last u48 | (id u48 | sum u32)...
 //! request (kind 4): id u48...
 //! ack (kind 5): (id u48 | sum u32)...
-//! lease (kind 6): message u8 | number u32 | amount u32 | time u32
+//! lease (kind 6): message u8 | number u32 | amount u32 | duration in microseconds u32
 //! ```
 //!
 //! A record of a kind that this build does not know is stored and forwarded unchanged; only its meaning is unknown.
@@ -93,7 +93,7 @@
     /// The record.
     pub record: Record,
     /// Remaining lifetime in tenths of a second, at least 1; none if the record does not expire.
-    pub left: Option<u32>,
+    pub remaining_tenths: Option<u32>,
     /// The origin requests an acknowledgement that the record is stored.
     pub ack_requested: bool,
 }
@@ -143,7 +143,7 @@
         /// Amount, in thousandths of one node's part.
         amount: u32,
         /// Duration of the lease from the time of the request, in microseconds.
-        time: u32,
+        duration_us: u32,
     },
     /// Releases all that was granted for a request.
     Release {
@@ -173,10 +173,10 @@
     /// Encoded length of the part, in bytes.
     pub fn length(&self) -> usize {
         match self {
-            Part::Record(sent) => sent.record.length(),
+            Part::Record(update) => update.record.length(),
             Part::BranchSums(_) => PART_HEADER_BYTES + BRANCH_SUMS_BYTES,
-            Part::Inventory(have) => {
-                PART_HEADER_BYTES + INVENTORY_HEADER_BYTES + ENTRY_BYTES * have.list.len()
+            Part::Inventory(inventory) => {
+                PART_HEADER_BYTES + INVENTORY_HEADER_BYTES + ENTRY_BYTES * inventory.list.len()
             }
             Part::Request(ids) => PART_HEADER_BYTES + ID_BYTES * ids.len(),
             Part::Ack(list) => PART_HEADER_BYTES + ENTRY_BYTES * list.len(),
@@ -194,13 +194,13 @@
             }
         };
         match self {
-            Part::Record(RecordUpdate { record, left, ack_requested }) => {
+            Part::Record(RecordUpdate { record, remaining_tenths, ack_requested }) => {
                 put_header(out, RECORD);
                 out.put_u8(record.kind);
                 out.put_u16(record.origin);
                 out.put_uint(record.version.incarnation, 6);
                 out.put_u32(record.version.counter);
-                out.put_u32(left.map_or(0, |left| left.max(1)));
+                out.put_u32(remaining_tenths.map_or(0, |tenths| tenths.max(1)));
                 out.put_u8(if *ack_requested { FLAG_ACK_REQUESTED } else { 0 });
                 out.put_u8(record.name.len() as u8);
                 out.put_slice(&record.name);
@@ -228,13 +228,13 @@
             }
             Part::Lease(rights) => {
                 put_header(out, LEASE);
-                let (message, number, amount, time) = match *rights {
+                let (message, number, amount, duration_us) = match *rights {
                     LeaseMessage::Request { number, amount } => (0, number, amount, 0),
-                    LeaseMessage::Grant { number, amount, time } => (1, number, amount, time),
+                    LeaseMessage::Grant { number, amount, duration_us } => (1, number, amount, duration_us),
                     LeaseMessage::Release { number } => (2, number, 0, 0),
                 };
                 out.put_u8(message);
-                [number, amount, time].into_iter().for_each(|field| out.put_u32(field));
+                [number, amount, duration_us].into_iter().for_each(|field| out.put_u32(field));
             }
         }
     }
@@ -262,15 +262,19 @@
             RECORD => {
                 let (kind, origin) = (body.get_u8(), body.get_u16());
                 let version = Version { incarnation: body.get_uint(6), counter: body.get_u32() };
-                let (left, flags, length) = (body.get_u32(), body.get_u8(), usize::from(body.get_u8()));
-                if length > MAX_NAME_BYTES || length > body.len() || body.len() - length > MAX_VALUE_BYTES {
+                let (remaining_tenths, flags, name_length) =
+                    (body.get_u32(), body.get_u8(), usize::from(body.get_u8()));
+                if name_length > MAX_NAME_BYTES
+                    || name_length > body.len()
+                    || body.len() - name_length > MAX_VALUE_BYTES
+                {
                     return Err(DecodeError::Malformed);
                 }
-                let (name, value) = body.split_at(length);
+                let (name, value) = body.split_at(name_length);
                 let record = Record { kind, origin, name: name.into(), version, value: value.into() };
                 Part::Record(RecordUpdate {
                     record,
-                    left: Some(left).filter(|&left| left > 0),
+                    remaining_tenths: Some(remaining_tenths).filter(|&tenths| tenths > 0),
                     ack_requested: flags & FLAG_ACK_REQUESTED > 0,
                 })
             }
@@ -292,10 +296,10 @@
             ACK => Part::Ack(read_entries(&mut body)),
             LEASE => {
                 let message = body.get_u8();
-                let (number, amount, time) = (body.get_u32(), body.get_u32(), body.get_u32());
+                let (number, amount, duration_us) = (body.get_u32(), body.get_u32(), body.get_u32());
                 Part::Lease(match message {
                     0 => LeaseMessage::Request { number, amount },
-                    1 => LeaseMessage::Grant { number, amount, time },
+                    1 => LeaseMessage::Grant { number, amount, duration_us },
                     2 => LeaseMessage::Release { number },
                     _ => return Ok(None),
                 })
@@ -379,8 +383,8 @@
                 let version = Version { incarnation: rng.u64(..1 << 48), counter: rng.u32(..) };
                 let (name, value) = (random_bytes(rng, MAX_NAME_BYTES), random_bytes(rng, MAX_VALUE_BYTES));
                 let record = Record { kind: rng.u8(..), origin: rng.u16(..), name, version, value };
-                let left = rng.bool().then(|| rng.u32(1..));
-                Part::Record(RecordUpdate { record, left, ack_requested: rng.bool() })
+                let remaining_tenths = rng.bool().then(|| rng.u32(1..));
+                Part::Record(RecordUpdate { record, remaining_tenths, ack_requested: rng.bool() })
             }
             1 => Part::BranchSums(BranchSums {
                 level: rng.u8(..3),
@@ -391,10 +395,10 @@
             3 => Part::Request((0..rng.usize(..8)).map(|_| id(rng)).collect()),
             4 => Part::Ack(list(rng)),
             _ => {
-                let (number, amount, time) = (rng.u32(..), rng.u32(..), rng.u32(..));
+                let (number, amount, duration_us) = (rng.u32(..), rng.u32(..), rng.u32(..));
                 let messages = [
                     LeaseMessage::Request { number, amount },
-                    LeaseMessage::Grant { number, amount, time },
+                    LeaseMessage::Grant { number, amount, duration_us },
                     LeaseMessage::Release { number },
                 ];
                 Part::Lease(messages[rng.usize(..3)])
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -113,7 +113,11 @@
 /// A record as text.
 fn mark(record: &Record) -> String {
     let mut said = Message::default();
-    said.add(Part::Record(RecordUpdate { record: record.clone(), left: None, ack_requested: false }));
+    said.add(Part::Record(RecordUpdate {
+        record: record.clone(),
+        remaining_tenths: None,
+        ack_requested: false,
+    }));
     encode(0, &said).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
--- a/crates/observe/src/snapshot.rs
+++ b/crates/observe/src/snapshot.rs
@@ -183,7 +183,7 @@
     pub free_in_ms: f64,
     /// Number of this node's idle connections to the server.
     pub idle: usize,
-    /// Fraction of its capacity that the server certainly has since its start; 1 means that its warm-up is complete.
+    /// Fraction of its capacity that the server can be relied on to have since its start (slow start); 1 means fully warmed up.
     pub warmth: f64,
     /// Its latency relative to that of the other servers; 1 is usual.
     pub slowness: f64,
@@ -273,7 +273,7 @@
     pub name: String,
     /// Depth in the tree of shares.
     pub depth: usize,
-    /// What is measured, and for which lane.
+    /// The measure that is limited, and the lane to which it applies.
     pub measure: String,
     /// Amount that the share can always obtain.
     pub guarantee: u64,
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -209,9 +209,12 @@
                 self.lent.insert(from, Lent { number, amount, until: now + left, before });
                 // Counted from when it was asked, which was before now, and by a clock that may be too slow.
                 let time = left - left * 2 * self.terms.drift / 1_000;
-                Some((from, LeaseMessage::Grant { number, amount, time: u32::try_from(time).unwrap_or(0) }))
+                Some((
+                    from,
+                    LeaseMessage::Grant { number, amount, duration_us: u32::try_from(time).unwrap_or(0) },
+                ))
             }
-            LeaseMessage::Grant { number, amount, time } => {
+            LeaseMessage::Grant { number, amount, duration_us: time } => {
                 let borrowed = self.borrowed.get_mut(&from)?;
                 if borrowed.number == number {
                     (borrowed.amount, borrowed.until) = (amount, borrowed.asked + Micros::from(time));
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -441,7 +441,7 @@
         answers: &mut Vec<Part>,
         out: &mut Vec<Out>,
     ) {
-        let RecordUpdate { record, left, ack_requested } = sent;
+        let RecordUpdate { record, remaining_tenths: left, ack_requested } = sent;
         let origin = usize::from(record.origin);
         if origin >= self.setup.nodes {
             return; // no node of the list
@@ -524,7 +524,11 @@
 
     fn sent(&self, now: Micros, id: u64, ack_requested: bool) -> Option<Part> {
         let held = self.store.get(id)?;
-        Some(Part::Record(RecordUpdate { record: held.record.clone(), left: held.left(now), ack_requested }))
+        Some(Part::Record(RecordUpdate {
+            record: held.record.clone(),
+            remaining_tenths: held.left(now),
+            ack_requested,
+        }))
     }
 
     // ---- news ----
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -321,7 +321,7 @@
     };
     let said = |record: Record| {
         let mut said = Message::default();
-        said.add(Part::Record(RecordUpdate { record, left: Some(600), ack_requested: false }));
+        said.add(Part::Record(RecordUpdate { record, remaining_tenths: Some(600), ack_requested: false }));
         encode(7, &said)
     };
     for (at, value) in [(0, 1), (1, 9), (3, 5)] {
