--- a/crates/codec/src/envelope.rs
+++ b/crates/codec/src/envelope.rs
@@ -5,9 +5,9 @@
 //! part: kind u8 | length u8 | body
 //! ```
 //!
-//! The checksum (the low 32 bits of 64-bit XXH3) covers the whole datagram except itself. It detects truncation and corruption; it
-//! does not authenticate the sender. For compatibility, later builds keep the header and add data only as new kinds of part;
-//! decoders skip parts of unknown kinds.
+//! The checksum (the low 32 bits of 64-bit XXH3) covers the whole datagram except itself. It detects truncation and
+//! corruption; it does not authenticate the sender. For compatibility, later builds keep the header and add data only
+//! as new kinds of part; decoders skip parts of unknown kinds.
 
 use bytes::{Buf, BufMut};
 use xxhash_rust::xxh3::Xxh3;
@@ -86,7 +86,8 @@
     Ok((Header { flags, state_digest }, Parts(&datagram[HEADER_BYTES..])))
 }
 
-/// Iterates over the parts of a datagram, as kind and body. Fails at a part that is longer than the rest of the datagram.
+/// Iterates over the parts of a datagram, as kind and body. Fails at a part that is longer than the rest of the
+/// datagram.
 pub(crate) struct Parts<'a>(&'a [u8]);
 
 impl<'a> Iterator for Parts<'a> {
--- a/crates/codec/src/memcache.rs
+++ b/crates/codec/src/memcache.rs
@@ -1,9 +1,9 @@
 //! memcached's binary protocol: packets of a 24-byte header, extras, a key and a value.
 //!
-//! Source: the protocol's published description (`BinaryProtocolRevamped` in memcached's documentation, and its
-//! SASL page for opcodes 0x20 to 0x22). All numbers are big-endian. Nothing is allocated on the strength of a length in
-//! a header: a packet is split off the buffer once it is complete, and a length beyond the limit is an error as soon
-//! as the header has been received.
+//! Source: the protocol's published description (`BinaryProtocolRevamped` in memcached's documentation, and its SASL
+//! page for opcodes 0x20 to 0x22). All numbers are big-endian. Nothing is allocated on the strength of a length in a
+//! header: a packet is split off the buffer once it is complete, and a length beyond the limit is an error as soon as
+//! the header has been received.
 
 use std::fmt;
 
--- a/crates/codec/src/replica.rs
+++ b/crates/codec/src/replica.rs
@@ -1,12 +1,13 @@
-//! The datagrams by which nodes replicate small records: 256 bytes at most. A receiver has to expect that any of them is
-//! lost, delayed or duplicated.
+//! The datagrams by which nodes replicate small records: 256 bytes at most. A receiver has to expect that any of them
+//! is lost, delayed or duplicated.
 //!
-//! A datagram is in the [`envelope`](crate::envelope), with the root digest of the sender's store as its state digest, and has
-//! these parts. Replicas find out where they differ by comparing digests down a hash tree over the ids of the records; the
-//! digest of a record is called its sum.
+//! A datagram is in the [`envelope`](crate::envelope), with the root digest of the sender's store as its state digest,
+//! and has these parts. Replicas find out where they differ by comparing digests down a hash tree over the ids of the
+//! records; the digest of a record is called its sum.
 //!
 //! ```text
-//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | remaining tenths u32 | flags u8 | name length u8 | name | value
+//! record (kind 1): kind u8 | origin u16 | incarnation u48 | counter u32 | remaining tenths u32 | flags u8
+//!     | name length u8 | name | value
 //! branch sums (kind 2): level u8 | path u16 | u32, 16 times
 //! inventory (kind 3): first u48 | last u48 | (id u48 | sum u32)...
 //! request (kind 4): id u48...
@@ -126,7 +127,8 @@
         (MAX_DATAGRAM_BYTES - HEADER_BYTES - PART_HEADER_BYTES - INVENTORY_HEADER_BYTES) / ENTRY_BYTES;
 }
 
-/// A message by which a node borrows another node's part of a capacity that is divided among the nodes, for a limited time.
+/// A message by which a node borrows another node's part of a capacity that is divided among the nodes, for a limited
+/// time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LeaseMessage {
     /// Requests a lease.
@@ -414,7 +416,8 @@
             (0..rng.usize(..6)).for_each(|_| _ = message.add(random_part(&mut rng)));
             let datagram = encode(7, &message);
             assert_eq!((datagram.len(), decode(7, &datagram)), (message.length(), Ok(message.clone())));
-            // A part of a later build is skipped. Random bytes in a valid envelope are rejected or decoded, without a panic.
+            // A part of a later build is skipped. Random bytes in a valid envelope are rejected or decoded, without a
+            // panic.
             let mut later = datagram.clone();
             if later.len() < MAX_DATAGRAM_BYTES - 4 {
                 later.extend_from_slice(&[99, 2, 1, 2]);
--- a/crates/codec/src/resp.rs
+++ b/crates/codec/src/resp.rs
@@ -17,7 +17,8 @@
 
 /// Splits the first frame off the buffer; none if it is not complete yet.
 ///
-/// Nested arrays are rejected, since `redis_protocol` decodes them recursively and deep nesting would overflow the stack.
+/// Nested arrays are rejected, since `redis_protocol` decodes them recursively and deep nesting would overflow the
+/// stack.
 ///
 /// # Errors
 /// If the buffer cannot be the beginning of a frame, or the frame is longer than `max_bytes`.
@@ -28,8 +29,8 @@
     }
 }
 
-/// Parses the header of an array of three whose first element is a bulk string longer than `min_length` bytes. Returns the
-/// length of both headers and that of the string, in bytes; none if the buffer begins otherwise or the headers are
+/// Parses the header of an array of three whose first element is a bulk string longer than `min_length` bytes. Returns
+/// the length of both headers and that of the string, in bytes; none if the buffer begins otherwise or the headers are
 /// incomplete.
 pub fn parse_long_bulk_header(buffer: &[u8], min_length: usize) -> Option<(usize, usize)> {
     let rest = buffer.strip_prefix(b"*3\r\n$")?;
--- a/crates/codec/src/siblings.rs
+++ b/crates/codec/src/siblings.rs
@@ -1,5 +1,5 @@
-//! The gossip datagrams of sibling nodes: 256 bytes at most. A receiver has to expect that any of them is lost, delayed,
-//! duplicated, truncated or sent by another build.
+//! The gossip datagrams of sibling nodes: 256 bytes at most. A receiver has to expect that any of them is lost,
+//! delayed, duplicated, truncated or sent by another build.
 //!
 //! A datagram is in the [`envelope`](crate::envelope), with the epoch as its state digest, and has these parts:
 //!
@@ -11,8 +11,8 @@
 //! brief rows (kind 3): (origin u16 | incarnation u48 | heartbeat u32 | flags u8)...
 //! ```
 //!
-//! For compatibility, later builds add data only as new kinds of part or at the end of a row. Decoders skip parts of unknown
-//! kinds and extra bytes at the end of a row.
+//! For compatibility, later builds add data only as new kinds of part or at the end of a row. Decoders skip parts of
+//! unknown kinds and extra bytes at the end of a row.
 
 use bytes::{Buf, BufMut};
 
@@ -84,8 +84,8 @@
     }
 }
 
-/// One node's state: its heartbeat, and those that it has received from the nodes that it watches. Of two rows of a node,
-/// the one with the higher incarnation is newer, then the one with the higher heartbeat.
+/// One node's state: its heartbeat, and those that it has received from the nodes that it watches. Of two rows of a
+/// node, the one with the higher incarnation is newer, then the one with the higher heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Row {
     /// Index of the node in the list of nodes.
@@ -196,8 +196,8 @@
             + part_length(BRIEF_BYTES * self.brief_rows.len())
     }
 
-    /// Adds a row, in brief or in full, unless the datagram would become longer than `max_bytes`. Returns whether it was
-    /// added.
+    /// Adds a row, in brief or in full, unless the datagram would become longer than `max_bytes`. Returns whether it
+    /// was added.
     pub fn add(&mut self, row: Row, brief: bool, max_bytes: usize) -> bool {
         let length = match (brief, self.brief_rows.is_empty()) {
             (false, _) => row.length(),
--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -51,8 +51,8 @@
         Ok(Client(BufReader::new(stream)))
     }
 
-    /// Sends a request that is answered by a stream of answers. If `answer_timeout` is given, a node that sends nothing for that
-    /// time is considered stuck.
+    /// Sends a request that is answered by a stream of answers. If `answer_timeout` is given, a node that sends
+    /// nothing for that time is considered stuck.
     ///
     /// # Errors
     /// If the request cannot be sent.
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -136,7 +136,8 @@
         File::open(&self.0)?.sync_all() // so that the rename, too, survives a crash
     }
 
-    /// Writes a diagnosis bundle for troubleshooting and returns its path. Of more than five bundles, the oldest are removed.
+    /// Writes a diagnosis bundle for troubleshooting and returns its path. Of more than five bundles, the oldest are
+    /// removed.
     ///
     /// # Errors
     /// If it cannot be written; no partial file is left behind.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! A node's control socket: a Unix socket in its state directory, over which operators take servers out of service and inspect
-//! the node. `docs/control.md` describes the messages.
+//! A node's control socket: a Unix socket in its state directory, over which operators take servers out of service and
+//! inspect the node. `docs/control.md` describes the messages.
 
 mod client;
 mod event_log;
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -5,8 +5,8 @@
 use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
 use serde::{Deserialize, Serialize};
 
-/// The version of the protocol. A node answers requests of this version and of all earlier ones, with answers that those versions
-/// understand.
+/// The version of the protocol. A node answers requests of this version and of all earlier ones, with answers that
+/// those versions understand.
 pub const VERSION: Version = 2;
 /// Maximum length of a request, in bytes.
 pub const MAX_LINE_BYTES: usize = 4096;
@@ -39,7 +39,8 @@
     /// Takes a snapshot of the node. Since version 2, as are all requests below that do not name a server.
     #[serde(rename = "look")]
     Snapshot,
-    /// Streams snapshots of the node and its events, at the pace of the client. The connection accepts no further request.
+    /// Streams snapshots of the node and its events, at the pace of the client. The connection accepts no further
+    /// request.
     Watch {
         /// Interval between snapshots in milliseconds, at least 200.
         every_ms: u64,
@@ -87,8 +88,8 @@
         /// Whether to obey even if no cache remains in service.
         #[serde(default)]
         force: bool,
-        /// Number of the server's latest order that the client has seen, 0 for none. The order is refused if the latest
-        /// is another one.
+        /// Number of the server's latest order that the client has seen, 0 for none. The order is refused if the
+        /// latest is another one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         seen: Option<u64>,
         /// Number of nodes that are to hold the order before it is answered, if orders are replicated.
@@ -202,8 +203,8 @@
     pub nodes: usize,
     /// Incarnation of this node.
     pub incarnation: u64,
-    /// Digest of the node's view. It is the same at nodes that agree on which nodes are alive, in which incarnation, and which are
-    /// gone.
+    /// Digest of the node's view. It is the same at nodes that agree on which nodes are alive, in which incarnation,
+    /// and which are gone.
     pub epoch: String,
     /// Whether enough of the nodes that watch this node confirm its lease.
     pub confirmed: bool,
--- a/crates/control/src/publisher.rs
+++ b/crates/control/src/publisher.rs
@@ -15,7 +15,8 @@
 /// How long a snapshot is shared, so that sixteen consoles do not make the core walk through its state sixteen times.
 const SNAPSHOT_MAX_AGE: Duration = Duration::from_millis(150);
 
-/// Takes snapshots. The core only answers a message; slow work (files, JSON) runs on another thread and never blocks it.
+/// Takes snapshots. The core only answers a message; slow work (files, JSON) runs on another thread and never blocks
+/// it.
 pub(crate) struct Publisher {
     core: CoreHandle,
     descriptor_limit: usize,
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -25,8 +25,8 @@
 
 /// Maximum number of connections served at once; further clients wait until one ends.
 const MAX_CONNECTIONS: usize = 48;
-/// Maximum number of connections that stream snapshots or events at once. The other connections remain available for single
-/// requests.
+/// Maximum number of connections that stream snapshots or events at once. The other connections remain available for
+/// single requests.
 const MAX_STREAMS: usize = 32;
 /// A client that sends no request or reads no answer for this time is disconnected.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -71,11 +71,11 @@
     Siblings(oneshot::Sender<SiblingsReport>),
     /// Report the local replica of the replicated store; none if nothing is replicated.
     Replica(oneshot::Sender<Option<ReplicaReport>>),
-    /// All records of the replica, encoded as text, with their remaining lifetime in microseconds. They are handed over to the
-    /// process that replaces this one.
+    /// All records of the replica, encoded as text, with their remaining lifetime in microseconds. They are handed
+    /// over to the process that replaces this one.
     Records(oneshot::Sender<Vec<(String, Option<u64>)>>),
-    /// Replicate an order and report how many nodes hold it: once the given number of nodes do, or all, or a timeout has passed.
-    /// None if orders are not replicated.
+    /// Replicate an order and report how many nodes hold it: once the given number of nodes do, or all, or a timeout
+    /// has passed. None if orders are not replicated.
     ReplicateOrder(ClusterOrder, Option<usize>, oneshot::Sender<Option<OrderAcks>>),
 }
 
@@ -107,13 +107,14 @@
     publisher: Publisher,
     connections: Arc<Semaphore>,
     streams: Semaphore,
-    /// Locked from reading the orders in force until they are written, so that an older state never overwrites a newer one.
+    /// Locked from reading the orders in force until they are written, so that an older state never overwrites a newer
+    /// one.
     persisting: Mutex<()>,
 }
 
 impl Control {
-    /// Listens on the socket in a state directory. Orders on servers are applied by the core, which must be configured to accept
-    /// orders.
+    /// Listens on the socket in a state directory. Orders on servers are applied by the core, which must be configured
+    /// to accept orders.
     ///
     /// # Errors
     /// If another node listens there, or the socket cannot be created.
@@ -126,7 +127,8 @@
         Ok(Control { listener, inner: Arc::new(inner) })
     }
 
-    /// Serves clients until the future is dropped. While there are none, it only checks periodically that the socket exists.
+    /// Serves clients until the future is dropped. While there are none, it only checks periodically that the socket
+    /// exists.
     pub async fn run(mut self) {
         loop {
             let Ok(permit) = self.inner.connections.clone().acquire_owned().await else { return };
@@ -165,7 +167,7 @@
             }
             Err(error) => {
                 warn!(
-                    "control: the socket is missing from the state folder and cannot be created: {error}; next attempt in 5 s"
+                    "control: cannot create the missing socket in the state folder: {error}; tried again in 5 s"
                 )
             }
         }
@@ -205,12 +207,12 @@
         }
     }
 
-    /// Sends snapshots and events at the pace of the client: the next snapshot is taken only when the client has read the last.
+    /// Sends snapshots and events at the pace of the client: the next snapshot is taken only when the client has read
+    /// the last.
     async fn stream_snapshots(&self, lines: &mut Lines, interval: Duration, mut after: u64) {
         let Ok(_permit) = self.streams.try_acquire() else {
-            let answer = error_answer(format!(
-                "{MAX_STREAMS} consoles or followers are connected already; close one first"
-            ));
+            let answer =
+                error_answer(format!("{MAX_STREAMS} clients are streaming already; close a console first"));
             send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
@@ -224,12 +226,14 @@
             }
             tokio::select! {
                 () = sleep_until(next) => {}
-                _ = lines.next() => return, // the client has disconnected, or has sent a request, which a stream does not accept
+                // The client has disconnected, or has sent a request, which is not accepted during a stream.
+                _ = lines.next() => return,
             }
         }
     }
 
-    /// Sends the events after the one with the number `after`, and updates it. Returns false if the client does not read them.
+    /// Sends the events after the one with the number `after`, and updates it. Returns false if the client does not
+    /// read them.
     async fn send_events(&self, lines: &mut Lines, after: &mut u64) -> bool {
         loop {
             let batch = self.node.events.after(*after, EVENTS_PER_LINE);
@@ -244,9 +248,8 @@
     /// Sends events until the client disconnects or sends anything.
     async fn follow_events(&self, lines: &mut Lines, mut after: u64) {
         let Ok(_permit) = self.streams.try_acquire() else {
-            let answer = error_answer(format!(
-                "{MAX_STREAMS} consoles or followers are connected already; close one first"
-            ));
+            let answer =
+                error_answer(format!("{MAX_STREAMS} clients are streaming already; close a console first"));
             send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
@@ -344,7 +347,7 @@
     /// Replicates an order that this node has carried out, and returns how many nodes hold it.
     async fn replicate(&self, order: ClusterOrder, wait_for: Option<usize>) -> Option<OrderAcks> {
         let answer =
-            self.query_siblings(|answer| SiblingsQuery::ReplicateOrder(order, wait_for, answer)).await?;
+            self.query_siblings(|sender| SiblingsQuery::ReplicateOrder(order, wait_for, sender)).await?;
         answer.await.ok().flatten()
     }
 
@@ -387,11 +390,16 @@
 
     /// Writes a diagnosis bundle: the configuration without secrets, a snapshot, the orders, and the latest events.
     async fn write_diagnosis(&self) -> CommandResult {
-        let is_ending = || "the node is ending".to_owned();
-        let snapshot = self.publisher.snapshot().await.ok_or_else(is_ending)?;
+        let ending_message = || "the node is ending".to_owned();
+        let snapshot = self.publisher.snapshot().await.ok_or_else(ending_message)?;
         let orders = self.orders_in_force().await;
         let events = self.node.events.after(0, usize::MAX);
-        let contents = json!({ "configuration": self.node.redacted_config, "snapshot": snapshot, "orders": orders, "events": events });
+        let contents = json!({
+            "configuration": self.node.redacted_config,
+            "snapshot": snapshot,
+            "orders": orders,
+            "events": events,
+        });
         let state_dir = self.state_dir.clone();
         let written = spawn_blocking(move || state_dir.write_diagnosis(&contents))
             .await
@@ -429,8 +437,8 @@
         Answer::Orders { orders }
     }
 
-    /// Logs an order, appends it to the audit log, and persists `kept` if given. Runs on a blocking thread, so that a full or slow
-    /// disk does not delay others.
+    /// Logs an order, appends it to the audit log, and persists `kept` if given. Runs on a blocking thread, so that a
+    /// full or slow disk does not delay others.
     async fn record(
         &self,
         request: ControlRequest,
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,8 +1,9 @@
 //! A node's counters and gauges, which are always maintained.
 //!
 //! A request is counted once, when it ends, by its outcome; it is not counted if its client has disconnected before.
-//! Updates go through [`Metrics`], which is cheap to clone; an update is one addition to a number in memory. The values are
-//! exported as StatsD-style lines ([`Metrics::statsd_lines`]) or in Prometheus' text format ([`Metrics::prometheus`]).
+//! Updates go through [`Metrics`], which is cheap to clone; an update is one addition to a number in memory. The
+//! values are exported as StatsD-style lines ([`Metrics::statsd_lines`]) or in Prometheus' text format
+//! ([`Metrics::prometheus`]).
 
 use std::fmt::Write as _;
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
@@ -34,8 +35,8 @@
     Failed,
 }
 
-/// A rule of the protocol that the node checks on itself. Violations are counted where the node acts, independently of the
-/// code that decides what to do.
+/// A rule of the protocol that the node checks on itself. Violations are counted where the node acts, independently of
+/// the code that decides what to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Rule {
     /// The deadline forwarded to a server was later than the client's.
@@ -248,14 +249,14 @@
         self.0.skipped.set(skipped as i64);
     }
 
-    /// Sets the numbers of other nodes that are alive, gone and in an unknown state. These metrics are exported from the first
-    /// call on.
+    /// Sets the numbers of other nodes that are alive, gone and in an unknown state. These metrics are exported from
+    /// the first call on.
     pub fn set_sibling_counts(&self, counts: [usize; 3]) {
         self.set_gauges(&self.0.siblings, SIBLING_GAUGES, "Other nodes, as seen by this node", counts);
     }
 
-    /// Sets the number of replicated records, the number of conflicting orders, and whether this node is behind (1 or 0). These
-    /// metrics are exported from the first call on.
+    /// Sets the number of replicated records, the number of conflicting orders, and whether this node is behind (1 or
+    /// 0). These metrics are exported from the first call on.
     pub fn set_replica_counts(&self, counts: [usize; 3]) {
         self.set_gauges(
             &self.0.replica,
--- a/crates/observe/src/events.rs
+++ b/crates/observe/src/events.rs
@@ -65,8 +65,8 @@
         self.last
     }
 
-    /// At most `max` events after the one with the number `seen`. A number that this node has not assigned yet, which may come
-    /// from the process before a restart, is treated as 0: none seen.
+    /// At most `max` events after the one with the number `seen`. A number that this node has not assigned yet, which
+    /// may come from the process before a restart, is treated as 0: none seen.
     pub fn after(&self, seen: u64, max: usize) -> EventBatch {
         let seen = if seen > self.last { 0 } else { seen };
         let first = self.last - self.ring.len() as u64 + 1;
--- a/crates/observe/src/latency.rs
+++ b/crates/observe/src/latency.rs
@@ -16,7 +16,8 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// The exclusive upper bound of a bucket, in microseconds: 250 for the first, doubling with each. The last bucket has none.
+/// The exclusive upper bound of a bucket, in microseconds: 250 for the first, doubling with each. The last bucket has
+/// none.
 pub fn bucket_upper_bound_us(bucket: usize) -> Option<Micros> {
     (bucket + 1 < LATENCY_BUCKETS).then(|| 250 << bucket)
 }
@@ -106,7 +107,8 @@
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 1).expect("the bounds are valid")
 }
 
-/// Values accumulated over the current window of 10 s and the previous one, so that they are never older than two windows.
+/// Values accumulated over the current window of 10 s and the previous one, so that they are never older than two
+/// windows.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct TwoWindows<T> {
     /// Number of the current window since the start of the clock.
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,8 +1,8 @@
 //! What a node records of its own work: statistics of the last minute, a trace of each open request, and events.
 //!
-//! No I/O, no clock, no thread: [`Observer`] is notified of what happens and when, and fills in its part of a [`Snapshot`];
-//! [`Events`] is a bounded ring buffer that reports to a reader how many events it has missed. Nothing here influences how
-//! requests are handled. `docs/design/appliance.md` gives the reasons.
+//! No I/O, no clock, no thread: [`Observer`] is notified of what happens and when, and fills in its part of a
+//! [`Snapshot`]; [`Events`] is a bounded ring buffer that reports to a reader how many events it has missed. Nothing
+//! here influences how requests are handled. `docs/design/appliance.md` gives the reasons.
 
 mod events;
 mod latency;
@@ -22,5 +22,6 @@
 };
 pub use trace::{AnswerKind, AttemptOutcome, WaitReason};
 
-/// A point in time or a duration, in microseconds. A point in time before the latest one reported is treated as the latest.
+/// A point in time or a duration, in microseconds. A point in time before the latest one reported is treated as the
+/// latest.
 pub type Micros = u64;
--- a/crates/observe/src/observer.rs
+++ b/crates/observe/src/observer.rs
@@ -15,8 +15,8 @@
 const MAX_SLOW_REQUESTS: usize = 20;
 /// How long an ended request is reported as slow, in microseconds.
 const SLOW_REQUEST_RETENTION_US: Micros = 60_000_000;
-/// How far an answer may exceed the client's deadline before it counts as late, in microseconds. Covers the network latency and
-/// the granularity of timers.
+/// How far an answer may exceed the client's deadline before it counts as late, in microseconds. Covers the network
+/// latency and the granularity of timers.
 const LATE_ANSWER_TOLERANCE_US: Micros = 50_000;
 
 /// A request that has arrived.
@@ -56,8 +56,8 @@
 
 /// Collects statistics from the notifications that it receives.
 ///
-/// Memory: a trace for each open request that arrived since the observer was created, the statistics of one minute, and about
-/// 200 bytes for each server.
+/// Memory: a trace for each open request that arrived since the observer was created, the statistics of one minute,
+/// and about 200 bytes for each server.
 pub struct Observer {
     started_at: Micros,
     history: LatencyHistory,
@@ -214,8 +214,8 @@
         };
     }
 
-    /// The oldest open requests, followed by the slowest that ended within the last minute. `open_request` returns the key of an
-    /// open request and why it is waiting; the other functions map ids and indexes to names.
+    /// The oldest open requests, followed by the slowest that ended within the last minute. `open_request` returns the
+    /// key of an open request and why it is waiting; the other functions map ids and indexes to names.
     pub fn slow_requests(
         &self,
         now: Micros,
--- a/crates/observe/src/snapshot.rs
+++ b/crates/observe/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The state of a node at one moment, as JSON. For compatibility between versions, readers skip fields that they do not know,
-//! and fields that the writer does not have get default values.
+//! The state of a node at one moment, as JSON. For compatibility between versions, readers skip fields that they do
+//! not know, and fields that the writer does not have get default values.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,12 +15,13 @@
 pub struct Snapshot {
     /// When the snapshot was taken, Unix time in milliseconds.
     pub at_ms: u64,
-    /// When the node started, Unix time in milliseconds. A different value means another node, or one that has restarted.
+    /// When the node started, Unix time in milliseconds. A different value means another node, or one that has
+    /// restarted.
     pub started_ms: u64,
     /// Version of the program.
     pub version: String,
-    /// How long statistics have been collected, in seconds. They are collected only while an observer is connected; 0 if none was
-    /// connected before.
+    /// How long statistics have been collected, in seconds. They are collected only while an observer is connected; 0
+    /// if none was connected before.
     pub watched_s: f64,
     /// Requests that have not been answered or have an attempt in flight.
     pub open: usize,
@@ -32,8 +33,8 @@
     pub descriptors: usize,
     /// Maximum number of file descriptors by the settings.
     pub descriptor_limit: usize,
-    /// Answers since the node started, whether or not an observer was connected. Requests whose client had disconnected are not
-    /// counted.
+    /// Answers since the node started, whether or not an observer was connected. Requests whose client had
+    /// disconnected are not counted.
     pub since_start: AnswerCounts,
     /// Attempts written completely to servers since the node started.
     pub tries: u64,
@@ -139,7 +140,8 @@
 pub struct RuleCounts {
     /// Rule 1: answers sent after the client's deadline.
     pub late: u64,
-    /// Rule 2: repeated attempts of a request that must not be executed twice, after an attempt that may have been executed.
+    /// Rule 2: repeated attempts of a request that must not be executed twice, after an attempt that may have been
+    /// executed.
     pub repeated: u64,
     /// Rule 3: attempts stopped before their first byte because the server was no longer in service. Not a violation.
     pub stopped: u64,
@@ -179,11 +181,13 @@
     pub out: usize,
     /// Age of the oldest of them, in milliseconds.
     pub oldest_ms: f64,
-    /// Time until the last of them must have ended, in milliseconds; after it, the server holds no request of this node.
+    /// Time until the last of them must have ended, in milliseconds; after it, the server holds no request of this
+    /// node.
     pub free_in_ms: f64,
     /// Number of this node's idle connections to the server.
     pub idle: usize,
-    /// Fraction of its capacity that the server can be relied on to have since its start (slow start); 1 means fully warmed up.
+    /// Fraction of its capacity that the server can be relied on to have since its start (slow start); 1 means fully
+    /// warmed up.
     pub warmth: f64,
     /// Its latency relative to that of the other servers; 1 is usual.
     pub slowness: f64,
