--- a/crates/codec/src/siblings.rs
+++ b/crates/codec/src/siblings.rs
@@ -1,365 +1,382 @@
-//! The datagrams of nodes that are siblings: 256 bytes at most, any of them lost, late, doubled, cut or of another build.
+//! The gossip datagrams of sibling nodes: 256 bytes at most. A receiver has to expect that any of them is lost,
+//! delayed, duplicated, truncated or sent by another build.
 //!
-//! A datagram is in the [`envelope`](crate::envelope), its word the epoch, with these parts:
+//! A datagram is in the [`envelope`](crate::envelope), with the epoch as its state digest, and has these parts:
 //!
 //! ```text
-//! row (kind 1): origin u16 | incarnation u48 | beat u32 | beats u4, standing u4 | ways u8 | heard...
-//! heard: incarnation's low bits u32 | beat's low bits u16
-//! wants (kind 2): node u16...
-//! buckets (kind 4): u16, 32 times
-//! briefs (kind 3): (origin u16 | incarnation u48 | beat u32 | standing u8)...
+//! row (kind 1): origin u16 | incarnation u48 | heartbeat u32 | watches u4, flags u4 | expired u4, direct u4 | heard...
+//! heard: low bits of the incarnation u32 | low bits of the heartbeat u16
+//! requested nodes (kind 2): node u16...
+//! digests (kind 4): u16, 32 times
+//! brief rows (kind 3): (origin u16 | incarnation u48 | heartbeat u32 | flags u8)...
 //! ```
 //!
-//! Rules for builds that come later: a new thing is a new kind of part or stands behind what a row has here. Kinds that
-//! are not known and bytes that stand behind a row are passed over.
+//! For compatibility, later builds add data only as new kinds of part or at the end of a row. Decoders skip parts of
+//! unknown kinds and extra bytes at the end of a row.
 
 use bytes::{Buf, BufMut};
 
-use crate::envelope::{HEADER, Header, PART_HEAD, begin, open, seal};
-pub use crate::envelope::{LONGEST, Unread, site};
+pub use crate::envelope::{DecodeError, MAX_DATAGRAM_BYTES, site_id};
+use crate::envelope::{HEADER_BYTES, Header, PART_HEADER_BYTES, begin, finish, open};
 
-/// By which these datagrams are told from others.
+/// The first two bytes of these datagrams, which identify the format.
 pub const MAGIC: [u8; 2] = *b"LS";
-/// Most nodes that watch one.
-pub const WATCHERS: usize = 4;
+/// Maximum number of nodes that monitor the heartbeats of one node.
+pub const MAX_WATCHERS: usize = 4;
+// Kinds of part.
 const ROW: u8 = 1;
-const WANTS: u8 = 2;
-const BRIEFS: u8 = 3;
+const REQUESTED_NODES: u8 = 2;
+const BRIEF_ROWS: u8 = 3;
 const DIGESTS: u8 = 4;
-/// The nodes are summed up in so many buckets, by their places in the list.
-pub const BUCKETS: usize = 32;
-/// A brief's bytes.
-const BRIEF: usize = 13;
-/// Most nodes that a datagram asks for.
-pub const MOST_WANTED: usize = 8;
-/// A row's bytes before its list of beats, and of each beat.
-const ROW_HEAD: usize = 14;
-const HEARD: usize = 6;
-/// An incarnation has so many bits.
+/// Number of buckets into which the nodes are divided by their index in the list; each bucket has a digest.
+pub const DIGEST_BUCKETS: usize = 32;
+/// Length of a brief row, in bytes.
+const BRIEF_BYTES: usize = 13;
+/// Maximum number of rows that a datagram requests.
+pub const MAX_REQUESTED_ROWS: usize = 8;
+/// Length of a row before its list of received heartbeats, in bytes.
+const ROW_HEADER_BYTES: usize = 14;
+/// Length of an entry of that list, in bytes.
+const HEARD_BYTES: usize = 6;
+/// Width of an incarnation, in bits.
 pub const INCARNATION_BITS: u32 = 48;
 
-/// What a node last heard of one that it watches.
+/// The newest heartbeat that a node has received from a node that it monitors.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Heard {
-    /// The low bits of its incarnation; nothing was heard if both figures are 0.
+    /// The low bits of that node's incarnation. If this and `heartbeat` are both 0, no heartbeat has been received.
     pub incarnation: u32,
-    /// The low bits of its newest beat.
-    pub beat: u16,
-    /// Whether its own datagrams come.
+    /// The low bits of its newest heartbeat.
+    pub heartbeat: u16,
+    /// Whether datagrams arrive from it directly, not only through other nodes.
     pub direct: bool,
-    /// Whether its lease has run out here: this incarnation is not confirmed by this watcher any more.
+    /// Whether its lease has expired at this watcher, which therefore no longer confirms this incarnation.
     pub expired: bool,
 }
 
-/// How a node stands, by its own word.
+/// The state that a node reports of itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Standing {
-    /// Enough of its watchers confirm it.
+pub struct NodeFlags {
+    /// Enough of its watchers confirm its lease.
     pub confirmed: bool,
-    /// It leaves, and uses nothing shared from here on.
+    /// The node is leaving and uses no shared resources from here on.
     pub leaving: bool,
-    /// It lacks word of one that it watches, or theirs of it: its row is to be passed on soon.
-    pub calling: bool,
-    /// It was paused a moment ago.
+    /// Heartbeats are missing in one direction between this node and a node that it watches or that watches it;
+    /// receivers are to forward this row soon.
+    pub needs_relay: bool,
+    /// The process was recently suspended.
     pub paused: bool,
 }
 
-impl Standing {
+impl NodeFlags {
     fn bits(self) -> u8 {
-        let Standing { confirmed, leaving, calling, paused } = self;
-        bits([confirmed, leaving, calling, paused])
+        let NodeFlags { confirmed, leaving, needs_relay, paused } = self;
+        bits([confirmed, leaving, needs_relay, paused])
     }
 
-    fn of(bits: u8) -> Standing {
-        Standing {
+    fn from_bits(bits: u8) -> NodeFlags {
+        NodeFlags {
             confirmed: bit(bits, 0),
             leaving: bit(bits, 1),
-            calling: bit(bits, 2),
+            needs_relay: bit(bits, 2),
             paused: bit(bits, 3),
         }
     }
 }
 
-/// One node's word of itself and of those that it watches. Of two, the one with the higher incarnation, then beat, is newer.
+/// One node's state: its heartbeat, and those that it has received from the nodes that it watches. Of two rows of a
+/// node, the one with the higher incarnation is newer, then the one with the higher heartbeat.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Row {
-    /// Its place in the list of nodes.
+    /// Index of the node in the list of nodes.
     pub origin: u16,
-    /// Higher with each start, and whenever it was held to be gone. 48 bits.
+    /// Incremented with each start of the node and whenever the others considered it gone. 48 bits.
     pub incarnation: u64,
-    /// Higher with each row.
-    pub beat: u32,
-    /// How it stands.
-    pub standing: Standing,
-    /// How many it watches.
+    /// Heartbeat counter, incremented with each row.
+    pub heartbeat: u32,
+    /// The state that the node reports of itself.
+    pub flags: NodeFlags,
+    /// Number of nodes that it watches.
     pub watches: u8,
-    /// What it has heard of those, in the order of the ring.
-    pub heard: [Heard; WATCHERS],
+    /// The newest heartbeats received from those nodes, in the order of the ring.
+    pub heard: [Heard; MAX_WATCHERS],
 }
 
 impl Row {
-    /// What is newer than what.
-    pub fn age(&self) -> (u64, u32) {
-        (self.incarnation, self.beat)
+    /// Orders the rows of one node from older to newer.
+    pub fn version(&self) -> (u64, u32) {
+        (self.incarnation, self.heartbeat)
     }
 
-    /// Whether it says nothing of others that can't wait: that a lease has run out, or that it needs word.
-    pub fn is_plain(&self) -> bool {
-        let watched = &self.heard[..usize::from(self.watches).min(WATCHERS)];
-        !self.standing.calling && !watched.iter().any(|heard| heard.expired)
+    /// Whether nothing in the row is urgent: no lease has expired and it does not ask to be forwarded.
+    pub fn is_routine(&self) -> bool {
+        let watched = &self.heard[..usize::from(self.watches).min(MAX_WATCHERS)];
+        !self.flags.needs_relay && !watched.iter().any(|heard| heard.expired)
     }
 
-    /// Bytes that it takes in a datagram.
+    /// Encoded length of the row as a part, in bytes.
     pub fn length(&self) -> usize {
-        PART_HEAD + ROW_HEAD + HEARD * usize::from(self.watches)
+        PART_HEADER_BYTES + ROW_HEADER_BYTES + HEARD_BYTES * usize::from(self.watches)
     }
 
     fn put(&self, out: &mut Vec<u8>) {
-        let watches = usize::from(self.watches).min(WATCHERS);
+        let watches = usize::from(self.watches).min(MAX_WATCHERS);
         out.put_u8(ROW);
-        out.put_u8((ROW_HEAD + HEARD * watches) as u8);
+        out.put_u8((ROW_HEADER_BYTES + HEARD_BYTES * watches) as u8);
         out.put_u16(self.origin);
         out.put_uint(self.incarnation, 6);
-        out.put_u32(self.beat);
-        out.put_u8(self.standing.bits() | (watches as u8) << 4);
+        out.put_u32(self.heartbeat);
+        out.put_u8(self.flags.bits() | (watches as u8) << 4);
         out.put_u8(
             bits(self.heard.map(|heard| heard.direct)) | bits(self.heard.map(|heard| heard.expired)) << 4,
         );
         for heard in &self.heard[..watches] {
             out.put_u32(heard.incarnation);
-            out.put_u16(heard.beat);
+            out.put_u16(heard.heartbeat);
         }
     }
 
     fn read(mut body: &[u8]) -> Option<Row> {
-        if body.len() < ROW_HEAD {
+        if body.len() < ROW_HEADER_BYTES {
             return None;
         }
-        let (origin, incarnation, beat) = (body.get_u16(), body.get_uint(6), body.get_u32());
-        let (standing, ways) = (body.get_u8(), body.get_u8());
-        let mut row = Row { origin, incarnation, beat, standing: Standing::of(standing), ..Row::default() };
-        let watches = usize::from(standing >> 4).min(WATCHERS).min(body.len() / HEARD);
+        let (origin, incarnation, heartbeat) = (body.get_u16(), body.get_uint(6), body.get_u32());
+        let (flags, receipt_bits) = (body.get_u8(), body.get_u8());
+        let mut row =
+            Row { origin, incarnation, heartbeat, flags: NodeFlags::from_bits(flags), ..Row::default() };
+        let watches = usize::from(flags >> 4).min(MAX_WATCHERS).min(body.len() / HEARD_BYTES);
         row.watches = watches as u8;
-        for (at, heard) in row.heard[..watches].iter_mut().enumerate() {
+        for (index, heard) in row.heard[..watches].iter_mut().enumerate() {
             *heard = Heard {
                 incarnation: body.get_u32(),
-                beat: body.get_u16(),
-                direct: bit(ways, at),
-                expired: bit(ways, at + 4),
+                heartbeat: body.get_u16(),
+                direct: bit(receipt_bits, index),
+                expired: bit(receipt_bits, index + 4),
             };
         }
         Some(row)
     }
 }
 
-fn bit(of: u8, at: usize) -> bool {
-    of & 1 << at != 0
+/// Whether the bit at `index` is set.
+fn bit(byte: u8, index: usize) -> bool {
+    byte & 1 << index != 0
 }
 
-fn bits(of: [bool; WATCHERS]) -> u8 {
-    of.into_iter().enumerate().map(|(at, set)| u8::from(set) << at).sum()
+/// Packs booleans into the low bits of a byte, the first into the lowest.
+fn bits(flags: [bool; MAX_WATCHERS]) -> u8 {
+    flags.into_iter().enumerate().map(|(index, set)| u8::from(set) << index).sum()
 }
 
-/// What a datagram says.
+/// The content of a datagram.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Said {
-    /// The sender's view, as a number that those who agree share.
+pub struct Message {
+    /// Digest of the sender's view of all nodes; nodes whose views agree have the same.
     pub epoch: u32,
-    /// The sender's own row, then what it passes on.
+    /// The sender's own row, then rows that it forwards.
     pub rows: Vec<Row>,
-    /// Rows that say nothing of what they have heard.
-    pub briefs: Vec<Row>,
-    /// Nodes whose rows the sender lacks.
-    pub wants: Vec<u16>,
-    /// The sender's view by bucket: who has another sum knows something else of a node in it.
-    pub digests: Option<[u16; BUCKETS]>,
+    /// Rows without their lists of received heartbeats.
+    pub brief_rows: Vec<Row>,
+    /// Indexes of nodes whose rows the sender lacks and requests.
+    pub requested_nodes: Vec<u16>,
+    /// Digests of the sender's view by bucket. Where they differ, the views differ on some node of that bucket.
+    pub digests: Option<[u16; DIGEST_BUCKETS]>,
 }
 
-impl Said {
-    /// How many bytes its datagram has.
+impl Message {
+    /// Length of the encoded datagram, in bytes.
     pub fn length(&self) -> usize {
-        let part = |body: usize| if body > 0 { PART_HEAD + body } else { 0 };
+        let part_length = |body: usize| if body > 0 { PART_HEADER_BYTES + body } else { 0 };
         let rows: usize = self.rows.iter().map(Row::length).sum();
         let digests = self.digests.map_or(0, |digests| 2 * digests.len());
-        HEADER
+        HEADER_BYTES
             + rows
-            + part(digests)
-            + part(2 * self.wants.len().min(MOST_WANTED))
-            + part(BRIEF * self.briefs.len())
+            + part_length(digests)
+            + part_length(2 * self.requested_nodes.len().min(MAX_REQUESTED_ROWS))
+            + part_length(BRIEF_BYTES * self.brief_rows.len())
     }
 
-    /// Adds a row, in brief or whole, if the datagram is no longer than `most` then. Tells whether it was.
-    pub fn add(&mut self, row: Row, brief: bool, most: usize) -> bool {
-        let length = match (brief, self.briefs.is_empty()) {
+    /// Adds a row, in brief or in full, unless the datagram would become longer than `max_bytes`. Returns whether it
+    /// was added.
+    pub fn add(&mut self, row: Row, brief: bool, max_bytes: usize) -> bool {
+        let length = match (brief, self.brief_rows.is_empty()) {
             (false, _) => row.length(),
-            (true, false) => BRIEF,
-            (true, true) => PART_HEAD + BRIEF,
+            (true, false) => BRIEF_BYTES,
+            (true, true) => PART_HEADER_BYTES + BRIEF_BYTES,
         };
-        let fits = self.length() + length <= most.min(LONGEST);
+        let fits = self.length() + length <= max_bytes.min(MAX_DATAGRAM_BYTES);
         if fits {
-            let list = if brief { &mut self.briefs } else { &mut self.rows };
+            let list = if brief { &mut self.brief_rows } else { &mut self.rows };
             list.push(row);
         }
         fits
     }
 
-    /// Whether it has a row of this node.
-    pub fn has(&self, origin: u16) -> bool {
-        self.rows.iter().chain(&self.briefs).any(|row| row.origin == origin)
+    /// Whether it contains a row of this node.
+    pub fn has_row_of(&self, origin: u16) -> bool {
+        self.rows.iter().chain(&self.brief_rows).any(|row| row.origin == origin)
     }
 }
 
-/// Writes a datagram; what doesn't fit is left out. Never longer than [`LONGEST`].
-pub fn put(site: u32, said: &Said) -> Vec<u8> {
-    let mut out = begin(MAGIC, site, Header { flags: 0, word: said.epoch });
-    let wants = &said.wants[..said.wants.len().min(MOST_WANTED)];
-    if !wants.is_empty() {
-        out.put_u8(WANTS);
-        out.put_u8(2 * wants.len() as u8);
-        wants.iter().for_each(|&node| out.put_u16(node));
+/// Encodes a datagram. Rows that do not fit are omitted, so that it is never longer than [`MAX_DATAGRAM_BYTES`].
+pub fn encode(site: u32, message: &Message) -> Vec<u8> {
+    let mut out = begin(MAGIC, site, Header { flags: 0, state_digest: message.epoch });
+    let requested_nodes = &message.requested_nodes[..message.requested_nodes.len().min(MAX_REQUESTED_ROWS)];
+    if !requested_nodes.is_empty() {
+        out.put_u8(REQUESTED_NODES);
+        out.put_u8(2 * requested_nodes.len() as u8);
+        requested_nodes.iter().for_each(|&node| out.put_u16(node));
     }
-    if let Some(digests) = &said.digests {
+    if let Some(digests) = &message.digests {
         out.put_u8(DIGESTS);
-        out.put_u8(2 * BUCKETS as u8);
+        out.put_u8(2 * DIGEST_BUCKETS as u8);
         digests.iter().for_each(|&digest| out.put_u16(digest));
     }
-    for row in &said.rows {
-        if out.len() + row.length() <= LONGEST {
+    for row in &message.rows {
+        if out.len() + row.length() <= MAX_DATAGRAM_BYTES {
             row.put(&mut out);
         }
     }
-    let room = LONGEST.saturating_sub(out.len() + PART_HEAD) / BRIEF;
-    let briefs = &said.briefs[..said.briefs.len().min(room)];
-    if !briefs.is_empty() {
-        out.put_u8(BRIEFS);
-        out.put_u8((BRIEF * briefs.len()) as u8);
-        for brief in briefs {
+    let max_briefs = MAX_DATAGRAM_BYTES.saturating_sub(out.len() + PART_HEADER_BYTES) / BRIEF_BYTES;
+    let brief_rows = &message.brief_rows[..message.brief_rows.len().min(max_briefs)];
+    if !brief_rows.is_empty() {
+        out.put_u8(BRIEF_ROWS);
+        out.put_u8((BRIEF_BYTES * brief_rows.len()) as u8);
+        for brief in brief_rows {
             out.put_u16(brief.origin);
             out.put_uint(brief.incarnation, 6);
-            out.put_u32(brief.beat);
-            out.put_u8(brief.standing.bits());
+            out.put_u32(brief.heartbeat);
+            out.put_u8(brief.flags.bits());
         }
     }
-    seal(&mut out);
+    finish(&mut out);
     out
 }
 
-/// Reads a datagram of nodes with this site.
+/// Decodes a datagram from a node of this site.
 ///
 /// # Errors
-/// If it is none, or another's.
-pub fn read(site: u32, datagram: &[u8]) -> Result<Said, Unread> {
+/// If it is malformed or corrupted, or comes from another site.
+pub fn decode(site: u32, datagram: &[u8]) -> Result<Message, DecodeError> {
     let (header, parts) = open(MAGIC, site, datagram)?;
-    let mut said = Said { epoch: header.word, ..Said::default() };
+    let mut message = Message { epoch: header.state_digest, ..Message::default() };
     for part in parts {
         let (kind, mut body) = part?;
         match kind {
-            ROW => said.rows.push(Row::read(body).ok_or(Unread::Form)?),
-            WANTS => {
-                while body.len() >= 2 && said.wants.len() < MOST_WANTED {
-                    said.wants.push(body.get_u16());
+            ROW => message.rows.push(Row::read(body).ok_or(DecodeError::Malformed)?),
+            REQUESTED_NODES => {
+                while body.len() >= 2 && message.requested_nodes.len() < MAX_REQUESTED_ROWS {
+                    message.requested_nodes.push(body.get_u16());
                 }
             }
-            DIGESTS if body.len() >= 2 * BUCKETS => {
-                said.digests = Some(std::array::from_fn(|_| body.get_u16()));
+            DIGESTS if body.len() >= 2 * DIGEST_BUCKETS => {
+                message.digests = Some(std::array::from_fn(|_| body.get_u16()));
             }
-            BRIEFS => {
-                while body.len() >= BRIEF {
-                    let (origin, incarnation, beat) = (body.get_u16(), body.get_uint(6), body.get_u32());
-                    let standing = Standing::of(body.get_u8());
-                    said.briefs.push(Row { origin, incarnation, beat, standing, ..Row::default() });
+            BRIEF_ROWS => {
+                while body.len() >= BRIEF_BYTES {
+                    let (origin, incarnation, heartbeat) = (body.get_u16(), body.get_uint(6), body.get_u32());
+                    let flags = NodeFlags::from_bits(body.get_u8());
+                    message.brief_rows.push(Row { origin, incarnation, heartbeat, flags, ..Row::default() });
                 }
             }
             _ => {}
         }
     }
-    Ok(said)
+    Ok(message)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn row(rng: &mut fastrand::Rng) -> Row {
-        let watches = rng.u8(0..=WATCHERS as u8);
+    fn random_row(rng: &mut fastrand::Rng) -> Row {
+        let watches = rng.u8(0..=MAX_WATCHERS as u8);
         let mut row = Row {
             origin: rng.u16(..),
             incarnation: rng.u64(..1 << INCARNATION_BITS),
-            beat: rng.u32(..),
+            heartbeat: rng.u32(..),
             watches,
             ..Row::default()
         };
-        row.standing = Standing::of(rng.u8(..));
+        row.flags = NodeFlags::from_bits(rng.u8(..));
         for heard in &mut row.heard[..usize::from(watches)] {
-            let (incarnation, beat) = (rng.u32(..), rng.u16(..));
-            *heard = Heard { incarnation, beat, direct: rng.u8(..9) > 0, expired: rng.u8(..9) == 0 };
+            let (incarnation, heartbeat) = (rng.u32(..), rng.u16(..));
+            *heard = Heard { incarnation, heartbeat, direct: rng.u8(..9) > 0, expired: rng.u8(..9) == 0 };
         }
         row
     }
 
     #[test]
-    fn what_is_put_is_read_and_what_is_garbled_or_cut_is_not() {
+    fn messages_survive_encoding_and_invalid_datagrams_are_rejected() {
         let mut rng = fastrand::Rng::with_seed(47);
         for _ in 0..3_000 {
-            let rows: Vec<Row> = (0..rng.usize(1..=9)).map(|_| row(&mut rng)).collect();
+            let rows: Vec<Row> = (0..rng.usize(1..=9)).map(|_| random_row(&mut rng)).collect();
             let epoch = rng.u32(..);
-            let wants: Vec<u16> = (0..rng.usize(0..=MOST_WANTED)).map(|_| rng.u16(..)).collect();
+            let requested_nodes: Vec<u16> =
+                (0..rng.usize(0..=MAX_REQUESTED_ROWS)).map(|_| rng.u16(..)).collect();
             let digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
-            let mut told = Said { epoch, rows: vec![rows[0]], wants, digests, ..Said::default() };
-            rows[1..].iter().for_each(|row| _ = told.add(*row, row.is_plain(), LONGEST));
-            let text = put(7, &told);
-            assert_eq!(text.len(), told.length());
-            let said = read(7, &text).unwrap();
-            assert_eq!((said.epoch, &said.rows, &said.wants), (epoch, &told.rows, &told.wants));
-            assert_eq!(said.digests, digests);
-            let brief = |row: &Row| (row.age(), row.origin, row.standing);
-            assert!(said.briefs.iter().map(brief).eq(told.briefs.iter().map(brief)));
-            let all = Said { epoch, rows: rows.clone(), briefs: rows, ..Said::default() };
-            assert!(put(7, &all).len() <= LONGEST);
-            assert_eq!(read(8, &text), Err(Unread::Site));
+            let mut message =
+                Message { epoch, rows: vec![rows[0]], requested_nodes, digests, ..Message::default() };
+            rows[1..].iter().for_each(|row| _ = message.add(*row, row.is_routine(), MAX_DATAGRAM_BYTES));
+            let datagram = encode(7, &message);
+            assert_eq!(datagram.len(), message.length());
+            let decoded = decode(7, &datagram).unwrap();
+            assert_eq!(
+                (decoded.epoch, &decoded.rows, &decoded.requested_nodes),
+                (epoch, &message.rows, &message.requested_nodes)
+            );
+            assert_eq!(decoded.digests, digests);
+            let brief = |row: &Row| (row.version(), row.origin, row.flags);
+            assert!(decoded.brief_rows.iter().map(brief).eq(message.brief_rows.iter().map(brief)));
+            let all = Message { epoch, rows: rows.clone(), brief_rows: rows, ..Message::default() };
+            assert!(encode(7, &all).len() <= MAX_DATAGRAM_BYTES);
+            assert_eq!(decode(8, &datagram), Err(DecodeError::WrongSite));
             let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-            assert!(read(7, &noise).is_err());
+            assert!(decode(7, &noise).is_err());
         }
     }
 
-    /// A corpus: what builds before and after this one send.
+    /// Datagrams as earlier and later builds send them.
     #[test]
-    fn a_newer_build_is_read_as_far_as_it_has_the_same_words() {
+    fn datagrams_of_a_newer_build_are_decoded_as_far_as_their_format_is_known() {
         let mut rng = fastrand::Rng::with_seed(48);
-        let (known, sealed) = (row(&mut rng), |mut text: Vec<u8>| {
-            seal(&mut text);
-            text
+        let (known, finished) = (random_row(&mut rng), |mut datagram: Vec<u8>| {
+            finish(&mut datagram);
+            datagram
         });
-        let text = put(7, &Said { epoch: 3, rows: vec![known], wants: vec![5], ..Said::default() });
-        let mut newer = text.clone();
+        let datagram = encode(
+            7,
+            &Message { epoch: 3, rows: vec![known], requested_nodes: vec![5], ..Message::default() },
+        );
+        let mut newer = datagram.clone();
         newer[2] = 9; // a later version
-        newer.extend_from_slice(&[200, 5, 1, 2, 3, 4, 5]); // a part of a kind not known here
+        newer.extend_from_slice(&[200, 5, 1, 2, 3, 4, 5]); // a part of an unknown kind
         assert_eq!(
-            read(7, &sealed(newer)),
-            Ok(Said { epoch: 3, rows: vec![known], wants: vec![5], ..Said::default() })
+            decode(7, &finished(newer)),
+            Ok(Message { epoch: 3, rows: vec![known], requested_nodes: vec![5], ..Message::default() })
         );
-        let mut longer = text.clone();
-        longer[HEADER + 5] += 7; // a row with something behind it
+        let mut longer = datagram.clone();
+        longer[HEADER_BYTES + 5] += 7; // a row with extra bytes at its end
         longer.extend_from_slice(&[9; 7]);
-        assert_eq!(read(7, &sealed(longer)).map(|said| said.rows), Ok(vec![known]));
-        let mut none = text.clone();
-        none[2] = 0;
-        assert_eq!(read(7, &sealed(none)), Err(Unread::Form));
-        let mut overrun = text.clone();
-        overrun[HEADER + 5] = 250; // a part longer than what came
-        assert_eq!(read(7, &sealed(overrun)), Err(Unread::Form));
-        let mut short = text;
-        short.truncate(HEADER);
+        assert_eq!(decode(7, &finished(longer)).map(|message| message.rows), Ok(vec![known]));
+        let mut version_zero = datagram.clone();
+        version_zero[2] = 0;
+        assert_eq!(decode(7, &finished(version_zero)), Err(DecodeError::Malformed));
+        let mut overrun = datagram.clone();
+        overrun[HEADER_BYTES + 5] = 250; // a part longer than the rest of the datagram
+        assert_eq!(decode(7, &finished(overrun)), Err(DecodeError::Malformed));
+        let mut short = datagram;
+        short.truncate(HEADER_BYTES);
         short.extend_from_slice(&[ROW, 3, 1, 2, 3]);
-        assert_eq!(read(7, &sealed(short)), Err(Unread::Form));
+        assert_eq!(decode(7, &finished(short)), Err(DecodeError::Malformed));
     }
 
     #[test]
-    fn six_rows_of_four_beats_fill_the_longest_datagram() {
-        let row = Row { watches: WATCHERS as u8, ..Row::default() };
-        let mut said = Said { rows: vec![row; 6], ..Said::default() };
-        assert_eq!(said.length(), LONGEST);
-        said.rows.push(row);
-        assert_eq!(put(1, &said).len(), LONGEST);
+    fn six_rows_with_four_watched_nodes_fill_the_longest_datagram() {
+        let row = Row { watches: MAX_WATCHERS as u8, ..Row::default() };
+        let mut message = Message { rows: vec![row; 6], ..Message::default() };
+        assert_eq!(message.length(), MAX_DATAGRAM_BYTES);
+        message.rows.push(row);
+        assert_eq!(encode(1, &message).len(), MAX_DATAGRAM_BYTES);
     }
 }
