--- a/crates/bench/src/bin/console.rs
+++ b/crates/bench/src/bin/console.rs
@@ -17,7 +17,7 @@
 use lilacquay_bench::Subject;
 use lilacquay_fleet::clients::{self, Load, latency_histogram};
 use lilacquay_fleet::{Fleet, FleetConfig};
-use lilacquay_observe::{End, Kind, Observer, Repeats, Request};
+use lilacquay_observe::{AnswerKind, AttemptOutcome, Observer, RequestInfo, RetrySafety};
 use portable_pty::{Child, CommandBuilder, MasterPty, PtySize, native_pty_system};
 
 type Failed = Box<dyn Error>;
@@ -215,20 +215,22 @@
             // As the core does: one look whether there is an observer for each of what happens.
             if let Some(observer) = black_box(&mut *observer) {
                 let (class, tenant) = (Some(0), None);
-                observer
-                    .arrived(now, Request { id: n, class, tenant, wait: 1_000_000, repeats: Repeats::Free });
+                observer.request_arrived(
+                    now,
+                    RequestInfo { id: n, class, tenant, wait: 1_000_000, retry_safety: RetrySafety::Safe },
+                );
             }
             if let Some(observer) = black_box(&mut *observer) {
-                observer.sent(now, n, n % 12);
+                observer.attempt_sent(now, n, n % 12);
             }
             if let Some(observer) = black_box(&mut *observer) {
-                observer.ended(now + 90, n, n % 12, End::Served, 90);
+                observer.attempt_ended(now + 90, n, n % 12, AttemptOutcome::Served, 90);
             }
             if let Some(observer) = black_box(&mut *observer) {
-                observer.answered(now + 90, n, Kind::Served, || "a key");
+                observer.request_answered(now + 90, n, AnswerKind::Served, || "a key");
             }
             if let Some(observer) = black_box(&mut *observer) {
-                observer.closed(n);
+                observer.request_closed(n);
             }
         }
         start.elapsed().as_nanos() as f64 / f64::from(REQUESTS)
--- a/crates/bench/src/bin/operation.rs
+++ b/crates/bench/src/bin/operation.rs
@@ -17,7 +17,7 @@
 use lilacquay_bench::{Subject, median, quantiles};
 use lilacquay_fleet::clients::{self, Load, latency_histogram};
 use lilacquay_fleet::{Fleet, FleetConfig};
-use lilacquay_metrics::{Book, End};
+use lilacquay_metrics::{Metrics, RequestOutcome};
 
 type Failed = Box<dyn Error>;
 
@@ -37,7 +37,7 @@
 
 fn main() -> Result<(), Failed> {
     let args = Args::parse();
-    book();
+    metrics();
     large(&args)?;
     readers(&args)?;
     replaced(&args)?;
@@ -45,16 +45,16 @@
 }
 
 /// What counting costs a request that is sent once and served.
-fn book() {
+fn metrics() {
     const REQUESTS: u32 = 10_000_000;
-    let book = Book::new(vec!["read".into(), "put".into()]);
-    let tries = book.tries();
+    let metrics = Metrics::new(vec!["read".into(), "put".into()]);
+    let tries = metrics.attempt_counter();
     let start = Instant::now();
     for n in 0..REQUESTS {
-        let book = black_box(&book);
-        book.taken();
-        tries.count();
-        book.ended(Some((n & 1) as usize), Some(End::Passed));
+        let metrics = black_box(&metrics);
+        metrics.request_started();
+        tries.increment();
+        metrics.request_ended(Some((n & 1) as usize), Some(RequestOutcome::Served));
     }
     println!("the book: {:.1} ns a request\n", start.elapsed().as_nanos() as f64 / f64::from(REQUESTS));
 }
--- a/crates/control/src/folder.rs
+++ b/crates/control/src/folder.rs
@@ -9,7 +9,7 @@
 
 use flate2::Compression;
 use flate2::write::GzEncoder;
-use lilacquay_overrides::Kept;
+use lilacquay_overrides::PersistentOrder;
 use serde::{Deserialize, Serialize};
 
 use crate::messages::ControlRequest;
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// If the file cannot be read or parsed. It is left unchanged.
-    pub fn load_orders(&self) -> io::Result<Vec<Kept>> {
+    pub fn load_orders(&self) -> io::Result<Vec<PersistentOrder>> {
         let path = self.0.join("orders.json");
         let with_path = |error: io::Error| {
             let message = format!(
@@ -109,9 +109,9 @@
         };
         let file: OrdersFile = serde_json::from_slice(&text).map_err(|error| with_path(error.into()))?;
         let now = unix_ms();
-        let to_kept = |PersistedOrder { server, until_ms, mark }| Kept {
+        let to_kept = |PersistedOrder { server, until_ms, mark }| PersistentOrder {
             server,
-            left: until_ms.map(|until| until.saturating_sub(now) * 1000),
+            remaining: until_ms.map(|until| until.saturating_sub(now) * 1000),
             mark,
         };
         Ok(file.orders.into_iter().map(to_kept).collect())
@@ -121,9 +121,9 @@
     ///
     /// # Errors
     /// If they cannot be written; the previous ones then remain.
-    pub fn save_orders(&self, orders: Vec<Kept>) -> io::Result<()> {
+    pub fn save_orders(&self, orders: Vec<PersistentOrder>) -> io::Result<()> {
         let now = unix_ms();
-        let to_persisted = |Kept { server, left, mark }| PersistedOrder {
+        let to_persisted = |PersistentOrder { server, remaining: left, mark }| PersistedOrder {
             server,
             until_ms: left.map(|left| now + left / 1000),
             mark,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -13,7 +13,7 @@
 pub use event_log::EventLog;
 pub use folder::StateDir;
 pub use messages::{
-    ActiveOrder, Answer, ControlRequest, LinkStatus, OrderAcks, PeerReplicaStatus, RecordKindStatus,
+    Answer, ControlRequest, LinkStatus, OrderAcks, OrderReport, PeerReplicaStatus, RecordKindStatus,
     RecordSummary, ReplicaReport, ReplicatedOrder, RequestEnvelope, ServerReport, SiblingReport,
     SiblingsReport, Version,
 };
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -2,7 +2,7 @@
 
 use lilacquay_core::{ServerState, ServerStatus};
 use lilacquay_observe::{EventBatch, Snapshot};
-use lilacquay_overrides::{Ask, Held, Hold, Micros, Order};
+use lilacquay_overrides::{ActiveOrder, Micros, Order, OrderEffect, OrderRequest};
 use serde::{Deserialize, Serialize};
 
 /// The version of the protocol. A node answers requests of this version and of all earlier ones, with answers that
@@ -116,7 +116,7 @@
     /// The orders in force.
     Orders {
         /// In the order of the servers.
-        orders: Vec<ActiveOrder>,
+        orders: Vec<OrderReport>,
     },
     /// The servers of the list.
     Servers {
@@ -157,7 +157,7 @@
         /// Number of the order.
         number: u64,
         /// The order that it replaces.
-        replaced: Option<ActiveOrder>,
+        replaced: Option<OrderReport>,
         /// Why the order could not be persisted or written to the audit log, if so.
         unrecorded: Option<String>,
         /// How many nodes hold the order, if orders are replicated.
@@ -180,7 +180,7 @@
 
 /// An order in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ActiveOrder {
+pub struct OrderReport {
     /// Name of the server.
     pub server: String,
     /// Remaining validity in seconds; none if the order is valid until it is revoked.
@@ -435,14 +435,14 @@
     }
 }
 
-impl ActiveOrder {
+impl OrderReport {
     /// Describes an order on a server, with its remaining validity at the time `now`.
-    pub fn new(server: &str, held: Held, now: Micros) -> Self {
-        let seconds_left = match held.hold {
-            Hold::Drain => None,
-            Hold::LeftOut(until) => Some(until.saturating_sub(now) as f64 / 1e6),
+    pub fn new(server: &str, held: ActiveOrder, now: Micros) -> Self {
+        let seconds_left = match held.effect {
+            OrderEffect::Drain => None,
+            OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
-        ActiveOrder { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
+        OrderReport { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
     }
 }
 
@@ -456,7 +456,7 @@
     }
 
     /// The order on a server that this request gives; none if it is another request.
-    pub fn server_order(&self) -> Option<Ask> {
+    pub fn server_order(&self) -> Option<OrderRequest> {
         match self.clone() {
             ControlRequest::Orders
             | ControlRequest::Servers
@@ -471,11 +471,17 @@
             | ControlRequest::Join
             | ControlRequest::Diagnose => None,
             ControlRequest::Drain { server, seconds, lasting, force, seen, .. } => {
-                let leave_out = |seconds: u64| Order::LeaveOut(seconds.saturating_mul(1_000_000));
-                Some(Ask { server, order: seconds.map_or(Order::Drain, leave_out), lasting, force, seen })
+                let leave_out = |seconds: u64| Order::Exclude(seconds.saturating_mul(1_000_000));
+                Some(OrderRequest {
+                    server,
+                    order: seconds.map_or(Order::Drain, leave_out),
+                    lasting,
+                    force,
+                    seen,
+                })
             }
             ControlRequest::Undrain { server, seen, .. } => {
-                Some(Ask { server, order: Order::Undrain, lasting: false, force: false, seen })
+                Some(OrderRequest { server, order: Order::Undrain, lasting: false, force: false, seen })
             }
         }
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -6,7 +6,7 @@
 
 use futures_util::{SinkExt, StreamExt};
 use lilacquay_core::{CoreHandle, OrdersInForce};
-use lilacquay_overrides::{Ask, Done, Kept};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, PersistentOrder};
 use serde_json::{Value, json};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{Mutex, Semaphore, mpsc, oneshot};
@@ -18,7 +18,7 @@
 use crate::event_log::EventLog;
 use crate::folder::StateDir;
 use crate::messages::{
-    ActiveOrder, Answer, ControlRequest, MAX_LINE_BYTES, OrderAcks, ReplicaReport, RequestEnvelope,
+    Answer, ControlRequest, MAX_LINE_BYTES, OrderAcks, OrderReport, ReplicaReport, RequestEnvelope,
     ServerReport, SiblingsReport, VERSION,
 };
 use crate::publisher::Publisher;
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterOrder {
     /// An order on a server, which this node has already carried out.
-    Server(Ask),
+    Server(OrderRequest),
     /// Set the log level.
     Level(String),
 }
@@ -410,10 +410,15 @@
         }
     }
 
-    async fn accepted(&self, request: ControlRequest, done: &Done, held: Option<OrderAcks>) -> Answer {
+    async fn accepted(
+        &self,
+        request: ControlRequest,
+        done: &AppliedOrder,
+        held: Option<OrderAcks>,
+    ) -> Answer {
         let _guard = self.persisting.lock().await;
         let Ok(in_force) = self.core.orders_in_force().await else { return ending() };
-        let replaced = done.replaced.map(|held| ActiveOrder::new(server_name(&request), held, in_force.now));
+        let replaced = done.replaced.map(|held| OrderReport::new(server_name(&request), held, in_force.now));
         let held_by =
             held.map_or(String::new(), |held| format!(", held by {} of {} nodes", held.nodes, held.of));
         let outcome = format!("obeyed as order {}{held_by}", done.number);
@@ -433,7 +438,7 @@
         let Ok(OrdersInForce { orders, now, .. }) = self.core.orders_in_force().await else {
             return ending();
         };
-        let orders = orders.iter().map(|(server, held)| ActiveOrder::new(server, *held, now)).collect();
+        let orders = orders.iter().map(|(server, held)| OrderReport::new(server, *held, now)).collect();
         Answer::Orders { orders }
     }
 
@@ -443,7 +448,7 @@
         &self,
         request: ControlRequest,
         outcome: String,
-        kept: Option<Vec<Kept>>,
+        kept: Option<Vec<PersistentOrder>>,
     ) -> io::Result<()> {
         let request_json = serde_json::to_string(&request).unwrap_or_default();
         info!(order = request_json, "{outcome}");
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lilacquay_observe::ShareNow;
+use lilacquay_observe::ShareStatus;
 use lilacquay_quota::{Completion, Dimension, Quota, QuotaRequest, Ticket};
 use paddlefold::{Micros, Settings};
 
@@ -67,7 +67,7 @@
     }
 
     /// The current state of all shares, for operators.
-    pub(crate) fn shares(&mut self, now: Micros) -> Vec<ShareNow> {
+    pub(crate) fn shares(&mut self, now: Micros) -> Vec<ShareStatus> {
         share_statuses(&mut self.quota, now)
     }
 
@@ -78,7 +78,7 @@
 }
 
 /// The state of each share and measure, in the form that operators read.
-fn share_statuses(quota: &mut Quota, now: Micros) -> Vec<ShareNow> {
+fn share_statuses(quota: &mut Quota, now: Micros) -> Vec<ShareStatus> {
     let plan = quota.plan().clone();
     let mut statuses = Vec::new();
     for (share, share_plan) in plan.shares.iter().enumerate().take(MAX_REPORTED_SHARES) {
@@ -96,7 +96,7 @@
                 Dimension::InFlight => format!("{unit}, lane {}", measure.lane),
                 _ => format!("{unit} in {window_seconds} s, lane {}", measure.lane),
             };
-            statuses.push(ShareNow {
+            statuses.push(ShareStatus {
                 name: share_plan.name.clone(),
                 depth,
                 measure: description,
--- a/crates/core/src/driver.rs
+++ b/crates/core/src/driver.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use lilacquay_metrics::{Book, End};
-use lilacquay_observe::{CommonNow, Kind};
+use lilacquay_metrics::{Metrics, RequestOutcome};
+use lilacquay_observe::{AnswerKind, ReplicaSummary};
 use lilacquay_overrides::PersistentOrder;
 use lilacquay_quota::Ticket;
 use paddlefold::setup::Setup;
@@ -155,7 +155,7 @@
     /// The quotas that are applied before the balancer sees a request, if any.
     pub quotas: Option<Admission>,
     /// The metrics that the driver updates.
-    pub metrics: Book,
+    pub metrics: Metrics,
     /// The version of the initial list, if it has one from before this process, such as from a predecessor process.
     pub list_version: Option<u64>,
     /// What the balancer of a predecessor process had learned.
@@ -193,8 +193,8 @@
     membership_summary: Option<MembershipSummary>,
     /// Statistics on the state that the nodes replicate: its records and conflicts, whether this node is behind, and
     /// the servers left out.
-    replication_statistics: Option<CommonNow>,
-    metrics: Book,
+    replication_statistics: Option<ReplicaSummary>,
+    metrics: Metrics,
     /// The version of the list, if its source has one.
     list_version: Option<u64>,
     /// This process's share of all limits.
@@ -238,7 +238,7 @@
             directory: Directory::new(
                 Duration::from_micros(settings.keepalive),
                 settings.nodes,
-                options.metrics.tries(),
+                options.metrics.attempt_counter(),
             ),
             metrics: options.metrics,
             list_version: options.list_version,
@@ -380,7 +380,7 @@
         self.events
             .push_back(Event::CapacityShare { share: f64::from(status.share_thousandths) / 1e3, until });
         self.directory.set_nodes(status.node_count());
-        self.metrics.siblings(status.peer_counts);
+        self.metrics.set_sibling_counts(status.peer_counts);
         self.membership_summary = Some(status);
     }
 
@@ -422,7 +422,7 @@
             let recently_used = last_sent.is_some_and(|last_sent| now < last_sent + AVOIDED_AFTER);
             avoided += usize::from(!is_serving || !recently_used && is_excluded());
         }
-        self.metrics.caches(known, avoided);
+        self.metrics.set_cache_counts(known, avoided);
         known
     }
 
@@ -482,7 +482,7 @@
             (ReplicatedUpdate::PeerSlowness(slowness), _) => self.set_peer_slowness(now, &slowness),
             (ReplicatedUpdate::Statistics(statistics), _) => {
                 let behind = usize::from(statistics.behind);
-                self.metrics.common([statistics.records, statistics.conflicts, behind]);
+                self.metrics.set_replica_counts([statistics.records, statistics.conflicts, behind]);
                 self.replication_statistics = Some(statistics);
             }
             (_, None) => {}
@@ -554,7 +554,7 @@
 
     fn open_request(&mut self, new_request: NewRequest) {
         let NewRequest { id, call, received_at, answer } = new_request;
-        self.metrics.taken();
+        self.metrics.request_started();
         debug!(
             request = id.0,
             id = %String::from_utf8_lossy(&call.id),
@@ -562,7 +562,7 @@
             "request received"
         );
         if self.shutting_down.load(Ordering::Relaxed) {
-            self.metrics.ended(call.class, Some(End::Dropped));
+            self.metrics.request_ended(call.class, Some(RequestOutcome::Refused));
             return drop(answer.send(Answer::Busy(0))); // the client may have disconnected
         }
         let quota_ticket = match &mut self.quotas {
@@ -572,7 +572,7 @@
                 // Over its share: refused at once, like requests that the balancer refuses.
                 Err(retry_after) => {
                     self.request_log.refused_over_share(call.tenant);
-                    self.metrics.ended(call.class, Some(End::Dropped));
+                    self.metrics.request_ended(call.class, Some(RequestOutcome::Refused));
                     let retry_after = retry_after.min(self.setup.settings.max_retry_after);
                     return drop(answer.send(Answer::Busy(retry_after))); // the client may have disconnected
                 }
@@ -612,8 +612,8 @@
             let _ = request.client_left.set(Instant::now()); // a client disconnects only once
             debug!(request = id.0, attempts = request.attempts.len(), "client disconnected");
             if request.answer.take().is_some() {
-                self.request_log.request_answered(id, Kind::Gone, || &request.call.key);
-                self.metrics.ended(request.call.class, None);
+                self.request_log.request_answered(id, AnswerKind::Gone, || &request.call.key);
+                self.metrics.request_ended(request.call.class, None);
             }
             self.events.push_back(Event::ClientGone(id));
             self.close_if_done(id);
@@ -640,7 +640,7 @@
             let kind = answer_kind(&answer);
             debug!(request = id.0, attempts = request.attempts.len(), answer = ?kind, "request answered");
             self.request_log.request_answered(id, kind, || &request.call.key);
-            self.metrics.ended(request.call.class, Some(answer_end(&answer)));
+            self.metrics.request_ended(request.call.class, Some(answer_end(&answer)));
             let _ = sender.send(answer); // the client may have disconnected
         }
         self.close_if_done(id);
@@ -661,11 +661,11 @@
 }
 
 /// The end of a request, as the metrics count it.
-fn answer_end(answer: &Answer) -> End {
+fn answer_end(answer: &Answer) -> RequestOutcome {
     match answer {
-        Answer::Served(_) | Answer::Streaming(_) => End::Passed,
-        Answer::Busy(_) => End::Dropped,
-        Answer::Failed => End::Failed,
+        Answer::Served(_) | Answer::Streaming(_) => RequestOutcome::Served,
+        Answer::Busy(_) => RequestOutcome::Refused,
+        Answer::Failed => RequestOutcome::Failed,
     }
 }
 
--- a/crates/core/src/driver/attempts.rs
+++ b/crates/core/src/driver/attempts.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use lilacquay_metrics::End;
-use lilacquay_observe::Kind;
+use lilacquay_metrics::RequestOutcome;
+use lilacquay_observe::AnswerKind;
 use paddlefold::{AttemptEnd, Event, Micros, Outcome, RequestId, ServerId};
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
@@ -105,7 +105,7 @@
             Ok(_) => Some(Permit { deadline, granted_at: Instant::now() }),
             Err(reason) => {
                 debug!(request = id.0, attempt, "attempt not permitted to start: {reason}");
-                self.metrics.withheld();
+                self.metrics.attempt_withheld();
                 None
             }
         }
@@ -162,8 +162,8 @@
             && let Some(request) = self.open_requests.get_mut(&id)
             && let Some(sender) = request.answer.take()
         {
-            self.request_log.request_answered(id, Kind::Served, || &request.call.key);
-            self.metrics.ended(request.call.class, Some(End::Passed));
+            self.request_log.request_answered(id, AnswerKind::Served, || &request.call.key);
+            self.metrics.request_ended(request.call.class, Some(RequestOutcome::Served));
             let _ = sender.send(Answer::Served(reply.result)); // the client may have disconnected
         }
         self.report_attempt_end(id, attempt, reply.outcome, elapsed, reply.cache_hit);
@@ -192,12 +192,12 @@
         };
         request.is_streaming = false;
         let (kind, end) = match outcome {
-            Outcome::Ok => (Kind::Served, Some(End::Passed)),
-            Outcome::Canceled => (Kind::Gone, None), // the client has disconnected
-            _ => (Kind::Failed, Some(End::Failed)),
+            Outcome::Ok => (AnswerKind::Served, Some(RequestOutcome::Served)),
+            Outcome::Canceled => (AnswerKind::Gone, None), // the client has disconnected
+            _ => (AnswerKind::Failed, Some(RequestOutcome::Failed)),
         };
         self.request_log.request_answered(id, kind, || &request.call.key);
-        self.metrics.ended(request.call.class, end);
+        self.metrics.request_ended(request.call.class, end);
     }
 
     /// Reports the end of an attempt to the balancer.
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -3,7 +3,10 @@
 use std::collections::HashMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use lilacquay_observe::{Answers, BoxNow, List as ListNow, Observer, OrderNow, SiblingsNow, Snapshot, Waits};
+use lilacquay_observe::{
+    AnswerCounts, BoxStatus, Observer, OrderStatus, ServerListStatus, SiblingsSummary, Snapshot,
+    TraceWaitReason,
+};
 use lilacquay_overrides::OrderEffect;
 use paddlefold::{Micros, RequestId, ServerId, WaitReason};
 use tokio::time::Instant;
@@ -14,12 +17,12 @@
 use crate::upstream::Upstream;
 
 /// What a request waits for, as observers report it.
-fn to_waits(waiting: WaitReason) -> Waits {
+fn to_waits(waiting: WaitReason) -> TraceWaitReason {
     match waiting {
-        WaitReason::NotWaiting => Waits::Nothing,
-        WaitReason::InFlightFetch => Waits::Fetch,
-        WaitReason::ConcurrencySlot => Waits::Place,
-        WaitReason::Backoff => Waits::Pause,
+        WaitReason::NotWaiting => TraceWaitReason::Undecided,
+        WaitReason::InFlightFetch => TraceWaitReason::SharedFetch,
+        WaitReason::ConcurrencySlot => TraceWaitReason::ConcurrencyLimit,
+        WaitReason::Backoff => TraceWaitReason::RetryBackoff,
     }
 }
 
@@ -44,7 +47,7 @@
             version: env!("CARGO_PKG_VERSION").into(),
             open: self.open_requests.len(),
             connections: self.running_attempts + self.directory.idle_count(),
-            list: ListNow {
+            list: ServerListStatus {
                 source: self.request_log.list_source.into(),
                 told_s: now.saturating_sub(self.request_log.list_received_at) as f64 / 1e6,
                 failures: self.request_log.list_failures,
@@ -52,10 +55,10 @@
             ..Snapshot::default()
         };
         let totals = self.metrics.totals();
-        let (served, busy, failed) = (totals.passed, totals.dropped, totals.failed);
-        snapshot.since_start = Answers { served, busy, failed, gone: 0 };
-        snapshot.tries = totals.tries;
-        snapshot.siblings = self.membership_summary.map(|status| SiblingsNow {
+        let (served, busy, failed) = (totals.served, totals.refused, totals.failed);
+        snapshot.since_start = AnswerCounts { served, busy, failed, gone: 0 };
+        snapshot.tries = totals.attempts;
+        snapshot.siblings = self.membership_summary.map(|status| SiblingsSummary {
             here: status.peer_counts[0],
             gone: status.peer_counts[1],
             unknown: status.peer_counts[2],
@@ -72,11 +75,11 @@
         let names = self.directory.names();
         let mut observer = self.request_log.observer.take();
         if let Some(observer) = &mut observer {
-            observer.figures(now, &mut snapshot, &self.request_log.tenant_names);
-            observer.keep_servers(|id| names.contains_key(&ServerId(id)));
+            observer.fill_statistics(now, &mut snapshot, &self.request_log.tenant_names);
+            observer.retain_servers(|id| names.contains_key(&ServerId(id)));
             let open_request = |id: u32| {
                 let id = RequestId(id);
-                let waits = self.balancer.wait_reason(id).map_or(Waits::Nothing, to_waits);
+                let waits = self.balancer.wait_reason(id).map_or(TraceWaitReason::Undecided, to_waits);
                 Some((self.open_requests.get(&id)?.call.key.clone(), waits))
             };
             let server_name = |id: u32| {
@@ -87,14 +90,15 @@
             };
             let tenant_name =
                 |tenant: usize| self.request_log.tenant_names.get(tenant).cloned().unwrap_or_default();
-            snapshot.slow = observer.slow(now, &open_request, &server_name, &class_name, &tenant_name);
+            snapshot.slow =
+                observer.slow_requests(now, &open_request, &server_name, &class_name, &tenant_name);
         }
         snapshot.boxes = self.box_statuses(now, observer.as_mut());
         self.request_log.observer = observer;
         snapshot
     }
 
-    fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxNow> {
+    fn box_statuses(&self, now: Micros, mut observer: Option<&mut Observer>) -> Vec<BoxStatus> {
         let Some(overrides) = &self.overrides else { return Vec::new() };
         let mut in_flight: HashMap<ServerId, InFlight> = HashMap::new();
         for running in self.open_requests.values().flat_map(|request| request.attempts.iter().flatten()) {
@@ -117,7 +121,7 @@
             let id = listed.get(server.name.as_str()).map(|(id, ..)| *id);
             let at_server = id.and_then(|id| in_flight.get(&id)).copied().unwrap_or_default();
             let view = id.and_then(|id| self.balancer.server_view(id));
-            let order = server.order.map(|held| OrderNow {
+            let order = server.order.map(|held| OrderStatus {
                 number: held.number,
                 seconds_left: match held.effect {
                     OrderEffect::Drain => None,
@@ -131,7 +135,7 @@
                 (false, Some(silent)) => Some(format!("{silent} attempts in a row had no answer")),
                 (false, None) => None,
             });
-            let mut status = BoxNow {
+            let mut status = BoxStatus {
                 origin: self.setup.is_origin(&server.kind),
                 name: server.name,
                 zone: server.zone,
@@ -150,10 +154,10 @@
                 warmth: view.map_or(1.0, |view| view.warmth),
                 slowness: view.map_or(1.0, |view| view.slowness),
                 left_out,
-                ..BoxNow::default()
+                ..BoxStatus::default()
             };
             if let (Some(observer), Some(id)) = (observer.as_deref_mut(), id) {
-                observer.server(now, id.0, &mut status);
+                observer.fill_server(now, id.0, &mut status);
             }
             status
         };
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lilacquay_observe::{CommonNow, Snapshot};
+use lilacquay_observe::{ReplicaSummary, Snapshot};
 use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, SharedOrder};
 use paddlefold::{Learned, RequestId};
 use tokio::sync::mpsc::UnboundedSender;
@@ -55,7 +55,7 @@
     /// How much slower than others servers are, as observed by other nodes, by server name.
     PeerSlowness(BTreeMap<String, f64>),
     /// Statistics on the replicated state, for operators.
-    Statistics(CommonNow),
+    Statistics(ReplicaSummary),
 }
 
 /// A list that the node's own source has reported, for whoever passes it on to other nodes.
--- a/crates/core/src/request_log.rs
+++ b/crates/core/src/request_log.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lilacquay_observe::{End, Kind, Observer, Repeats, Request as Seen};
+use lilacquay_observe::{AnswerKind, AttemptOutcome, Observer, RequestInfo, RetrySafety};
 use paddlefold::setup::Names;
 use paddlefold::{Effect, Micros, Outcome, Request, RequestId, ServerId};
 
@@ -62,68 +62,71 @@
 
     pub fn request_opened(&mut self, request: &Request, client_timeout: Micros, effect: Option<Effect>) {
         let Some(observer) = &mut self.observer else { return };
-        let repeats = match effect {
-            _ if !request.write => Repeats::Free,
-            Some(Effect::Safe) => Repeats::Free,
-            Some(Effect::Keyed { .. }) if request.has_idempotency_key => Repeats::Discarded,
-            _ => Repeats::Never,
+        let retry_safety = match effect {
+            _ if !request.write => RetrySafety::Safe,
+            Some(Effect::Safe) => RetrySafety::Safe,
+            Some(Effect::Keyed { .. }) if request.has_idempotency_key => RetrySafety::Deduplicated,
+            _ => RetrySafety::Unsafe,
         };
         let (id, class, tenant) = (request.id.0, request.class, request.tenant);
-        observer.arrived(self.clock.now(), Seen { id, class, tenant, wait: client_timeout, repeats });
+        observer.request_arrived(
+            self.clock.now(),
+            RequestInfo { id, class, tenant, wait: client_timeout, retry_safety },
+        );
     }
 
     pub fn refused_over_share(&mut self, tenant: Option<usize>) {
         if let Some(observer) = &mut self.observer {
-            observer.over_share(self.clock.now(), tenant);
+            observer.request_over_quota(self.clock.now(), tenant);
         }
     }
 
     pub fn attempt_started(&mut self, id: RequestId, server: ServerId) {
         if let Some(observer) = &mut self.observer {
-            observer.sent(self.clock.now(), id.0, server.0);
+            observer.attempt_sent(self.clock.now(), id.0, server.0);
         }
     }
 
     pub fn attempt_ended(&mut self, id: RequestId, server: ServerId, outcome: Outcome, took: Duration) {
         if let Some(observer) = &mut self.observer {
             let (end, took_us) = (attempt_end(outcome), took.as_micros() as Micros);
-            observer.ended(self.clock.now(), id.0, server.0, end, took_us);
+            observer.attempt_ended(self.clock.now(), id.0, server.0, end, took_us);
         }
     }
 
-    pub fn request_answered<'a>(&mut self, id: RequestId, kind: Kind, key: impl FnOnce() -> &'a str) {
+    pub fn request_answered<'a>(&mut self, id: RequestId, kind: AnswerKind, key: impl FnOnce() -> &'a str) {
         if let Some(observer) = &mut self.observer {
-            observer.answered(self.clock.now(), id.0, kind, key);
+            observer.request_answered(self.clock.now(), id.0, kind, key);
         }
     }
 
     pub fn request_closed(&mut self, id: RequestId) {
         if let Some(observer) = &mut self.observer {
-            observer.closed(id.0);
+            observer.request_closed(id.0);
         }
     }
 }
 
 /// The kind of an answer, as observers count it.
-pub(crate) fn answer_kind(answer: &Answer) -> Kind {
+pub(crate) fn answer_kind(answer: &Answer) -> AnswerKind {
     match answer {
-        Answer::Served(_) | Answer::Streaming(_) => Kind::Served,
-        Answer::Busy(_) => Kind::Busy,
-        Answer::Failed => Kind::Failed,
+        Answer::Served(_) | Answer::Streaming(_) => AnswerKind::Served,
+        Answer::Busy(_) => AnswerKind::Busy,
+        Answer::Failed => AnswerKind::Failed,
     }
 }
 
 /// The end of an attempt, as observers count it.
-fn attempt_end(outcome: Outcome) -> End {
+fn attempt_end(outcome: Outcome) -> AttemptOutcome {
     match outcome {
-        Outcome::Ok => End::Served,
-        Outcome::Miss => End::Miss,
-        Outcome::QueueFull => End::TurnedAway,
-        Outcome::Failed => End::Error,
-        Outcome::TimedOut => End::Silent,
-        Outcome::ConnectError => End::NoConnection,
-        Outcome::Reset => End::Broken,
-        Outcome::Canceled => End::Canceled,
-        Outcome::Ignored => End::NotSent,
+        Outcome::Ok => AttemptOutcome::Served,
+        Outcome::Miss => AttemptOutcome::Miss,
+        Outcome::QueueFull => AttemptOutcome::Refused,
+        Outcome::Failed => AttemptOutcome::Error,
+        Outcome::TimedOut => AttemptOutcome::TimedOut,
+        Outcome::ConnectError => AttemptOutcome::NoConnection,
+        Outcome::Reset => AttemptOutcome::ConnectionLost,
+        Outcome::Canceled => AttemptOutcome::Canceled,
+        Outcome::Ignored => AttemptOutcome::NotSent,
     }
 }
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 
 use bytes::Bytes;
-use lilacquay_metrics::{Book, End, Rule};
+use lilacquay_metrics::{Metrics, RequestOutcome, Rule};
 use paddlefold::RequestId;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -31,7 +31,7 @@
     reserved_bytes: Arc<AtomicUsize>,
     memory_limit_bytes: usize,
     resource_share: ResourceShare,
-    metrics: Book,
+    metrics: Metrics,
     /// Set once no more requests are accepted.
     shutting_down: Arc<AtomicBool>,
 }
@@ -45,7 +45,7 @@
         driver: UnboundedSender<Message>,
         memory_limit_bytes: usize,
         resource_share: ResourceShare,
-        metrics: Book,
+        metrics: Metrics,
         shutting_down: Arc<AtomicBool>,
     ) -> Self {
         let (next_id, open_ids, reserved_bytes) = Default::default();
@@ -85,8 +85,8 @@
 
     /// Counts a request that was answered as failed before it was opened.
     pub fn record_failed_before_open(&self, class: Option<usize>) {
-        self.metrics.taken();
-        self.metrics.ended(class, Some(End::Failed));
+        self.metrics.request_started();
+        self.metrics.request_ended(class, Some(RequestOutcome::Failed));
     }
 
     /// Counts and logs a request whose connection is closed without an answer although its client has not
@@ -97,7 +97,7 @@
             id = %String::from_utf8_lossy(&pending.open_id.id),
             "connection closed without answering the request"
         );
-        self.metrics.violations().count(Rule::ClosedUnanswered, pending.id.0);
+        self.metrics.violations().record(Rule::ClosedUnanswered, pending.id.0);
     }
 
     /// Whether the process is about to end. Requests that a front end reads from now on could not be answered.
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -69,7 +69,7 @@
         let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
         let initial_list = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
-        let metrics = lilacquay_metrics::Book::new(Vec::new());
+        let metrics = lilacquay_metrics::Metrics::new(Vec::new());
         let options = Options {
             setup,
             seed: 1,
--- a/crates/fleet/src/memcache.rs
+++ b/crates/fleet/src/memcache.rs
@@ -25,7 +25,7 @@
 /// Boxes report to the origin which keys they have missed, not for which request, since the protocol has no field for
 /// an id.
 pub(crate) fn parse_request(packet: &Packet) -> Result<ReceivedRequest, BytesMut> {
-    match (Opcode::of(packet.opcode), std::str::from_utf8(&packet.key)) {
+    match (Opcode::from_code(packet.opcode), std::str::from_utf8(&packet.key)) {
         (Some(Opcode::Get), Ok(key)) if packet.extras.is_empty() && packet.value.is_empty() => {
             Ok(ReceivedRequest::new(key, &miss_id(key), "", false))
         }
--- a/crates/fronts/src/memcache/mod.rs
+++ b/crates/fronts/src/memcache/mod.rs
@@ -13,7 +13,7 @@
 use std::{process, str};
 
 use bytes::{Bytes, BytesMut};
-use lilacquay_codec::memcache::{self, KEY_LIMIT, Opcode, Packet, Status, next_request};
+use lilacquay_codec::memcache::{self, MAX_KEY_BYTES, Opcode, Packet, Status, next_request};
 use lilacquay_core::{
     Answer, Call, CallError, Gauges, MAX_BUFFERED_VALUE_BYTES, MAX_WRITE_VALUE_BYTES, OperationResult,
     StoreOptions, Verb,
@@ -115,7 +115,7 @@
     const MAX_OPEN_REQUESTS: usize = usize::MAX;
 
     fn expected_length(&self, buffer: &[u8]) -> usize {
-        memcache::expected(buffer)
+        memcache::packet_length(buffer)
     }
 
     fn next_command(
@@ -133,7 +133,7 @@
             }
         };
         self.command_count += 1;
-        Ok(Some(match Opcode::of(packet.opcode) {
+        Ok(Some(match Opcode::from_code(packet.opcode) {
             Some(opcode) => self.command(opcode, &packet).unwrap_or_else(|error| rejected(&packet, error)),
             None => rejected(&packet, CommandError(Status::UNKNOWN_COMMAND, "unknown command")),
         }))
@@ -176,7 +176,7 @@
     fn write_value_header(&mut self, context: ReplyContext, length: usize, flags: u32, out: &mut BytesMut) {
         let ReplyContext { opcode, opaque, key } = context;
         let extras = Bytes::copy_from_slice(&flags.to_be_bytes());
-        Packet { extras, key, ..Packet::new(opcode, opaque) }.put_response_head(length, out);
+        Packet { extras, key, ..Packet::new(opcode, opaque) }.put_response_header(length, out);
     }
 
     fn write_refusal(&mut self, context: ReplyContext, refusal: Refusal, out: &mut BytesMut) {
@@ -250,7 +250,7 @@
         if packet.extras.len() != if has_value { 8 } else { 0 } || !has_value && !packet.value.is_empty() {
             return Err(CommandError(Status::INVALID_ARGUMENTS, "wrong extras or value"));
         }
-        if packet.key.is_empty() || packet.key.len() > KEY_LIMIT {
+        if packet.key.is_empty() || packet.key.len() > MAX_KEY_BYTES {
             return Err(CommandError(Status::INVALID_ARGUMENTS, "a key has 1 to 250 bytes"));
         }
         let key = str::from_utf8(&packet.key)
--- a/crates/fronts/src/resp.rs
+++ b/crates/fronts/src/resp.rs
@@ -69,7 +69,7 @@
     const MAX_COMMAND_BYTES: usize = MAX_WRITE_VALUE_BYTES + MAX_BUFFERED_VALUE_BYTES;
 
     fn expected_length(&self, buffer: &[u8]) -> usize {
-        resp::expected(buffer, Self::MAX_COMMAND_BYTES)
+        resp::min_frame_length(buffer, Self::MAX_COMMAND_BYTES)
     }
 
     fn next_command(&mut self, buffer: &mut BytesMut) -> Result<Option<ParsedCommand<()>>, Malformed> {
--- a/crates/fronts/tests/front.rs
+++ b/crates/fronts/tests/front.rs
@@ -14,7 +14,7 @@
 use lilacquay_fronts::resp::RespProtocol;
 use lilacquay_fronts::{Acceptor, ClientLimits, CloseNotice, Malformed, ParsedCommand, Protocol, Refusal};
 use lilacquay_lifecycle::{CloseMode, ServiceMode};
-use lilacquay_metrics::{Book, Rule, Violations};
+use lilacquay_metrics::{Metrics, Rule, ViolationCounters};
 use paddlefold::setup::{RawSettings, Setup};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -121,7 +121,7 @@
     gauges: Arc<Gauges>,
     acceptor: Acceptor,
     service_mode: watch::Sender<ServiceMode>,
-    violations: Violations,
+    violations: ViolationCounters,
 }
 
 impl TestNode {
@@ -141,8 +141,8 @@
         });
         let known = ServerList { full: true, servers: vec![entry("s1"), entry("s2")] };
         let (call_sender, upstream_calls) = mpsc::unbounded_channel();
-        let book = Book::new(Vec::new());
-        let violations = book.violations();
+        let metrics = Metrics::new(Vec::new());
+        let violations = metrics.violations();
         let options = Options {
             setup,
             seed: 1,
@@ -150,7 +150,7 @@
             max_connections: 1000,
             request_memory_bytes: 8 << 20,
             quotas: None,
-            metrics: book,
+            metrics,
             list_version: None,
             learned: None,
             resource_share: ResourceShare::default(),
@@ -392,10 +392,10 @@
                 false => return (node.violations.clone(), client),
             }
             node.wait_until_nothing_open().await;
-            assert_eq!(node.violations.number(Rule::ClosedUnanswered), 0, "its client has disconnected");
+            assert_eq!(node.violations.total(Rule::ClosedUnanswered), 0, "its client has disconnected");
         }
         unreachable!("the second client stays connected");
     });
     drop(runtime); // the process ends with its session
-    assert_eq!(violations.0.number(Rule::ClosedUnanswered), 1);
+    assert_eq!(violations.0.total(Rule::ClosedUnanswered), 1);
 }
--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -4,7 +4,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use lilacquay_control::{ActiveOrder, Answer, Client, ClientError, ControlRequest, SiblingsReport};
+use lilacquay_control::{Answer, Client, ClientError, ControlRequest, OrderReport, SiblingsReport};
 use lilacquay_observe::{BoxStatus, Event, Snapshot};
 
 use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaOrder, UndrainArgs};
@@ -320,7 +320,7 @@
 }
 
 /// A server's name comes from the list and may hold anything: none of it reaches the terminal as a command.
-fn words(order: &ActiveOrder) -> String {
+fn words(order: &OrderReport) -> String {
     let server = order.server.escape_debug();
     let until = match order.seconds_left {
         None => "until it is lifted".to_owned(),
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_admin::Admin;
-use lilacquay_control::{Command, Control, Folder, Host, Outcome};
+use lilacquay_control::{CommandResult, Control, NodeCommand, NodeContext, StateDir};
 use lilacquay_core::{CoreHandle, Driver, Handles, MembershipHandle, Options, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::Acceptor;
@@ -14,7 +14,7 @@
 use lilacquay_fronts::resp::RespProtocol;
 use lilacquay_lifecycle::Event;
 use lilacquay_members::{discovery, etcd};
-use lilacquay_metrics::Book;
+use lilacquay_metrics::Metrics;
 use lilacquay_replica::endpoint_reports::LocalServerList;
 use lilacquay_upstreams::ServerConnector;
 use paddlefold::setup::Names;
@@ -74,8 +74,8 @@
     let mut stop = signal(SignalKind::terminate())?;
     // Guards against: an end on SIGHUP. From here to the process's end it has no other effect than a reload.
     let reload = signal(SignalKind::hangup())?;
-    let state = config.control.as_deref().map(Folder::new).transpose().map_err(of_state)?;
-    let steered = state.as_ref().map(Folder::orders).transpose().map_err(of_state)?;
+    let state = config.control.as_deref().map(StateDir::new).transpose().map_err(of_state)?;
+    let steered = state.as_ref().map(StateDir::load_orders).transpose().map_err(of_state)?;
     let listener = match &config.passed {
         Some(passed) => TcpListener::from_std(passed.listener(config.listen)?)?,
         None => bind(config.listen)?,
@@ -85,14 +85,14 @@
         None => None,
     };
     let keeper = Keeper::new(Duration::from_micros(config.setup.longest_deadline), config.passed.is_some());
-    let book = Book::new(config.setup.names.all_classes());
+    let metrics = Metrics::new(config.setup.names.all_classes());
     // All of it ends with this function, so that a core that has failed leaves nothing behind.
     let mut parts = JoinSet::new();
     // Guards against: calls that wait for as long as the process before takes to hand over.
     if let Some(second) = second {
         info!("the second address is {}", second.local_addr()?);
-        let (keeper, book, prometheus) = (keeper.clone(), book.clone(), config.prometheus);
-        parts.spawn(Admin::new(second, Desk { keeper, book, prometheus, audit: state.clone() }).run());
+        let (keeper, metrics, prometheus) = (keeper.clone(), metrics.clone(), config.prometheus);
+        parts.spawn(Admin::new(second, Desk { keeper, metrics, prometheus, audit: state.clone() }).run());
     }
     let (connections, memory) = (config.server_connections(), config.request_memory());
     let portion = ResourceShare::default();
@@ -120,7 +120,7 @@
         max_connections: connections,
         request_memory_bytes: memory,
         quotas,
-        metrics: book,
+        metrics,
         list_version: version,
         learned: received.learned,
         resource_share: portion.clone(),
@@ -149,10 +149,10 @@
         to
     });
     if let Some(state) = state {
-        let host = Host {
+        let host = NodeContext {
             events: logging.events.clone(),
             commands: to_node.clone(),
-            described: config.described(),
+            redacted_config: config.described(),
             siblings: kin.is_some().then(|| to_siblings.clone()),
             descriptor_limit: config.sockets,
         };
@@ -259,7 +259,7 @@
 
 /// What a node is told while it runs: signals, and operators' orders.
 struct Told<'a> {
-    commands: mpsc::Receiver<Command>,
+    commands: mpsc::Receiver<NodeCommand>,
     keeper: Keeper,
     logging: &'a Logging,
 }
@@ -273,12 +273,12 @@
                     let _ = followed.read_again(&source); // it has said what it came to
                 }
                 Some(command) = self.commands.recv() => match command {
-                    Command::Reload(answer) => drop(answer.send(followed.read_again(&source))),
-                    Command::Level(level, answer) => {
+                    NodeCommand::Reload(answer) => drop(answer.send(followed.read_again(&source))),
+                    NodeCommand::SetLogLevel(level, answer) => {
                         let set = self.logging.set_level(&level);
                         let _ = answer.send(set.map(|()| format!("logs from {level} on")));
                     }
-                    Command::Service(joins, answer) => {
+                    NodeCommand::SetInService(joins, answer) => {
                         let (event, what) = match joins {
                             true => (Event::Join, "the node is in service"),
                             false => (Event::Leave, "the node leaves service and runs on"),
@@ -286,7 +286,7 @@
                         let told = self.keeper.tell(event);
                         let _ = answer.send(told.map(|()| what.into()).map_err(|why| why.to_string()));
                     }
-                    Command::Stop(answer) => {
+                    NodeCommand::Stop(answer) => {
                         let what = "the node drains: it answers what it has taken, and ends";
                         let _ = answer.send(Ok(what.into()));
                         self.keeper.stop();
@@ -351,7 +351,7 @@
     }
 
     /// Goes by the configuration as it is now, as far as it may change while the node runs.
-    fn read_again(&self, source: &Source) -> Outcome {
+    fn read_again(&self, source: &Source) -> CommandResult {
         let new = Config::sources_anew(source).map_err(|error| {
             warn!("configuration kept as it was: {error}");
             format!("the configuration is kept as it was: {error}")
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -4,10 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use lilacquay_codec::replica::{Part, Record, Said, Sent, put, read};
-use lilacquay_control::{Command, CommonOrder, CopyNow, HeldBy, KindNow, OrderHeld, PeerCopy, RecordNow};
+use lilacquay_codec::replica::{Message, Part, Record, RecordUpdate, decode, encode};
+use lilacquay_control::{
+    ClusterOrder, NodeCommand, OrderAcks, PeerReplicaStatus, RecordKindStatus, RecordSummary, ReplicaReport,
+    ReplicatedOrder,
+};
 use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
-use lilacquay_observe::CommonNow;
+use lilacquay_observe::ReplicaSummary;
 use lilacquay_overrides::{Order as Asked, OrderEffect, OrderRequest, PersistentOrder};
 use lilacquay_replica::endpoint_reports::{self, LocalServerList, ServerEntry, WithdrawnServer};
 use lilacquay_replica::orders::{Action, EffectiveOrder, Order, TOMBSTONE_RETENTION_US};
@@ -109,15 +112,19 @@
 
 /// A record as text.
 fn mark(record: &Record) -> String {
-    let mut said = Said::default();
-    said.add(Part::Record(Sent { record: record.clone(), left: None, asks: false }));
-    put(0, &said).iter().map(|byte| format!("{byte:02x}")).collect()
+    let mut said = Message::default();
+    said.add(Part::Record(RecordUpdate {
+        record: record.clone(),
+        remaining_tenths: None,
+        ack_requested: false,
+    }));
+    encode(0, &said).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 fn of_mark(text: &str) -> Option<Record> {
     let byte = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
-    match read(0, &bytes?).ok()?.parts.pop()? {
+    match decode(0, &bytes?).ok()?.parts.pop()? {
         Part::Record(sent) => Some(sent.record),
         _ => None,
     }
@@ -142,7 +149,7 @@
     wanted: Option<usize>,
     since: Micros,
     until: Micros,
-    answer: oneshot::Sender<Option<HeldBy>>,
+    answer: oneshot::Sender<Option<OrderAcks>>,
 }
 
 /// What is held in common.
@@ -151,7 +158,7 @@
     setup: Setup,
     kinds: Kinds,
     core: CoreHandle,
-    commands: mpsc::Sender<Command>,
+    commands: mpsc::Sender<NodeCommand>,
     waiting: Vec<Waiting>,
     here: usize,
     stage: Option<SyncState>,
@@ -164,7 +171,7 @@
     seen: Option<oneshot::Receiver<BTreeMap<String, f64>>>,
     seen_at: Micros,
     believed_at: Micros,
-    told: Option<CommonNow>,
+    told: Option<ReplicaSummary>,
 }
 
 impl Common {
@@ -173,7 +180,7 @@
         kinds: Kinds,
         now: Micros,
         core: CoreHandle,
-        commands: mpsc::Sender<Command>,
+        commands: mpsc::Sender<NodeCommand>,
     ) -> Common {
         Common {
             replica: Replica::new(setup.clone(), now),
@@ -272,17 +279,17 @@
     pub fn order(
         &mut self,
         now: Micros,
-        order: &CommonOrder,
+        order: &ClusterOrder,
         wanted: Option<usize>,
-        answer: oneshot::Sender<Option<HeldBy>>,
+        answer: oneshot::Sender<Option<OrderAcks>>,
     ) {
         let (subject, action, life) = match order {
-            CommonOrder::Server(OrderRequest { server, order, .. }) => match order {
+            ClusterOrder::Server(OrderRequest { server, order, .. }) => match order {
                 Asked::Drain => (server.as_bytes(), Action::Drain, None),
                 Asked::Exclude(time) => (server.as_bytes(), Action::LeaveOut, Some(*time)),
                 Asked::Undrain => (server.as_bytes(), Action::Undrain, None),
             },
-            CommonOrder::Level(level) => {
+            ClusterOrder::Level(level) => {
                 let level = LEVELS.iter().position(|name| name == level).unwrap_or(2);
                 (&b""[..], Action::LogLevel(level as u8), None)
             }
@@ -324,7 +331,7 @@
             let conflict = standing.is_some_and(|(standing, _)| standing.is_conflict());
             let after_ms = (now - since) / 1_000;
             let nodes = self.replica.holder_count(id);
-            let _ = answer.send(Some(HeldBy { nodes, of: of.max(nodes), after_ms, conflict })); // who asked may have left
+            let _ = answer.send(Some(OrderAcks { nodes, of: of.max(nodes), after_ms, conflict })); // who asked may have left
         }
     }
 
@@ -359,7 +366,7 @@
                 _ => {}
             }
         }
-        let seen = CommonNow {
+        let seen = ReplicaSummary {
             behind: matches!(stage, SyncState::Behind(_)),
             records: self.replica.len(),
             conflicts: self.conflicts.len(),
@@ -398,7 +405,7 @@
             self.level = level;
             let name = LEVELS[usize::from(number).min(LEVELS.len() - 1)];
             info!("common: all nodes log from {name} on, by an order given at another");
-            let _ = self.commands.try_send(Command::Level(name.into(), oneshot::channel().0)); // nobody waits
+            let _ = self.commands.try_send(NodeCommand::SetLogLevel(name.into(), oneshot::channel().0)); // nobody waits
         }
     }
 
@@ -424,7 +431,7 @@
     }
 
     /// What is held, in words.
-    pub fn look(&self, now: Micros) -> CopyNow {
+    pub fn look(&self, now: Micros) -> ReplicaReport {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
         let (stage, since) = match self.replica.sync_state() {
             SyncState::Behind(since) => ("behind", since),
@@ -436,16 +443,19 @@
         for (_, _, held) in self.replica.records() {
             *numbers.entry(held.record.kind).or_default() += 1;
         }
-        let of_kind =
-            |(of, records): (u8, usize)| KindNow { kind: name_of(of), records, on: self.kinds.has(of) };
-        let record = |(id, sum, held): (u64, u32, &lilacquay_replica::StoredRecord)| RecordNow {
+        let of_kind = |(of, records): (u8, usize)| RecordKindStatus {
+            kind: name_of(of),
+            records,
+            on: self.kinds.has(of),
+        };
+        let record = |(id, sum, held): (u64, u32, &lilacquay_replica::StoredRecord)| RecordSummary {
             id,
             kind: name_of(held.record.kind),
             origin: held.record.origin.into(),
             version: (held.record.version.incarnation, held.record.version.counter),
             sum,
         };
-        CopyNow {
+        ReplicaReport {
             me: self.setup.own_index,
             nodes: self.setup.node_count,
             stage: stage.into(),
@@ -463,7 +473,7 @@
                 .replica
                 .peers()
                 .iter()
-                .map(|(&node, peer)| PeerCopy {
+                .map(|(&node, peer)| PeerReplicaStatus {
                     node,
                     same: peer.root == root,
                     behind: peer.behind,
@@ -493,7 +503,7 @@
 }
 
 /// An order, in words.
-fn told(standing: &EffectiveOrder, left: Option<Micros>) -> OrderHeld {
+fn told(standing: &EffectiveOrder, left: Option<Micros>) -> ReplicatedOrder {
     let EffectiveOrder { subject, order, concurrent: beside, .. } = standing;
     let tombstone = order.is_tombstone(left);
     let lasts =
@@ -501,7 +511,7 @@
     let word = |order: &&Order| {
         format!("{} by node {} at {}", order.action.name(), order.dot.origin, order.issued_at_unix_s)
     };
-    OrderHeld {
+    ReplicatedOrder {
         server: String::from_utf8_lossy(subject).into(),
         action: order.action.name(),
         node: order.dot.origin.into(),
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_codec::replica;
-use lilacquay_codec::siblings::{LONGEST, site};
-use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
+use lilacquay_codec::siblings::{MAX_DATAGRAM_BYTES, site_id};
+use lilacquay_control::{LinkStatus, NodeCommand, SiblingReport, SiblingsQuery, SiblingsReport};
 use lilacquay_core::{Clock, CoreHandle, ListUpdate, MembershipSummary, Micros};
 use lilacquay_lifecycle::State as Life;
 use lilacquay_replica::endpoint_reports::LocalServerList;
@@ -118,7 +118,7 @@
 }
 
 /// Whoever asks what the node sees, or has all nodes hold an order.
-pub type Asks = mpsc::Receiver<SiblingsAsk>;
+pub type Asks = mpsc::Receiver<SiblingsQuery>;
 
 /// What a node tells its siblings' task, and is told by it.
 pub struct Ties {
@@ -134,7 +134,7 @@
     /// The lists that the node's own source tells.
     pub lists: mpsc::UnboundedReceiver<ListUpdate>,
     /// Who carries out orders on the node itself.
-    pub commands: mpsc::Sender<Command>,
+    pub commands: mpsc::Sender<NodeCommand>,
     /// What is held in common from before: over a restart, another list of nodes, a hand-over.
     pub kept: Vec<KeptRecord>,
     /// What the node's own list says.
@@ -182,7 +182,7 @@
         let setup = Setup {
             own_index: site.me,
             node_count: site.nodes.len(),
-            site_id: self::site(&site.name, site.nodes.len()),
+            site_id: self::site_id(&site.name, site.nodes.len()),
             seed: ties.seed ^ wall(),
             parameters: Parameters::default(),
         };
@@ -192,7 +192,7 @@
             let setup = lilacquay_replica::Setup {
                 own_index: site.me,
                 node_count: site.nodes.len(),
-                site_id: self::site(&site.name, site.nodes.len()),
+                site_id: self::site_id(&site.name, site.nodes.len()),
                 seed: ties.seed ^ wall() ^ 1,
                 incarnation: siblings.incarnation(),
             };
@@ -207,7 +207,7 @@
     /// Runs until the list changes.
     async fn run(mut self, ties: &mut Ties) {
         let mut bearing = ties.keeper.bearing();
-        let (mut datagram, mut leaving) = ([0; LONGEST + 1], false);
+        let (mut datagram, mut leaving) = ([0; MAX_DATAGRAM_BYTES + 1], false);
         loop {
             let due = self.common.as_ref().map_or(Micros::MAX, Common::due).min(self.siblings.next_tick_at());
             let out = tokio::select! {
@@ -292,18 +292,18 @@
     }
 
     /// Answers whoever asks.
-    fn asked(&mut self, ask: SiblingsAsk) {
+    fn asked(&mut self, ask: SiblingsQuery) {
         let now = self.clock.now();
         // Who asked may have left, at each.
         match ask {
-            SiblingsAsk::Sight(answer) => drop(answer.send(self.sight())),
-            SiblingsAsk::Copy(answer) => {
+            SiblingsQuery::Siblings(answer) => drop(answer.send(self.sight())),
+            SiblingsQuery::Replica(answer) => {
                 drop(answer.send(self.common.as_ref().map(|common| common.look(now))))
             }
-            SiblingsAsk::Records(answer) => {
+            SiblingsQuery::Records(answer) => {
                 drop(answer.send(self.common.as_ref().map_or(Vec::new(), |common| common.handed(now))))
             }
-            SiblingsAsk::Order(order, wait_for, answer) => match &mut self.common {
+            SiblingsQuery::ReplicateOrder(order, wait_for, answer) => match &mut self.common {
                 Some(common) => common.order(now, &order, wait_for, answer),
                 None => drop(answer.send(None)),
             },
@@ -407,13 +407,14 @@
     }
 
     /// What it sees, in words.
-    fn sight(&self) -> Sight {
+    fn sight(&self) -> SiblingsReport {
         let now = self.clock.now();
         let [here, gone, unknown] = self.siblings.state_counts();
         let (part, counts) = (self.siblings.resource_share(now), self.siblings.counters());
         let fellow = |fellow: PeerStatus| self.fellow(now, fellow);
-        let way = |way: lilacquay_siblings::LinkState| WayNow { from: way.from, to: way.to, open: way.is_up };
-        Sight {
+        let way =
+            |way: lilacquay_siblings::LinkState| LinkStatus { from: way.from, to: way.to, open: way.is_up };
+        SiblingsReport {
             site: self.site.name.clone(),
             me: self.site.me,
             nodes: self.site.nodes.len(),
@@ -438,9 +439,9 @@
         }
     }
 
-    fn fellow(&self, now: Micros, fellow: PeerStatus) -> FellowNow {
+    fn fellow(&self, now: Micros, fellow: PeerStatus) -> SiblingReport {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
-        FellowNow {
+        SiblingReport {
             node: fellow.node,
             address: self.site.nodes[fellow.node].to_string(),
             state: fellow.state.as_str().into(),
@@ -483,7 +484,7 @@
 }
 
 /// For whoever asks what the node sees, with the receiver's half.
-pub fn asks() -> (Arc<mpsc::Sender<SiblingsAsk>>, Asks) {
+pub fn asks() -> (Arc<mpsc::Sender<SiblingsQuery>>, Asks) {
     let (to, asks) = mpsc::channel(16);
     (Arc::new(to), asks)
 }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -20,7 +20,7 @@
     ReplicaSummary, RuleCounts, SecondStats, ServerListStatus, ShareStatus, SiblingsSummary, SlowRequest,
     Snapshot, Step, TenantStats,
 };
-pub use trace::{AnswerKind, AttemptOutcome, WaitReason};
+pub use trace::{AnswerKind, AttemptOutcome, TraceWaitReason};
 
 /// A point in time or a duration, in microseconds. A point in time before the latest one reported is treated as the
 /// latest.
--- a/crates/observe/src/observer.rs
+++ b/crates/observe/src/observer.rs
@@ -9,7 +9,7 @@
     AnswerCounts, AttemptCounts, BoxStatus, LatencyBuckets, RuleCounts, SlowRequest, Snapshot, Step,
     TenantStats,
 };
-use crate::trace::{AnswerKind, AttemptOutcome, RequestTrace, WaitReason, ms};
+use crate::trace::{AnswerKind, AttemptOutcome, RequestTrace, TraceWaitReason, ms};
 
 /// Maximum number of slow requests reported, for open and for ended requests each.
 const MAX_SLOW_REQUESTS: usize = 20;
@@ -219,28 +219,31 @@
     pub fn slow_requests(
         &self,
         now: Micros,
-        open_request: &dyn Fn(u32) -> Option<(String, WaitReason)>,
+        open_request: &dyn Fn(u32) -> Option<(String, TraceWaitReason)>,
         server_name: &dyn Fn(u32) -> String,
         class_name: &dyn Fn(Option<usize>) -> String,
         tenant_name: &dyn Fn(usize) -> String,
     ) -> Vec<SlowRequest> {
-        let slow_request =
-            |key: String, trace: &RequestTrace, is_open: bool, elapsed: Micros, wait_reason: WaitReason| {
-                SlowRequest {
-                    key,
-                    class: class_name(trace.class),
-                    tenant: tenant_name(trace.tenant),
-                    open: is_open,
-                    elapsed_ms: ms(elapsed),
-                    left_ms: if is_open { ms(trace.deadline.saturating_sub(now)) } else { 0.0 },
-                    why: trace.describe_state(now, wait_reason, server_name),
-                    steps: trace
-                        .describe_steps(server_name)
-                        .into_iter()
-                        .map(|(at, what)| Step { at_ms: ms(at), what })
-                        .collect(),
-                }
-            };
+        let slow_request = |key: String,
+                            trace: &RequestTrace,
+                            is_open: bool,
+                            elapsed: Micros,
+                            wait_reason: TraceWaitReason| {
+            SlowRequest {
+                key,
+                class: class_name(trace.class),
+                tenant: tenant_name(trace.tenant),
+                open: is_open,
+                elapsed_ms: ms(elapsed),
+                left_ms: if is_open { ms(trace.deadline.saturating_sub(now)) } else { 0.0 },
+                why: trace.describe_state(now, wait_reason, server_name),
+                steps: trace
+                    .describe_steps(server_name)
+                    .into_iter()
+                    .map(|(at, what)| Step { at_ms: ms(at), what })
+                    .collect(),
+            }
+        };
         let unanswered = self.open.iter().filter(|(_, (trace, _))| !trace.answered);
         let mut oldest: Vec<(Micros, u32)> =
             unanswered.map(|(id, (trace, _))| (trace.arrived, *id)).collect();
@@ -257,7 +260,7 @@
         let recent =
             self.slow.iter().filter(|slow| now.saturating_sub(slow.ended_at) < SLOW_REQUEST_RETENTION_US);
         let ended = recent.map(|slow| {
-            slow_request(slow.key.clone(), &slow.trace, false, slow.latency, WaitReason::Undecided)
+            slow_request(slow.key.clone(), &slow.trace, false, slow.latency, TraceWaitReason::Undecided)
         });
         open.chain(ended).collect()
     }
@@ -274,7 +277,7 @@
     fn take_snapshot(observer: &mut Observer, now: Micros) -> Snapshot {
         let mut snapshot = Snapshot::default();
         observer.fill_statistics(now, &mut snapshot, &["north".into(), "south".into()]);
-        let open = |id: u32| Some((format!("k{id}"), WaitReason::ConcurrencyLimit));
+        let open = |id: u32| Some((format!("k{id}"), TraceWaitReason::ConcurrencyLimit));
         let name = |id: u32| format!("s-{id}");
         snapshot.slow = observer.slow_requests(now, &open, &name, &|_| "read".into(), &|_| "south".into());
         snapshot
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -43,7 +43,7 @@
 
 /// Why the decision module makes a request wait while it has no attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WaitReason {
+pub enum TraceWaitReason {
     /// The decision module has reported no reason.
     Undecided,
     /// Another request is fetching the same key.
@@ -132,7 +132,7 @@
     pub fn describe_state(
         &self,
         now: Micros,
-        wait_reason: WaitReason,
+        wait_reason: TraceWaitReason,
         server_name: &dyn Fn(u32) -> String,
     ) -> String {
         let answer = self.steps.iter().rev().find_map(|(_, step)| match step {
@@ -151,10 +151,10 @@
             .collect();
         match (in_flight.is_empty(), wait_reason) {
             (false, _) => format!("at {}", in_flight.join(" and at ")),
-            (true, WaitReason::ConcurrencyLimit) => "the concurrency limit is reached".into(),
-            (true, WaitReason::SharedFetch) => "another request fetches its key".into(),
-            (true, WaitReason::RetryBackoff) => "pauses before its next try".into(),
-            (true, WaitReason::Undecided) => "is being decided".into(),
+            (true, TraceWaitReason::ConcurrencyLimit) => "the concurrency limit is reached".into(),
+            (true, TraceWaitReason::SharedFetch) => "another request fetches its key".into(),
+            (true, TraceWaitReason::RetryBackoff) => "pauses before its next try".into(),
+            (true, TraceWaitReason::Undecided) => "is being decided".into(),
         }
     }
 
--- a/crates/replica/src/endpoint_reports.rs
+++ b/crates/replica/src/endpoint_reports.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::MOST_NAME;
+use lilacquay_codec::replica::MAX_NAME_BYTES;
 
 use crate::store::StoredRecord;
 use crate::{Micros, Replica, kind};
@@ -139,7 +139,7 @@
             })
         };
         let reports = replica.records_of_kind(kind::ENDPOINT_REPORT).filter(is_same).count();
-        if reports < SUFFICIENT_REPORTS && server.len() <= MOST_NAME {
+        if reports < SUFFICIENT_REPORTS && server.len() <= MAX_NAME_BYTES {
             let report = EndpointReport { drains: *drains, version: own.version, started_ms: *started_ms };
             replica.write(
                 now,
--- a/crates/replica/src/evidence.rs
+++ b/crates/replica/src/evidence.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::MOST_NAME;
+use lilacquay_codec::replica::MAX_NAME_BYTES;
 
 use crate::store::{StoredRecord, record_id};
 use crate::{Micros, Replica, kind};
@@ -40,7 +40,7 @@
     mut observations: Vec<SlownessObservation>,
 ) {
     observations.retain(|observation| {
-        observation.slowness >= MIN_REPORTED_SLOWNESS && observation.server.len() <= MOST_NAME
+        observation.slowness >= MIN_REPORTED_SLOWNESS && observation.server.len() <= MAX_NAME_BYTES
     });
     observations.sort_by(|a, b| b.slowness.total_cmp(&a.slowness).then(a.server.cmp(&b.server)));
     for SlownessObservation { server, slowness } in observations.into_iter().take(MAX_REPORTED_SERVERS) {
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use lilacquay_codec::replica::Rights;
+use lilacquay_codec::replica::LeaseMessage;
 
 use crate::Micros;
 
@@ -87,7 +87,7 @@
 }
 
 /// A message to a node, with the node's index.
-pub type LeaseMessage = (usize, Rights);
+pub type AddressedLeaseMessage = (usize, LeaseMessage);
 
 impl LeaseLedger {
     /// The ledger of a process that starts. `first_request_number` must be above those of earlier processes of this node.
@@ -154,7 +154,7 @@
         own_until: Micros,
         reachable: &[usize],
         mut choose: impl FnMut(usize) -> usize,
-    ) -> Vec<LeaseMessage> {
+    ) -> Vec<AddressedLeaseMessage> {
         self.lent.retain(|_, lent| now < lent.ends_at());
         let max_duration = self.limits.max_duration;
         self.borrowed
@@ -169,7 +169,8 @@
         let lacking = self.demand.saturating_sub(own);
         if lacking < MIN_LOAN_PERMILLE {
             let give_back = |(&lender, borrowed): (&usize, &BorrowedShare)| {
-                (now < borrowed.until).then_some((lender, Rights::Back { number: borrowed.request_number }))
+                (now < borrowed.until)
+                    .then_some((lender, LeaseMessage::Release { number: borrowed.request_number }))
             };
             messages.extend(self.borrowed.iter().filter_map(give_back));
             self.borrowed.clear();
@@ -190,7 +191,10 @@
         let amount_each = lacking.div_ceil(lenders.len().max(1) as u32).max(MIN_LOAN_PERMILLE);
         for lender in lenders {
             self.last_request_number += 1;
-            messages.push((lender, Rights::Ask { number: self.last_request_number, amount: amount_each }));
+            messages.push((
+                lender,
+                LeaseMessage::Request { number: self.last_request_number, amount: amount_each },
+            ));
             let request_number = self.last_request_number;
             // What is borrowed of this lender stays valid until the new answer comes, or until its own end.
             let current =
@@ -208,12 +212,12 @@
         &mut self,
         now: Micros,
         from: usize,
-        message: Rights,
+        message: LeaseMessage,
         own: u32,
         own_until: Micros,
-    ) -> Option<LeaseMessage> {
+    ) -> Option<AddressedLeaseMessage> {
         match message {
-            Rights::Ask { number, amount } => {
+            LeaseMessage::Request { number, amount } => {
                 let previous = match self.lent.get(&from) {
                     // Ignores a request that arrives twice, or late, after a newer one.
                     Some(lent) if number <= lent.request_number => return None,
@@ -236,16 +240,19 @@
                 );
                 // The borrower counts from when it asked, which was before now, by a clock that may be too slow.
                 let time = duration - duration * 2 * self.limits.max_drift_permille / 1_000;
-                Some((from, Rights::Lend { number, amount, time: u32::try_from(time).unwrap_or(0) }))
+                Some((
+                    from,
+                    LeaseMessage::Grant { number, amount, duration_us: u32::try_from(time).unwrap_or(0) },
+                ))
             }
-            Rights::Lend { number, amount, time } => {
+            LeaseMessage::Grant { number, amount, duration_us: time } => {
                 let borrowed = self.borrowed.get_mut(&from)?;
                 if borrowed.request_number == number {
                     (borrowed.amount, borrowed.until) = (amount, borrowed.requested_at + Micros::from(time));
                 }
                 None
             }
-            Rights::Back { number } => {
+            LeaseMessage::Release { number } => {
                 if self.lent.get(&from).is_some_and(|lent| lent.request_number <= number) {
                     self.lent.remove(&from);
                 }
--- a/crates/replica/src/orders.rs
+++ b/crates/replica/src/orders.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::{MOST_NAME, MOST_VALUE, Record, Version};
+use lilacquay_codec::replica::{MAX_NAME_BYTES, MAX_VALUE_BYTES, Record, Version};
 
 use crate::{Micros, kind};
 
@@ -136,11 +136,11 @@
 
     /// The record of the order; none if the subject is too long.
     pub fn record(&self) -> Option<Record> {
-        if self.subject.len() > MOST_NAME {
+        if self.subject.len() > MAX_NAME_BYTES {
             return None;
         }
         let Dot { origin, version } = self.dot;
-        let (mut name, mut value) = (Vec::with_capacity(DOT_BYTES), Vec::with_capacity(MOST_VALUE));
+        let (mut name, mut value) = (Vec::with_capacity(DOT_BYTES), Vec::with_capacity(MAX_VALUE_BYTES));
         name.put_uint(version.incarnation, 6);
         name.put_u32(version.counter);
         value.put_u8(self.action.code());
@@ -155,7 +155,7 @@
 
     /// How many superseded orders fit into the record; any beyond these remain as concurrent orders.
     fn max_superseded(subject: &[u8]) -> usize {
-        (MOST_VALUE - FIXED_VALUE_BYTES - subject.len()) / DOT_BYTES
+        (MAX_VALUE_BYTES - FIXED_VALUE_BYTES - subject.len()) / DOT_BYTES
     }
 
     /// Whether it replaces another order. Two orders that claim to supersede each other do not.
--- a/crates/replica/src/replica.rs
+++ b/crates/replica/src/replica.rs
@@ -4,7 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use lilacquay_codec::replica::{BRANCHES, Have, Part, Record, Rights, Said, Sent, Sums, Version, put, read};
+use lilacquay_codec::replica::{
+    BRANCHES, BranchSums, Inventory, LeaseMessage, Message, Part, Record, RecordUpdate, Version, decode,
+    encode,
+};
 
 use crate::gossip_queue::GossipQueue;
 use crate::orders::{Action, Dot, EffectiveOrder, Order, Orders, TOMBSTONE_RETENTION_US};
@@ -148,7 +151,7 @@
     next_tick_at: Micros,
     ticked_at: Micros,
     /// Received lease messages, with their senders.
-    lease_messages: Vec<(usize, Rights)>,
+    lease_messages: Vec<(usize, LeaseMessage)>,
     /// The kinds of which records have changed since they were last fetched.
     changed_kinds: BTreeSet<u8>,
     counters: Counters,
@@ -205,7 +208,7 @@
     /// Processes a datagram that came from the address of the node `from`. Returns the datagrams to send.
     pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let Ok(message) = read(self.setup.site_id, datagram) else {
+        let Ok(message) = decode(self.setup.site_id, datagram) else {
             self.counters.invalid += 1;
             return out;
         };
@@ -215,28 +218,28 @@
         }
         self.counters.accepted += 1;
         self.rate_limiter.refill(now);
-        let Said { root, behind, parts } = message;
+        let Message { root, behind, parts } = message;
         self.peers.insert(from, PeerSync { root, behind, reported_at: now });
         self.up_to_date_heard_at = if behind { self.up_to_date_heard_at } else { Some(now) };
         let (mut replies, mut was_compared) = (Vec::new(), false);
         for part in parts {
             match part {
                 Part::Record(sent) => self.handle_record(now, from, sent, &mut replies, &mut out),
-                Part::Sums(sums) => {
+                Part::BranchSums(sums) => {
                     was_compared = true;
                     self.compare_sums(&sums, &mut replies);
                 }
-                Part::Have(have) => {
+                Part::Inventory(have) => {
                     was_compared = true;
                     self.compare_list(now, &have, &mut replies);
                 }
-                Part::Want(ids) => self.add_records(now, &ids, &mut replies),
-                Part::Held(list) => self.record_acknowledgements(from, &list),
+                Part::Request(ids) => self.add_records(now, &ids, &mut replies),
+                Part::Ack(list) => self.record_acknowledgements(from, &list),
                 // Limited, so that a node which sends more lease messages than are fetched cannot fill the memory.
-                Part::Rights(message) if self.lease_messages.len() < MAX_PENDING_LEASE_MESSAGES => {
+                Part::Lease(message) if self.lease_messages.len() < MAX_PENDING_LEASE_MESSAGES => {
                     self.lease_messages.push((from, message))
                 }
-                Part::Rights(_) => {}
+                Part::Lease(_) => {}
             }
         }
         self.reply(from, replies, &mut out);
@@ -250,7 +253,7 @@
         {
             self.notified_at.insert(from, now);
             let sums = self.branch_sums(0, 0);
-            self.reply(from, sums.map(Part::Sums).into_iter().collect(), &mut out);
+            self.reply(from, sums.map(Part::BranchSums).into_iter().collect(), &mut out);
         }
         if let (SyncState::Behind(_), false, false) = (self.sync_state, differs, behind) {
             self.sync_state = SyncState::UpToDate(now);
@@ -275,7 +278,7 @@
             let Some(to) = self.random_peer(None) else { break };
             let mut message = self.new_message();
             if is_behind {
-                message.parts.extend(self.branch_sums(0, 0).map(Part::Sums));
+                message.parts.extend(self.branch_sums(0, 0).map(Part::BranchSums));
             }
             self.add_changes(now, &mut message);
             self.push_datagram(to, &message, &mut out);
@@ -434,14 +437,14 @@
     }
 
     /// Removes and returns the lease messages received since the last call, with their senders.
-    pub fn take_lease_messages(&mut self) -> Vec<(usize, Rights)> {
+    pub fn take_lease_messages(&mut self) -> Vec<(usize, LeaseMessage)> {
         std::mem::take(&mut self.lease_messages)
     }
 
     /// A datagram with a lease message.
-    pub fn lease_datagram(&mut self, to: usize, lease_message: Rights) -> OutgoingDatagram {
+    pub fn lease_datagram(&mut self, to: usize, lease_message: LeaseMessage) -> OutgoingDatagram {
         let mut message = self.new_message();
-        message.add(Part::Rights(lease_message));
+        message.add(Part::Lease(lease_message));
         let mut out = Vec::new();
         self.push_datagram(to, &message, &mut out);
         out.remove(0)
@@ -467,11 +470,11 @@
         &mut self,
         now: Micros,
         from: usize,
-        sent: Sent,
+        sent: RecordUpdate,
         replies: &mut Vec<Part>,
         out: &mut Vec<OutgoingDatagram>,
     ) {
-        let Sent { record, left: remaining_tenths, asks: asks_for_acknowledgement } = sent;
+        let RecordUpdate { record, remaining_tenths, ack_requested: asks_for_acknowledgement } = sent;
         let origin = usize::from(record.origin);
         if origin >= self.setup.node_count {
             return; // not in the list of nodes
@@ -497,11 +500,11 @@
         let is_held = matches!(outcome, MergeOutcome::New | MergeOutcome::Replaced | MergeOutcome::Unchanged);
         if kind == kind::ORDER && is_held && origin != self.setup.own_index {
             if from == origin && (asks_for_acknowledgement || outcome.is_change()) {
-                replies.push(Part::Held(vec![(id, checksum)]));
+                replies.push(Part::Ack(vec![(id, checksum)]));
             } else if outcome.is_change() && self.reachable.contains(&origin) && self.rate_limiter.try_take(0)
             {
                 let mut message = self.new_message();
-                message.add(Part::Held(vec![(id, checksum)]));
+                message.add(Part::Ack(vec![(id, checksum)]));
                 self.push_datagram(origin, &message, out);
             }
         }
@@ -562,10 +565,10 @@
 
     fn record_part(&self, now: Micros, id: u64, asks_for_acknowledgement: bool) -> Option<Part> {
         let stored = self.store.get(id)?;
-        Some(Part::Record(Sent {
+        Some(Part::Record(RecordUpdate {
             record: stored.record.clone(),
-            left: stored.remaining_tenths(now),
-            asks: asks_for_acknowledgement,
+            remaining_tenths: stored.remaining_tenths(now),
+            ack_requested: asks_for_acknowledgement,
         }))
     }
 
@@ -587,7 +590,7 @@
     }
 
     /// Fills a message with changed records.
-    fn add_changes(&mut self, now: Micros, message: &mut Said) {
+    fn add_changes(&mut self, now: Micros, message: &mut Message) {
         for _ in 0..self.gossip.len() {
             let Some(id) = self.gossip.pop() else { return };
             if let Some(part) = self.record_part(now, id, false)
@@ -639,12 +642,12 @@
 
     // ---- anti-entropy: finding and repairing differences ----
 
-    fn branch_sums(&self, level: u8, path: u16) -> Option<Sums> {
-        Some(Sums { level, path, sums: self.store.sums(level, path)? })
+    fn branch_sums(&self, level: u8, path: u16) -> Option<BranchSums> {
+        Some(BranchSums { level, path, sums: self.store.sums(level, path)? })
     }
 
     /// Replies with the next level, or with a list of records, for each branch in which the other's replica differs.
-    fn compare_sums(&mut self, theirs: &Sums, replies: &mut Vec<Part>) {
+    fn compare_sums(&mut self, theirs: &BranchSums, replies: &mut Vec<Part>) {
         let Some(ours) = self.store.sums(theirs.level, theirs.path) else { return };
         let mut differing: Vec<usize> =
             (0..BRANCHES).filter(|&branch| ours[branch] != theirs.sums[branch]).collect();
@@ -657,7 +660,7 @@
                 .branch_sums(level, path)
                 .filter(|_| record_count > MAX_LISTED_RECORDS && level < LEVELS)
             {
-                Some(sums) => replies.push(Part::Sums(sums)),
+                Some(sums) => replies.push(Part::BranchSums(sums)),
                 None => replies.extend(self.record_lists(first, last)),
             }
         }
@@ -667,20 +670,20 @@
     fn record_lists(&self, first: u64, last: u64) -> Vec<Part> {
         let all: Vec<(u64, u32)> = self.store.list(first, last).collect();
         let (mut parts, mut from) = (Vec::new(), first);
-        let mut chunks = all.chunks(Have::MOST).peekable();
+        let mut chunks = all.chunks(Inventory::MAX_ENTRIES).peekable();
         while let Some(chunk) = chunks.next() {
             let to = if chunks.peek().is_some() { chunk[chunk.len() - 1].0 } else { last };
-            parts.push(Part::Have(Have { first: from, last: to, list: chunk.into() }));
+            parts.push(Part::Inventory(Inventory { first: from, last: to, list: chunk.into() }));
             from = to + 1;
         }
         if parts.is_empty() {
-            parts.push(Part::Have(Have { first, last, list: Vec::new() }));
+            parts.push(Part::Inventory(Inventory { first, last, list: Vec::new() }));
         }
         parts
     }
 
     /// Replies to a list with the records that the other node lacks, and asks for those that are lacking here.
-    fn compare_list(&mut self, now: Micros, have: &Have, replies: &mut Vec<Part>) {
+    fn compare_list(&mut self, now: Micros, have: &Inventory, replies: &mut Vec<Part>) {
         let theirs: BTreeMap<u64, u32> = have.list.iter().copied().collect();
         let ours: Vec<(u64, u32)> =
             self.store.list(have.first, have.last).take(4 * MAX_RECORDS_PER_REPLY).collect();
@@ -692,7 +695,7 @@
             .iter()
             .filter(|(id, checksum)| stored(**id).is_none_or(|stored| stored.checksum() != **checksum));
         let wanted: Vec<u64> = wanted.map(|(id, _)| *id).collect();
-        replies.extend(wanted.chunks(30).map(|ids| Part::Want(ids.into())));
+        replies.extend(wanted.chunks(30).map(|ids| Part::Request(ids.into())));
     }
 
     fn add_records(&self, now: Micros, ids: &[u64], replies: &mut Vec<Part>) {
@@ -723,9 +726,9 @@
 
     // ---- sending ----
 
-    fn new_message(&self) -> Said {
+    fn new_message(&self) -> Message {
         let behind = matches!(self.sync_state, SyncState::Behind(_));
-        Said { root: self.store.root(), behind, parts: Vec::new() }
+        Message { root: self.store.root(), behind, parts: Vec::new() }
     }
 
     /// A random node among those that are here, other than `except`.
@@ -735,8 +738,8 @@
         self.reachable.iter().copied().filter(|&node| Some(node) != except).nth(nth)
     }
 
-    fn push_datagram(&mut self, to: usize, message: &Said, out: &mut Vec<OutgoingDatagram>) {
-        let datagram = put(self.setup.site_id, message);
+    fn push_datagram(&mut self, to: usize, message: &Message, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = encode(self.setup.site_id, message);
         self.counters.sent += 1;
         self.counters.sent_bytes += datagram.len() as u64;
         out.push(OutgoingDatagram { to, datagram });
--- a/crates/replica/tests/leases.rs
+++ b/crates/replica/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Lending of shares: in no order of requests, losses, duplicates, pauses and restarts do the nodes together use more than
 //! the total.
 
-use lilacquay_codec::replica::Rights;
+use lilacquay_codec::replica::LeaseMessage;
 use lilacquay_replica::Micros;
 use lilacquay_replica::leases::{LeaseLedger, LeaseLimits};
 use stateright::{Checker, Model, Property};
@@ -24,7 +24,7 @@
     /// Nodes that no watcher confirms, so that their shares expire.
     cut: [bool; NODES],
     paused: [bool; NODES],
-    in_flight: Vec<(usize, usize, Rights)>,
+    in_flight: Vec<(usize, usize, LeaseMessage)>,
     starts: u32,
     /// Steps that may still be taken.
     steps_left: u8,
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lilacquay_codec::replica::{Part, Record, Rights, Said, Sent, Version, put};
+use lilacquay_codec::replica::{LeaseMessage, Message, Part, Record, RecordUpdate, Version, encode};
 use lilacquay_replica::endpoint_reports::{LocalServerList, ServerEntry, excluded_servers, publish};
 use lilacquay_replica::orders::{Action, TOMBSTONE_RETENTION_US};
 use lilacquay_replica::simulation::{MS, SEC, Simulation};
@@ -364,9 +364,9 @@
         }
     };
     let datagram_with = |record: Record| {
-        let mut message = Said::default();
-        message.add(Part::Record(Sent { record, left: Some(600), asks: false }));
-        put(7, &message)
+        let mut message = Message::default();
+        message.add(Part::Record(RecordUpdate { record, remaining_tenths: Some(600), ack_requested: false }));
+        encode(7, &message)
     };
     for (at, value) in [(0, 1), (1, 9), (3, 5)] {
         sim.with_replica(at, |replica, now| {
@@ -417,9 +417,9 @@
 #[test]
 fn lease_messages_that_are_not_fetched_do_not_pile_up() {
     let mut sim = new_simulation(3, 11);
-    let mut message = Said::default();
-    (0..10).for_each(|number| _ = message.add(Part::Rights(Rights::Ask { number, amount: 1 })));
-    let datagram = put(7, &message);
+    let mut message = Message::default();
+    (0..10).for_each(|number| _ = message.add(Part::Lease(LeaseMessage::Request { number, amount: 1 })));
+    let datagram = encode(7, &message);
     let pending = sim.with_replica(0, |replica, now| {
         (0..1_000).for_each(|_| _ = replica.handle_datagram(now, 1, &datagram));
         replica.take_lease_messages().len()
--- a/crates/siblings/src/peer_monitor.rs
+++ b/crates/siblings/src/peer_monitor.rs
@@ -88,7 +88,7 @@
     pub fn report(&self, now: Micros, parameters: &Parameters) -> Heard {
         Heard {
             incarnation: self.incarnation as u32,
-            beat: self.heartbeat as u16,
+            heartbeat: self.heartbeat as u16,
             direct: self.is_heard_directly(now, parameters),
             expired: self.is_expired,
         }
--- a/crates/siblings/src/ring.rs
+++ b/crates/siblings/src/ring.rs
@@ -1,7 +1,7 @@
 //! The ring that assigns watchers to nodes. It is computed from the number of nodes alone, so that all nodes with the same
 //! list have the same ring.
 
-use lilacquay_codec::siblings::WATCHERS;
+use lilacquay_codec::siblings::MAX_WATCHERS;
 
 /// The ring of all nodes. A node's watchers are its nearest nodes on both sides, and it watches them in turn.
 ///
@@ -37,7 +37,7 @@
 
     /// How many nodes watch each node.
     pub fn watcher_count(&self) -> usize {
-        WATCHERS.min(self.node_count - 1)
+        MAX_WATCHERS.min(self.node_count - 1)
     }
 
     /// How many watchers must report that a node's lease has expired before the node counts as gone.
@@ -58,7 +58,7 @@
         let (node_count, stride, position) =
             (self.node_count, self.stride, node * self.stride_inverse % self.node_count);
         let offsets = [1, node_count - 1, 2, node_count.saturating_sub(2)];
-        let mut neighbours = Vec::with_capacity(WATCHERS);
+        let mut neighbours = Vec::with_capacity(MAX_WATCHERS);
         for offset in offsets.into_iter().take(self.watcher_count()) {
             let neighbour = (position + offset) % node_count * stride % node_count;
             if neighbour != node && !neighbours.contains(&neighbour) {
--- a/crates/siblings/src/self_state.rs
+++ b/crates/siblings/src/self_state.rs
@@ -1,7 +1,7 @@
 //! A node's own state: its incarnation, its heartbeats, which watchers have confirmed them, and until when it may use its
 //! share. Times are in microseconds by the node's monotonic clock unless said otherwise.
 
-use lilacquay_codec::siblings::{Heard, WATCHERS};
+use lilacquay_codec::siblings::{Heard, MAX_WATCHERS};
 
 use crate::Micros;
 use crate::parameters::Parameters;
@@ -36,7 +36,7 @@
     /// Send times of the last heartbeats, as a ring buffer indexed by heartbeat number.
     sent_at: Vec<Micros>,
     /// By index among the neighbours on the ring.
-    reports: [WatcherReport; WATCHERS],
+    reports: [WatcherReport; MAX_WATCHERS],
     /// Since when it has been confirmed without interruption.
     confirmed_since: Option<Micros>,
     /// The least time to the next incarnation while too few watchers confirm the node.
@@ -85,10 +85,10 @@
 
     /// Processes a watcher's report of this node.
     pub fn handle_report(&mut self, watcher: usize, heard: Heard) {
-        if heard.incarnation != self.incarnation as u32 || (heard.incarnation, heard.beat) == (0, 0) {
+        if heard.incarnation != self.incarnation as u32 || (heard.incarnation, heard.heartbeat) == (0, 0) {
             return; // of an earlier incarnation, or the watcher has heard nothing of this node
         }
-        let age = (self.heartbeat as u16).wrapping_sub(heard.beat);
+        let age = (self.heartbeat as u16).wrapping_sub(heard.heartbeat);
         let report = &mut self.reports[watcher];
         report.reports_expired = heard.expired;
         if usize::from(age) < KEPT_SEND_TIMES.min(self.heartbeat as usize) && !heard.expired {
@@ -233,8 +233,8 @@
     /// Sends a heartbeat and has this watcher acknowledge it.
     fn confirm(state: &mut SelfState, watcher: usize, now: Micros) {
         state.next_heartbeat(now);
-        let (incarnation, beat) = (state.incarnation() as u32, state.heartbeat() as u16);
-        state.handle_report(watcher, Heard { incarnation, beat, direct: true, expired: false });
+        let (incarnation, heartbeat) = (state.incarnation() as u32, state.heartbeat() as u16);
+        state.handle_report(watcher, Heard { incarnation, heartbeat, direct: true, expired: false });
     }
 
     /// A watcher that restarts has forgotten whether it held the present incarnation to be gone.
@@ -263,7 +263,7 @@
         let earlier = state.incarnation() as u32;
         state.next_heartbeat(10 * MS);
         state.start_incarnation(20 * MS, 0);
-        let report = |incarnation, beat| Heard { incarnation, beat, direct: true, expired: false };
+        let report = |incarnation, heartbeat| Heard { incarnation, heartbeat, direct: true, expired: false };
         state.handle_report(0, report(earlier, 1));
         state.handle_report(0, report(state.incarnation() as u32, 9));
         assert_eq!(state.confirmed_until(), 0);
--- a/crates/siblings/src/siblings.rs
+++ b/crates/siblings/src/siblings.rs
@@ -4,7 +4,10 @@
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-use lilacquay_codec::siblings::{BUCKETS, LONGEST, MOST_WANTED, Row, Said, Standing, Unread, put, read};
+use lilacquay_codec::siblings::{
+    DIGEST_BUCKETS, DecodeError, MAX_DATAGRAM_BYTES, MAX_REQUESTED_ROWS, Message, NodeFlags, Row, decode,
+    encode,
+};
 
 use crate::Micros;
 use crate::gossip_queue::GossipQueue;
@@ -261,13 +264,13 @@
         datagram: &[u8],
     ) -> Vec<OutgoingDatagram> {
         let mut out = Vec::new();
-        let message = match read(self.setup.site_id, datagram) {
+        let message = match decode(self.setup.site_id, datagram) {
             Ok(message) => message,
-            Err(Unread::Site) => {
+            Err(DecodeError::WrongSite) => {
                 self.counters.other_site += 1;
                 return out;
             }
-            Err(Unread::Form | Unread::Sum) => {
+            Err(DecodeError::Malformed | DecodeError::ChecksumMismatch) => {
                 self.counters.invalid += 1;
                 return out;
             }
@@ -294,14 +297,15 @@
             let same_incarnation = record.row.incarnation == sender_row.incarnation;
             record.row.incarnation > sender_row.incarnation
                 || same_incarnation
-                    && record.row.beat > sender_row.beat.saturating_add(EARLIER_PROCESS_HEARTBEAT_GAP)
+                    && record.row.heartbeat
+                        > sender_row.heartbeat.saturating_add(EARLIER_PROCESS_HEARTBEAT_GAP)
         });
         let mut is_urgent = false;
         for (position, row) in message.rows.iter().enumerate() {
             is_urgent |= self.merge_row(now, *row, false, from, position == 0);
         }
         // Neighbours send full rows as well, which a newer brief row without a `heard` list would hide.
-        for row in &message.briefs {
+        for row in &message.brief_rows {
             if !self.neighbours.contains(&usize::from(row.origin)) {
                 self.merge_row(now, *row, true, from, false);
             }
@@ -327,9 +331,9 @@
                 }
             }
         }
-        self.answer_wanted_nodes(now, from, &message.wants, &mut out);
+        self.answer_wanted_nodes(now, from, &message.requested_nodes, &mut out);
         self.answer_digests(now, from, message.digests, &mut out);
-        let sender_needs_help = !sender_row.standing.confirmed || sender_row.standing.calling;
+        let sender_needs_help = !sender_row.flags.confirmed || sender_row.flags.needs_relay;
         // Limits replies, so that two nodes in need do not reply to each other's replies without end.
         let replied_lately = self.last_reply_at[from]
             .is_some_and(|at| now < at + self.setup.parameters.heartbeat_interval / 5);
@@ -361,14 +365,14 @@
         let max_age = self.setup.parameters.freshness_limit(self.setup.node_count) / 2;
         let recent_row = |node: &u16| {
             let record = self.view.get(usize::from(*node))?;
-            let is_certain = now <= record.received_at + max_age && record.row.standing.confirmed;
+            let is_certain = now <= record.received_at + max_age && record.row.flags.confirmed;
             (is_certain && usize::from(*node) != to).then_some(record.row)
         };
         let rows: Vec<Row> = wanted.iter().filter_map(recent_row).collect();
         if !rows.is_empty() && self.take_extra_send_token() {
             self.refresh_own_row(now);
             let mut message = self.new_message();
-            rows.into_iter().for_each(|row| _ = message.add(row, true, LONGEST));
+            rows.into_iter().for_each(|row| _ = message.add(row, true, MAX_DATAGRAM_BYTES));
             self.push_datagram(to, &message, out);
         }
     }
@@ -378,12 +382,13 @@
         &mut self,
         now: Micros,
         to: usize,
-        theirs: Option<[u16; BUCKETS]>,
+        theirs: Option<[u16; DIGEST_BUCKETS]>,
         out: &mut Vec<OutgoingDatagram>,
     ) {
         let Some(theirs) = theirs else { return };
         let ours = self.view.bucket_digests();
-        let differing: Vec<usize> = (0..BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
+        let differing: Vec<usize> =
+            (0..DIGEST_BUCKETS).filter(|&bucket| ours[bucket] != theirs[bucket]).collect();
         if differing.is_empty() || !self.take_extra_send_token() {
             return;
         }
@@ -407,7 +412,7 @@
                     .filter_map(|&watcher| self.view.get(watcher))
                     .map(|record| (record.row, false));
                 for (row, is_brief) in reports.chain([(record.row, true)]) {
-                    if !message.has(row.origin) && !message.add(row, is_brief, LONGEST) {
+                    if !message.has_row_of(row.origin) && !message.add(row, is_brief, MAX_DATAGRAM_BYTES) {
                         return self.push_datagram(to, &message, out);
                     }
                 }
@@ -421,9 +426,10 @@
         let is_unknown = |&node: &usize| {
             self.reported_states[node].0 == NodeState::Unknown && node != self.setup.own_index
         };
-        let first = if self.state_counts()[2] > MOST_WANTED { self.gossip.next_in_rotation() } else { 0 };
+        let first =
+            if self.state_counts()[2] > MAX_REQUESTED_ROWS { self.gossip.next_in_rotation() } else { 0 };
         let (low, high) = (0..first, first..self.setup.node_count);
-        high.chain(low).filter(is_unknown).take(MOST_WANTED).map(|node| node as u16).collect()
+        high.chain(low).filter(is_unknown).take(MAX_REQUESTED_ROWS).map(|node| node as u16).collect()
     }
 
     /// Does what is due as time passes: expires leases and sends heartbeats. Returns the datagrams to send.
@@ -560,7 +566,7 @@
         if now > record.received_at + parameters.freshness_limit(self.setup.node_count) {
             return (NodeState::Unknown, StateReason::Silent);
         }
-        if !record.row.standing.confirmed {
+        if !record.row.flags.confirmed {
             return (NodeState::Unknown, StateReason::Unconfirmed);
         }
         if let Some(index) = self.neighbours.iter().position(|&neighbour| neighbour == node) {
@@ -754,7 +760,7 @@
             return false;
         }
         if let Some(index) = self.neighbours.iter().position(|&neighbour| neighbour == node) {
-            if self.monitors[index].record_heartbeat(now, row.incarnation, row.beat) {
+            if self.monitors[index].record_heartbeat(now, row.incarnation, row.heartbeat) {
                 self.self_state.reset_watcher(index, now);
             }
             if is_direct {
@@ -766,7 +772,7 @@
         }
         match outcome {
             MergeOutcome::Changed => self.gossip.enqueue(node, false, false),
-            MergeOutcome::Urgent => self.gossip.enqueue(node, true, row.standing.calling),
+            MergeOutcome::Urgent => self.gossip.enqueue(node, true, row.flags.needs_relay),
             MergeOutcome::Outdated | MergeOutcome::Unchanged | MergeOutcome::HeartbeatOnly => {}
         }
         let watched_by_node: Vec<usize> = self.ring.neighbours(node).collect();
@@ -778,12 +784,12 @@
         }
         self.view.apply_expiry_quorum(&self.ring, node);
         self.report_state(now, node);
-        outcome == MergeOutcome::Urgent || outcome == MergeOutcome::Changed && row.standing.leaving
+        outcome == MergeOutcome::Urgent || outcome == MergeOutcome::Changed && row.flags.leaving
     }
 
     /// Sends a datagram to nodes that others report as missed: the link from this node may be the only one that works.
     fn probe_missed_nodes(&mut self, now: Micros, rows: &[Row], out: &mut Vec<OutgoingDatagram>) {
-        for row in rows.iter().filter(|row| row.standing.calling) {
+        for row in rows.iter().filter(|row| row.flags.needs_relay) {
             let watched_by_node: Vec<usize> = self.ring.neighbours(usize::from(row.origin)).collect();
             for (heard_index, node) in watched_by_node.into_iter().enumerate() {
                 let heard = row.heard[heard_index];
@@ -801,7 +807,7 @@
     /// Handles a row under this node's own name that it has not sent: of its own earlier process, or of another process
     /// under its name.
     fn handle_own_name(&mut self, now: Micros, row: Row) {
-        let is_ahead = row.age() > (self.self_state.incarnation(), self.self_state.heartbeat());
+        let is_ahead = row.version() > (self.self_state.incarnation(), self.self_state.heartbeat());
         if !is_ahead {
             return;
         }
@@ -849,7 +855,7 @@
         }
     }
 
-    /// Whether this node asks others for help (`Standing::calling`): it lacks confirmations, or has no news of a neighbour,
+    /// Whether this node asks others for help (`NodeFlags::calling`): it lacks confirmations, or has no news of a neighbour,
     /// or none but relayed news.
     fn needs_help(&self, now: Micros) -> bool {
         let parameters = &self.setup.parameters;
@@ -883,11 +889,11 @@
         let mut row = Row {
             origin: self.setup.own_index as u16,
             incarnation: self.self_state.incarnation(),
-            beat: self.self_state.heartbeat(),
-            standing: Standing {
+            heartbeat: self.self_state.heartbeat(),
+            flags: NodeFlags {
                 confirmed: self.is_confirmed(now),
                 leaving: self.is_leaving,
-                calling: self.needs_help(now),
+                needs_relay: self.needs_help(now),
                 paused: self.was_paused,
             },
             watches: self.neighbours.len() as u8,
@@ -920,17 +926,17 @@
         is_available
     }
 
-    fn push_datagram(&mut self, to: usize, message: &Said, out: &mut Vec<OutgoingDatagram>) {
-        let datagram = put(self.setup.site_id, message);
+    fn push_datagram(&mut self, to: usize, message: &Message, out: &mut Vec<OutgoingDatagram>) {
+        let datagram = encode(self.setup.site_id, message);
         self.counters.sent += 1;
         self.counters.sent_bytes += datagram.len() as u64;
         out.push(OutgoingDatagram { to, datagram });
     }
 
     /// A message with what each datagram starts with: the view's digest and this node's own row.
-    fn new_message(&self) -> Said {
+    fn new_message(&self) -> Message {
         let rows = self.view.get(self.setup.own_index).map(|record| record.row).into_iter().collect();
-        Said { epoch: self.view.digest(), rows, ..Said::default() }
+        Message { epoch: self.view.digest(), rows, ..Message::default() }
     }
 
     /// A random node that is not a neighbour, through which news spreads: at times any node, otherwise one that is here.
@@ -977,7 +983,7 @@
             message.rows.extend(row_of(&self.view, to)); // shows it an earlier process, or another one, of its name
         }
         if neighbour_index.is_none() {
-            message.wants = self.wanted_nodes();
+            message.requested_nodes = self.wanted_nodes();
             let differed_lately =
                 now < self.last_difference_at + 2 * self.setup.parameters.heartbeat_interval;
             message.digests = differed_lately.then(|| self.view.bucket_digests());
@@ -992,14 +998,15 @@
             let is_unheard = row_of(&self.view, to)
                 .zip(heard_index)
                 .is_some_and(|(row, heard_index)| !row.heard[heard_index].direct);
-            if node != to && is_unheard && message.length() + record.row.length() <= LONGEST {
+            if node != to && is_unheard && message.length() + record.row.length() <= MAX_DATAGRAM_BYTES {
                 message.rows.push(record.row);
             }
         }
         for _ in 0..self.gossip.len() {
             let Some((node, full)) = self.gossip.peek() else { break };
-            let changed_row = row_of(&self.view, node).filter(|_| node != to && !message.has(node as u16));
-            if changed_row.is_some_and(|row| !message.add(row, !full, LONGEST)) {
+            let changed_row =
+                row_of(&self.view, node).filter(|_| node != to && !message.has_row_of(node as u16));
+            if changed_row.is_some_and(|row| !message.add(row, !full, MAX_DATAGRAM_BYTES)) {
                 break;
             }
             self.gossip.mark_sent(node);
@@ -1008,7 +1015,7 @@
         let views_agree = neighbour_index.is_some_and(|index| !self.views_differ[index]);
         for _ in 0..self.setup.node_count.min(if views_agree { 0 } else { 32 }) {
             let node = self.gossip.next_in_rotation();
-            let row = row_of(&self.view, node).filter(|_| node != to && !message.has(node as u16));
+            let row = row_of(&self.view, node).filter(|_| node != to && !message.has_row_of(node as u16));
             if row.is_some_and(|row| !message.add(row, true, ROTATION_LENGTH_LIMIT_BYTES)) {
                 break;
             }
--- a/crates/siblings/src/view.rs
+++ b/crates/siblings/src/view.rs
@@ -1,7 +1,7 @@
 //! What this node knows of all nodes: the newest row of each, when and through whom it came, and which nodes are gone.
 //! Times are in microseconds by this node's clock.
 
-use lilacquay_codec::siblings::{BUCKETS, Row, Standing};
+use lilacquay_codec::siblings::{DIGEST_BUCKETS, NodeFlags, Row};
 
 use crate::Micros;
 use crate::ring::Ring;
@@ -71,7 +71,7 @@
     pub received_from: usize,
     /// The incarnation that is gone, and why.
     pub gone: Option<(u64, StateReason)>,
-    /// When its last help request (`Standing::calling`) was relayed.
+    /// When its last help request (`NodeFlags::calling`) was relayed.
     help_relayed_at: Option<Micros>,
     /// The incarnation before the present one, if this node has known it.
     pub previous_incarnation: Option<u64>,
@@ -92,7 +92,7 @@
     /// A node in need sends ten datagrams in a heartbeat interval; without the limit all others would relay each of them.
     help_relay_interval: Micros,
     /// By bucket, a digest of all known incarnations and of which are gone: nodes with the same view have the same.
-    bucket_digests: [u64; BUCKETS],
+    bucket_digests: [u64; DIGEST_BUCKETS],
 }
 
 /// The result of merging a row into the view.
@@ -112,7 +112,7 @@
 
 impl View {
     pub fn new(node_count: usize, help_relay_interval: Micros) -> View {
-        View { records: vec![None; node_count], help_relay_interval, bucket_digests: [0; BUCKETS] }
+        View { records: vec![None; node_count], help_relay_interval, bucket_digests: [0; DIGEST_BUCKETS] }
     }
 
     pub fn get(&self, node: usize) -> Option<&NodeRecord> {
@@ -130,13 +130,13 @@
     }
 
     /// The digests of all buckets, as they are sent.
-    pub fn bucket_digests(&self) -> [u16; BUCKETS] {
+    pub fn bucket_digests(&self) -> [u16; DIGEST_BUCKETS] {
         self.bucket_digests.map(|digest| (digest ^ digest >> 16 ^ digest >> 32 ^ digest >> 48) as u16)
     }
 
     /// The nodes of a bucket.
     pub fn bucket_nodes(&self, bucket: usize) -> impl Iterator<Item = usize> + use<> {
-        (bucket..self.records.len()).step_by(BUCKETS)
+        (bucket..self.records.len()).step_by(DIGEST_BUCKETS)
     }
 
     /// A node's contribution to its bucket's digest.
@@ -166,17 +166,17 @@
         }
         let digest_before = self.digest_of(node);
         let (heard_heartbeat, help_relay_interval) =
-            ((!is_brief).then_some(row.beat), self.help_relay_interval);
+            ((!is_brief).then_some(row.heartbeat), self.help_relay_interval);
         let outcome = match &mut self.records[node] {
             Some(record) if row.incarnation < record.row.incarnation => return MergeOutcome::Outdated,
             Some(record) => {
                 let (previous, is_new_incarnation) = (record.row, row.incarnation > record.row.incarnation);
-                let is_newer = row.age() > previous.age();
+                let is_newer = row.version() > previous.version();
                 let updates_heard = !is_brief
                     && (is_new_incarnation
-                        || record.heard_heartbeat.is_none_or(|heartbeat| row.beat > heartbeat));
+                        || record.heard_heartbeat.is_none_or(|heartbeat| row.heartbeat > heartbeat));
                 if !is_newer && !updates_heard {
-                    return if row.age() == previous.age() {
+                    return if row.version() == previous.version() {
                         MergeOutcome::Unchanged
                     } else {
                         MergeOutcome::Outdated
@@ -198,7 +198,7 @@
                 } else if is_new_incarnation {
                     (record.row.heard, record.heard_heartbeat) = Default::default();
                 }
-                let relays_help = row.standing.calling
+                let relays_help = row.flags.needs_relay
                     && record
                         .help_relayed_at
                         .is_none_or(|relayed_at| now >= relayed_at + help_relay_interval);
@@ -210,7 +210,7 @@
                 }
             }
             empty => {
-                let help_relayed_at = row.standing.calling.then_some(now);
+                let help_relayed_at = row.flags.needs_relay.then_some(now);
                 *empty = Some(NodeRecord {
                     row,
                     heard_heartbeat,
@@ -227,11 +227,11 @@
                 }
             }
         };
-        if row.standing.leaving {
+        if row.flags.leaving {
             self.records[node].as_mut().expect("the record was set above").gone =
                 Some((row.incarnation, StateReason::Left));
         }
-        self.bucket_digests[node % BUCKETS] ^= digest_before ^ self.digest_of(node);
+        self.bucket_digests[node % DIGEST_BUCKETS] ^= digest_before ^ self.digest_of(node);
         outcome
     }
 
@@ -252,7 +252,7 @@
             let digest_before = self.digest_of(node);
             self.records[node].as_mut().expect("the record was read above").gone =
                 Some((incarnation, StateReason::LeaseExpired { reported_by }));
-            self.bucket_digests[node % BUCKETS] ^= digest_before ^ self.digest_of(node);
+            self.bucket_digests[node % DIGEST_BUCKETS] ^= digest_before ^ self.digest_of(node);
         }
     }
 
@@ -277,12 +277,11 @@
     }
     let is_new_incarnation = previous.incarnation < current.incarnation;
     // A node that has just started has nothing to report until it is confirmed.
-    let is_starting = !current.standing.confirmed
-        && !current.standing.leaving
-        && previous.standing.confirmed == is_new_incarnation;
+    let is_starting =
+        !current.flags.confirmed && !current.flags.leaving && previous.flags.confirmed == is_new_incarnation;
     // Help requests are relayed separately, at a limited rate.
     let same_standing =
-        Standing { calling: previous.standing.calling, ..current.standing } == previous.standing;
+        NodeFlags { needs_relay: previous.flags.needs_relay, ..current.flags } == previous.flags;
     if is_starting || !is_new_incarnation && same_standing {
         MergeOutcome::HeartbeatOnly
     } else {
--- a/crates/siblings/tests/virtual_time.rs
+++ b/crates/siblings/tests/virtual_time.rs
@@ -389,7 +389,7 @@
 /// Well-formed datagrams with arbitrary contents must not crash a node, nor make it send without bound.
 #[test]
 fn no_well_formed_datagram_crashes_a_node_or_makes_it_flood() {
-    use lilacquay_codec::siblings::{Heard, Row, Said, Standing, put};
+    use lilacquay_codec::siblings::{Heard, Message, NodeFlags, Row, encode};
     let mut rng = fastrand::Rng::with_seed(12);
     for nodes in [2, 3, 5, 40] {
         let mut sim = settled(nodes, 12);
@@ -399,23 +399,27 @@
             let edge_case = |rng: &mut fastrand::Rng| [0, 1, u32::MAX, rng.u32(..)][rng.usize(..4)];
             let mut row = Row { origin: rng.u16(..50), watches: rng.u8(..5), ..Row::default() };
             row.incarnation = [0, 1, u64::from(edge_case(&mut rng)) << 14, (1 << 48) - 1][rng.usize(..4)];
-            row.beat = edge_case(&mut rng);
-            row.standing =
-                Standing { confirmed: rng.bool(), leaving: rng.bool(), calling: rng.bool(), paused: false };
+            row.heartbeat = edge_case(&mut rng);
+            row.flags = NodeFlags {
+                confirmed: rng.bool(),
+                leaving: rng.bool(),
+                needs_relay: rng.bool(),
+                paused: false,
+            };
             row.heard = row.heard.map(|_| Heard {
                 incarnation: edge_case(&mut rng),
-                beat: rng.u16(..),
+                heartbeat: rng.u16(..),
                 direct: rng.bool(),
                 expired: rng.bool(),
             });
             let from = rng.usize(1..nodes);
             let first = Row { origin: from as u16, ..row };
-            let mut message = Said { epoch: edge_case(&mut rng), rows: vec![first], ..Said::default() };
+            let mut message = Message { epoch: edge_case(&mut rng), rows: vec![first], ..Message::default() };
             message.add(Row { origin: rng.u16(..50), ..row }, rng.bool(), 256);
-            message.wants = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
+            message.requested_nodes = (0..rng.usize(..9)).map(|_| rng.u16(..60)).collect();
             message.digests = rng.bool().then(|| std::array::from_fn(|_| rng.u16(..)));
             now += rng.u64(..2 * MS);
-            sent += node.handle_datagram(now, 0, from, &put(7, &message)).len();
+            sent += node.handle_datagram(now, 0, from, &encode(7, &message)).len();
             if rng.u8(..50) == 0 {
                 node.tick(now, 0);
             }
@@ -428,22 +432,22 @@
 /// A faulty node reports again and again that the leases of all nodes that it watches have expired.
 #[test]
 fn a_node_that_reports_all_others_as_expired_makes_none_gone() {
-    use lilacquay_codec::siblings::{Heard, Row, Said, put, site};
-    assert_ne!(site("a", 3), site("a", 4));
+    use lilacquay_codec::siblings::{Heard, Message, Row, encode, site_id};
+    assert_ne!(site_id("a", 3), site_id("a", 4));
     let mut sim = settled(5, 13);
     sim.kill(4);
     sim.run(10 * SEC);
     sim.events.clear();
     let ring = lilacquay_siblings::Ring::new(5);
-    for beat in 1..=120 {
+    for heartbeat in 1..=120 {
         sim.run(500 * MS);
         let incarnation_of = |node: usize| sim.membership(node).incarnation() as u32;
-        let mut row = Row { origin: 4, incarnation: 1 << 47, beat, watches: 4, ..Row::default() };
-        row.standing.confirmed = true;
+        let mut row = Row { origin: 4, incarnation: 1 << 47, heartbeat, watches: 4, ..Row::default() };
+        row.flags.confirmed = true;
         for (heard, node) in row.heard.iter_mut().zip(ring.neighbours(4)) {
-            *heard = Heard { incarnation: incarnation_of(node), beat: 1, direct: true, expired: true };
+            *heard = Heard { incarnation: incarnation_of(node), heartbeat: 1, direct: true, expired: true };
         }
-        let datagram = put(7, &Said { rows: vec![row], ..Said::default() });
+        let datagram = encode(7, &Message { rows: vec![row], ..Message::default() });
         for node in 0..4 {
             sim.deliver(4, node, &datagram);
         }
--- a/crates/upstreams/src/memcache.rs
+++ b/crates/upstreams/src/memcache.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use lilacquay_codec::memcache::{
-    HEADER, Head, KEY_LIMIT, Opcode, Packet, Status, next_response, response_head,
+    HEADER_BYTES, MAX_KEY_BYTES, Opcode, Packet, ResponseHeader, Status, next_response, parse_response_header,
 };
 use lilacquay_core::{
     Call, Connection, IdleState, MAX_BUFFERED_VALUE_BYTES, MAX_STREAMED_VALUE_BYTES, OperationResult,
@@ -58,7 +58,7 @@
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
         // A key that is too long for the protocol: nothing is sent.
-        if call.key.len() > KEY_LIMIT {
+        if call.key.len() > MAX_KEY_BYTES {
             return (Reply::from_outcome(Outcome::Ignored), Some(self));
         }
         self.opaque = self.opaque.wrapping_add(1);
@@ -70,7 +70,9 @@
         target.request_written(None); // the protocol cannot state the time left
         buffer.clear();
         loop {
-            if let Some(head) = response_head(&buffer).filter(|head| self.is_large_value(call.verb, head)) {
+            if let Some(head) =
+                parse_response_header(&buffer).filter(|head| self.is_large_value(call.verb, head))
+            {
                 return self.forward_large_value(buffer, head, target, deadline).await;
             }
             match next_response(&mut buffer, MAX_BODY_BYTES) {
@@ -94,31 +96,33 @@
 
 impl MemcacheConnection {
     /// Whether a response is the answer to this read with a large value, which is forwarded as it arrives.
-    fn is_large_value(&self, verb: Verb, head: &Head) -> bool {
+    fn is_large_value(&self, verb: Verb, head: &ResponseHeader) -> bool {
         let matches_request = head.opaque == self.opaque && head.opcode == Opcode::Get as u8;
-        let has_value =
-            matches_request && head.status == Status::OK && head.extras == FLAGS_BYTES && head.key == 0;
+        let has_value = matches_request
+            && head.status == Status::OK
+            && head.extras_length == FLAGS_BYTES
+            && head.key_length == 0;
         verb == Verb::Get
             && has_value
-            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value)
+            && (MAX_BUFFERED_VALUE_BYTES + 1..=MAX_STREAMED_VALUE_BYTES).contains(&head.value_length)
     }
 
     /// Forwards a large value.
     async fn forward_large_value(
         mut self,
         mut received: BytesMut,
-        head: Head,
+        head: ResponseHeader,
         target: &Target,
         deadline: Instant,
     ) -> (Reply, Option<Self>) {
-        while received.len() < HEADER + FLAGS_BYTES {
+        while received.len() < HEADER_BYTES + FLAGS_BYTES {
             if !matches!(read_until_timeout(deadline, self.stream.read_buf(&mut received)).await, Ok(1..)) {
                 return (Reply::from_outcome(Outcome::Reset), None);
             }
         }
-        received.advance(HEADER);
+        received.advance(HEADER_BYTES);
         let flags = received.get_u32();
-        let mut feeder = target.begin_stream(head.value, flags);
+        let mut feeder = target.begin_stream(head.value_length, flags);
         match forward_value(&mut self.stream, &mut received, &mut feeder, deadline).await {
             Err(error) => (Reply::from_outcome(error.outcome()), None),
             Ok(()) => (
@@ -147,8 +151,9 @@
         extras.put_u32(expiry);
     }
     let (key, value) = (Bytes::copy_from_slice(call.key.as_bytes()), call.value.clone().unwrap_or_default());
-    let mut text =
-        BytesMut::with_capacity(MIN_BUFFER_CAPACITY.max(HEADER + extras.len() + key.len() + value.len()));
+    let mut text = BytesMut::with_capacity(
+        MIN_BUFFER_CAPACITY.max(HEADER_BYTES + extras.len() + key.len() + value.len()),
+    );
     Packet { extras: extras.freeze(), key, value, ..Packet::new(opcode(call.verb), opaque) }
         .put_request(&mut text);
     text
