--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -436,7 +436,7 @@
             OrderEffect::Drain => None,
             OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
-        Standing { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
+        Standing { server: server.into(), seconds_left, lasting: held.persistent, number: held.number }
     }
 }
 
@@ -459,10 +459,16 @@
             }
             Verb::Drain { server, seconds, lasting, force, seen, .. } => {
                 let time = |seconds: u64| Order::Exclude(seconds.saturating_mul(1_000_000));
-                Some(OrderRequest { server, order: seconds.map_or(Order::Drain, time), lasting, force, seen })
+                Some(OrderRequest {
+                    server,
+                    order: seconds.map_or(Order::Drain, time),
+                    persistent: lasting,
+                    force,
+                    seen,
+                })
             }
             Verb::Undrain { server, seen, .. } => {
-                Some(OrderRequest { server, order: Order::Undrain, lasting: false, force: false, seen })
+                Some(OrderRequest { server, order: Order::Undrain, persistent: false, force: false, seen })
             }
         }
     }
--- a/crates/core/src/driver/introspection.rs
+++ b/crates/core/src/driver/introspection.rs
@@ -123,7 +123,7 @@
                     OrderEffect::Drain => None,
                     OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
                 },
-                lasting: held.lasting,
+                lasting: held.persistent,
             });
             let left_out = view.and_then(|view| match (view.cut_off, view.unanswered_attempts) {
                 (true, _) => Some("its zone gives no connections".to_owned()),
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use lilacquay_observe::{CommonNow, Snapshot};
-use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, SharedOrder};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, ReplicatedOrder};
 use paddlefold::{Learned, RequestId};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -48,7 +48,7 @@
         /// Whether these are all orders, so that any missing one has been lifted.
         complete: bool,
         /// The orders by server.
-        orders: Vec<SharedOrder>,
+        orders: Vec<ReplicatedOrder>,
     },
     /// The names of servers that the lists of other nodes have removed.
     RemovedByPeers(BTreeSet<String>),
--- a/crates/core/src/overrides.rs
+++ b/crates/core/src/overrides.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 use lilacquay_overrides::{
-    ActiveOrder, AppliedOrder, ListedServer, OrderRequest, Overrides, PersistentOrder, Refusal, SharedOrder,
-    StateChange,
+    ActiveOrder, AppliedOrder, ListedServer, OrderRequest, Overrides, PersistentOrder, Refusal,
+    ReplicatedOrder, StateChange,
 };
 use paddlefold::Micros;
 
@@ -105,9 +105,9 @@
         &mut self,
         now: Micros,
         complete: bool,
-        orders: Vec<SharedOrder>,
+        orders: Vec<ReplicatedOrder>,
     ) -> ServerList {
-        let changes = self.overrides.apply_shared_orders(now, complete, orders);
+        let changes = self.overrides.apply_replicated_orders(now, complete, orders);
         ServerList { full: false, servers: self.changed_entries(changes) }
     }
 
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -116,7 +116,7 @@
     }
 
     async fn order(&self, server: &str, order: Order) -> Result<AppliedOrder, Refusal> {
-        let ask = OrderRequest { server: server.into(), order, lasting: false, force: false, seen: None };
+        let ask = OrderRequest { server: server.into(), order, persistent: false, force: false, seen: None };
         self.handle.apply_order(ask).await.expect("a core that accepts orders")
     }
 }
@@ -164,7 +164,12 @@
         TestCore::new(Some(vec![PersistentOrder { server: "s2".into(), remaining: None, mark: None }]));
     assert_eq!(core.serve_fifty_reads().await, [50, 0]);
     let core = TestCore::new(None);
-    let ask =
-        OrderRequest { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
+    let ask = OrderRequest {
+        server: "s1".into(),
+        order: Order::Drain,
+        persistent: false,
+        force: false,
+        seen: None,
+    };
     assert!(core.handle.apply_order(ask).await.is_err());
 }
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -88,7 +88,7 @@
 pub struct Error {
     /// Kind of the failure.
     pub kind: ErrorKind,
-    /// Message for the log.
+    /// Description of the failure.
     pub message: String,
 }
 
--- a/crates/handover/src/messages.rs
+++ b/crates/handover/src/messages.rs
@@ -109,7 +109,7 @@
         return Ok(Some(Decoded::Declined("unknown body kind")));
     }
     let parsed = serde_json::from_slice(&body);
-    Ok(Some(parsed.map_or(Decoded::Declined("unknown message"), Decoded::Message)))
+    Ok(Some(parsed.map_or(Decoded::Declined("unknown or malformed message"), Decoded::Message)))
 }
 
 /// Parses the body of a state part.
--- a/crates/handover/src/resource_split.rs
+++ b/crates/handover/src/resource_split.rs
@@ -106,7 +106,7 @@
         self.granted_to_successor.is_some()
     }
 
-    /// Whether another process of the node is known to be alive, so that either of the two may accept a new client.
+    /// Whether another process of the node is known to be alive, so that either of the two may accept a new connection.
     pub fn has_live_peer(&self) -> bool {
         self.has_successor() || matches!(self.predecessor, PredecessorState::Granting(_))
     }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -128,7 +128,8 @@
                 PredecessorState::Unknown if process.inbox.is_empty() => {
                     steps.extend([Step::Request(n), Step::GiveUp(n)])
                 }
-                PredecessorState::Unknown | PredecessorState::Granting(_) => steps.push(Step::GiveUp(n)), // the state may still be arriving
+                // The state may still be arriving.
+                PredecessorState::Unknown | PredecessorState::Granting(_) => steps.push(Step::GiveUp(n)),
                 PredecessorState::Unresponsive | PredecessorState::Absent => {}
             }
             if !process.inbox.is_empty() {
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -383,7 +383,11 @@
             let Some(hold) = hold(standing.order, now, left) else { continue };
             let Ok(server) = String::from_utf8(standing.subject.to_vec()) else { continue };
             let Some(held) = self.replica.record(standing.id) else { continue };
-            orders.push(lilacquay_overrides::SharedOrder { server, effect: hold, mark: mark(&held.record) });
+            orders.push(lilacquay_overrides::ReplicatedOrder {
+                server,
+                effect: hold,
+                mark: mark(&held.record),
+            });
         }
         for subject in conflicts.difference(&self.conflicts) {
             warn!(
--- a/crates/members/src/discovery.rs
+++ b/crates/members/src/discovery.rs
@@ -21,7 +21,7 @@
 use tracing::warn;
 
 /// How long a poll waits for changes by default. Together with [`RESPONSE_TIMEOUT`] it bounds how long a discovery
-/// service that no longer answers is mistaken for one without changes: a change counts as delivered 6 s after it was
+/// service that no longer answers is mistaken for one without changes: a node must know a change 6 s after it was
 /// made, and 4 s after a reload.
 const POLL_WAIT: Duration = Duration::from_secs(2);
 /// The longest wait that the protocol allows a poll.
--- a/crates/members/src/etcd/follower.rs
+++ b/crates/members/src/etcd/follower.rs
@@ -28,7 +28,7 @@
     /// A page of the list.
     Page(CallId, RangeResponse),
     /// A response of the watch.
-    WatchUpdate(CallId, WatchResponse),
+    WatchResponse(CallId, WatchResponse),
     /// The call has failed, or the watch stream has ended.
     CallFailed(CallId, ErrorKind, String),
     /// The time returned by [`Follower::next_wakeup`] has come.
@@ -80,8 +80,8 @@
     Inconsistent(String),
     /// This key can't be parsed, for this reason. The last known entry of its server stays.
     Malformed(String, String),
-    /// A full list belongs to another cluster or history: its revision, and the known one. It is accepted only after it
-    /// has been read repeatedly.
+    /// A full list belongs to another cluster or history: its revision, and the known one. It is accepted only once as
+    /// many lists in a row as there are endpoints, and at least two, conflict (`confirm_conflicting_history`).
     HistoryConflict(i64, i64),
     /// A conflicting list was confirmed and replaces the known one: its revision, and the one known before.
     HistoryReplaced(i64, i64),
@@ -352,13 +352,13 @@
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Page(call, page) if call.0 == self.call => self.on_page(now, page, out),
-            Event::WatchUpdate(call, response) if call.0 == self.call => {
+            Event::WatchResponse(call, response) if call.0 == self.call => {
                 self.on_watch_response(now, response, out);
             }
             Event::CallFailed(call, kind, reason) if call.0 == self.call => {
                 self.on_call_failed(now, kind, &reason, out);
             }
-            Event::Page(..) | Event::WatchUpdate(..) | Event::CallFailed(..) => {} // of an earlier call
+            Event::Page(..) | Event::WatchResponse(..) | Event::CallFailed(..) => {} // of an earlier call
             Event::Tick => self.tick(now, out),
             Event::EndpointsChanged(endpoints) => {
                 self.endpoints = endpoints.max(1);
--- a/crates/members/src/etcd/follower_tests.rs
+++ b/crates/members/src/etcd/follower_tests.rs
@@ -86,7 +86,7 @@
         let mut harness = Harness::new(2, None);
         let box_ = |n: u16| kv(&format!("box-{n}"), i64::from(n), value(n, "serving"));
         harness.page(page(10, vec![box_(1), box_(2), box_(3)], false));
-        harness.watched(created(10));
+        harness.watch_response(created(10));
         harness.updates.clear();
         harness.notices.clear();
         harness
@@ -127,8 +127,8 @@
         self.send(Event::Page(self.call, page));
     }
 
-    fn watched(&mut self, response: WatchResponse) {
-        self.send(Event::WatchUpdate(self.call, response));
+    fn watch_response(&mut self, response: WatchResponse) {
+        self.send(Event::WatchResponse(self.call, response));
     }
 
     fn fail(&mut self, kind: ErrorKind) {
@@ -185,7 +185,7 @@
         delete("box-2", 11),
         put("box-4", 12, value(2, "serving")),
     ];
-    harness.watched(events(12, first));
+    harness.watch_response(events(12, first));
     let expected = list(&["box-1 1 Draining", "box-2 2 Deleted", "box-4 2 Serving"]);
     assert_eq!(harness.published(), [(12, expected)], "box-4 has the address of a removed server");
 }
@@ -194,20 +194,20 @@
 fn fragments_are_joined_and_replays_change_nothing() {
     let mut harness = Harness::watching();
     let fragmented = |event, fragment| WatchResponse { fragment, ..events(11, vec![event]) };
-    harness.watched(fragmented(put("box-1", 11, value(1, "draining")), true));
+    harness.watch_response(fragmented(put("box-1", 11, value(1, "draining")), true));
     assert_eq!(harness.published(), [], "incomplete");
-    harness.watched(fragmented(delete("box-2", 11), false));
+    harness.watch_response(fragmented(delete("box-2", 11), false));
     assert_eq!(harness.published(), [(11, list(&["box-1 1 Draining", "box-2 2 Deleted"]))]);
     let again = vec![put("box-1", 11, value(1, "draining")), delete("box-2", 11)];
-    harness.watched(events(11, again));
+    harness.watch_response(events(11, again));
     assert!(harness.published().is_empty() && harness.watching && harness.notices.is_empty());
 }
 
 #[test]
 fn a_revision_split_over_two_responses_causes_a_full_read() {
     let mut harness = Harness::watching();
-    harness.watched(events(11, vec![put("box-1", 11, value(1, "draining"))]));
-    harness.watched(events(11, vec![put("box-2", 11, value(2, "draining"))]));
+    harness.watch_response(events(11, vec![put("box-1", 11, value(1, "draining"))]));
+    harness.watch_response(events(11, vec![put("box-2", 11, value(2, "draining"))]));
     assert!(matches!(harness.notices[0], Notice::Inconsistent(_)));
     harness.next_call();
     assert!(!harness.watching);
@@ -216,15 +216,15 @@
 #[test]
 fn a_removal_and_a_put_in_one_revision_apply_in_order() {
     let mut harness = Harness::watching();
-    harness.watched(events(11, vec![delete("box-1", 11), put("box-1", 11, value(7, "serving"))]));
-    harness.watched(events(12, vec![put("box-2", 12, value(9, "draining")), delete("box-2", 12)]));
+    harness.watch_response(events(11, vec![delete("box-1", 11), put("box-1", 11, value(7, "serving"))]));
+    harness.watch_response(events(12, vec![put("box-2", 12, value(9, "draining")), delete("box-2", 12)]));
     assert_eq!(harness.published(), [(12, list(&["box-1 7 Serving", "box-2 2 Deleted"]))]);
 }
 
 #[test]
 fn a_compacted_watch_reads_the_list_and_publishes_the_missed_changes() {
     let mut harness = Harness::watching();
-    harness.watched(compacted(20));
+    harness.watch_response(compacted(20));
     assert!(harness.next_call() <= 50_000);
     assert_eq!((harness.watching, harness.requested_revision), (false, 0));
     let now = vec![
@@ -253,8 +253,8 @@
 fn a_broken_watch_resumes_from_the_known_revision_at_the_next_endpoint() {
     let mut harness = Harness::watching();
     let endpoint = harness.endpoint;
-    harness.watched(events(15, vec![put("box-1", 13, value(1, "draining"))]));
-    harness.watched(events(17, vec![])); // a progress notification
+    harness.watch_response(events(15, vec![put("box-1", 13, value(1, "draining"))]));
+    harness.watch_response(events(17, vec![])); // a progress notification
     harness.fail(ErrorKind::Other);
     assert!(harness.next_call() <= 50_000);
     assert_eq!((harness.watching, harness.requested_revision), (true, 18));
@@ -278,7 +278,7 @@
     for _ in 0..3 {
         harness.now += 2 * SECOND;
         harness.send(Event::Tick);
-        harness.watched(events(10, vec![])); // a progress notification
+        harness.watch_response(events(10, vec![])); // a progress notification
     }
     assert_eq!((harness.progress_requests, harness.watching), (3, true));
     let (call, since) = (harness.call, harness.now);
@@ -312,9 +312,9 @@
     assert!(waits.iter().all(|wait| *wait <= 5 * SECOND) && waits[13] >= 5 * SECOND / 2, "{waits:?}");
     assert_eq!(harness.notices.len(), 4, "failures 1, 2, 4 and 8");
     harness.page(page(10, vec![], false));
-    harness.watched(created(10));
+    harness.watch_response(created(10));
     harness.now += 2 * SECOND;
-    harness.watched(events(10, vec![]));
+    harness.watch_response(events(10, vec![]));
     harness.fail(ErrorKind::Other);
     assert!(harness.next_call() <= 50_000);
 }
@@ -324,7 +324,7 @@
     let mut harness = Harness::watching();
     harness.fail(ErrorKind::Other);
     harness.next_call();
-    harness.watched(created(6)); // a watch from revision 11 would deliver nothing for a long time
+    harness.watch_response(created(6)); // a watch from revision 11 would deliver nothing for a long time
     harness.next_call();
     let older =
         || page(6, vec![kv("box-1", 1, value(1, "serving")), kv("old", 5, value(5, "serving"))], false);
@@ -341,16 +341,16 @@
 #[test]
 fn a_single_outdated_or_wrong_endpoint_is_not_accepted() {
     let mut harness = Harness::watching();
-    harness.watched(compacted(20));
+    harness.watch_response(compacted(20));
     harness.next_call();
     harness.page(page(6, vec![], false));
     harness.next_call();
     let now = || vec![kv("box-1", 15, value(1, "draining"))];
     harness.page(page(20, now(), false));
     assert_eq!(harness.published().len(), 1);
-    harness.watched(created(6));
+    harness.watch_response(created(6));
     assert!(harness.watching, "after a valid list, the endpoint only lags");
-    harness.watched(compacted(21));
+    harness.watch_response(compacted(21));
     harness.next_call();
     harness.page(page(6, vec![], false));
     assert_eq!(harness.published(), [], "the count starts again");
@@ -359,7 +359,7 @@
 #[test]
 fn a_different_list_at_the_same_revision_is_a_history_conflict() {
     let mut harness = Harness::watching();
-    harness.watched(compacted(10));
+    harness.watch_response(compacted(10));
     harness.next_call();
     harness.page(page(10, vec![kv("box-1", 9, value(8, "serving"))], false));
     assert!(matches!(harness.notices.last(), Some(Notice::HistoryConflict(10, 10))));
@@ -369,7 +369,7 @@
 fn a_malformed_value_leaves_its_server_unchanged() {
     let mut harness = Harness::watching();
     let malformed = || b"{\"addr\":\"x\n\"}".to_vec();
-    harness.watched(events(
+    harness.watch_response(events(
         11,
         vec![
             put("box-1", 11, malformed()),
@@ -380,15 +380,15 @@
     assert_eq!(harness.published(), [(11, list(&["box-2 2 Draining"]))], "the other changes apply");
     let Notice::Malformed(id, reason) = &harness.notices[0] else { panic!("{:?}", harness.notices) };
     assert!(id == "box-1" && !reason.contains('\n'));
-    harness.watched(events(12, vec![put("box-1", 12, malformed())]));
+    harness.watch_response(events(12, vec![put("box-1", 12, malformed())]));
     assert_eq!(harness.notices.len(), 2, "box-1 and new, once each: {:?}", harness.notices);
     // The same holds in a full list, and a removal still applies.
-    harness.watched(compacted(13));
+    harness.watch_response(compacted(13));
     harness.next_call();
     harness.page(page(13, vec![kv("box-1", 12, malformed()), kv("box-2", 11, value(2, "draining"))], false));
     assert_eq!(harness.published(), [(13, list(&["box-3 3 Deleted"]))]);
-    harness.watched(created(13));
-    harness.watched(events(14, vec![delete("box-1", 14)]));
+    harness.watch_response(created(13));
+    harness.watch_response(events(14, vec![delete("box-1", 14)]));
     assert_eq!(harness.published(), [(14, list(&["box-1 1 Deleted"]))]);
 }
 
@@ -427,7 +427,7 @@
     harness.saves = 0;
     for n in 0..100 {
         harness.now += SECOND / 10;
-        harness.watched(events(
+        harness.watch_response(events(
             11 + n,
             vec![put("box-1", 11 + n, value(1, ["serving", "draining"][(n as usize + 1) % 2]))],
         ));
@@ -438,7 +438,7 @@
     for _ in 0..60 {
         harness.now += SECOND;
         harness.send(Event::Tick);
-        harness.watched(events(110, vec![]));
+        harness.watch_response(events(110, vec![]));
     }
     assert!((2..=3).contains(&harness.saves), "{} in 60 s", harness.saves);
 }
@@ -456,7 +456,7 @@
 #[test]
 fn a_list_with_too_many_servers_is_rejected() {
     let mut harness = Harness::watching();
-    harness.watched(compacted(20));
+    harness.watch_response(compacted(20));
     harness.next_call();
     for n in 0..=40 {
         let kvs = (0..500).map(|m| kv(&format!("x{n:02}{m:03}"), 20, value(1, "serving"))).collect();
@@ -489,7 +489,7 @@
                     more: rng.bool(),
                     count: -1,
                 }),
-                1 => harness.watched(WatchResponse {
+                1 => harness.watch_response(WatchResponse {
                     header: response_header,
                     events: vec![event; rng.usize(..3)],
                     fragment: rng.bool(),
@@ -504,7 +504,7 @@
                 3 => harness.advance_to_wakeup(),
                 _ => {
                     let start = created(10);
-                    harness.watched(start);
+                    harness.watch_response(start);
                 }
             }
         }
@@ -518,7 +518,7 @@
     let late = harness.call;
     harness.send(Event::EndpointsChanged(1));
     assert_eq!((harness.watching, harness.endpoint), (false, 0));
-    harness.send(Event::WatchUpdate(late, events(11, vec![delete("box-1", 11)])));
+    harness.send(Event::WatchResponse(late, events(11, vec![delete("box-1", 11)])));
     assert_eq!(harness.published(), [], "an event of the old endpoint");
     harness.page(page(
         11,
@@ -534,12 +534,12 @@
     let late = harness.call;
     harness.fail(ErrorKind::Other);
     harness.next_call();
-    harness.watched(created(10));
-    harness.send(Event::WatchUpdate(late, compacted(30)));
-    harness.send(Event::WatchUpdate(late, events(30, vec![delete("box-1", 30)])));
+    harness.watch_response(created(10));
+    harness.send(Event::WatchResponse(late, compacted(30)));
+    harness.send(Event::WatchResponse(late, events(30, vec![delete("box-1", 30)])));
     harness.send(Event::CallFailed(late, ErrorKind::Other, "late".into()));
     assert!(harness.watching && harness.published().is_empty());
-    harness.watched(events(11, vec![delete("box-1", 11)]));
+    harness.watch_response(events(11, vec![delete("box-1", 11)]));
     assert_eq!(harness.published(), [(11, list(&["box-1 1 Deleted"]))]);
 }
 
@@ -566,7 +566,7 @@
             }
         }
         if let Ok(response) = WatchResponse::decode(&*bytes) {
-            harness.watched(response);
+            harness.watch_response(response);
             decoded += 1;
         }
         if let Ok(response) = RangeResponse::decode(&*bytes) {
@@ -587,7 +587,7 @@
     for n in 0..1000 {
         harness.now += SECOND / 1000;
         let state = ["draining", "serving"][n as usize % 2];
-        harness.watched(events(11 + n, vec![put("box-1", 11 + n, value(1, state))]));
+        harness.watch_response(events(11 + n, vec![put("box-1", 11 + n, value(1, state))]));
         if n == 0 {
             assert_eq!(harness.updates, [(11, list(&["box-1 1 Draining"]))]);
         }
@@ -602,7 +602,7 @@
     );
     let last = harness.published().pop();
     assert!(last.is_none_or(|(_, last)| last == list(&["box-1 1 Serving"])));
-    harness.watched(events(
+    harness.watch_response(events(
         2000,
         vec![put("box-2", 2000, value(2, "draining")), put("box-2", 2001, value(2, "serving"))],
     ));
--- a/crates/members/src/etcd/layout.rs
+++ b/crates/members/src/etcd/layout.rs
@@ -76,7 +76,7 @@
 /// Parses a value.
 ///
 /// # Errors
-/// The first problem, with the name of its field.
+/// The first problem, with its field if it concerns one.
 pub fn parse_value(id: &str, bytes: &[u8]) -> Result<ServerEntry, Malformed> {
     if bytes.len() > MAX_VALUE_BYTES {
         return Err(Malformed(format!(
--- a/crates/members/src/etcd/list_cache.rs
+++ b/crates/members/src/etcd/list_cache.rs
@@ -95,7 +95,7 @@
     }
 
     /// Reads the list for the node that writes the file. A corrupted file is renamed to `members.bad`, so that the next
-    /// write does not destroy the evidence.
+    /// write does not overwrite the file that may show the cause.
     ///
     /// # Errors
     /// As [`CachedList::read`].
--- a/crates/members/src/etcd/source.rs
+++ b/crates/members/src/etcd/source.rs
@@ -180,7 +180,7 @@
             *lock(&progress_requester) = Some(stream.progress_requester());
             loop {
                 let response = stream.next().await?;
-                if events.send(Event::WatchUpdate(call, response)).await.is_err() {
+                if events.send(Event::WatchResponse(call, response)).await.is_err() {
                     return Ok(());
                 }
             }
--- a/crates/members/tests/model.rs
+++ b/crates/members/tests/model.rs
@@ -277,7 +277,7 @@
 
     fn respond(&mut self, response: WatchResponse) {
         if let Some(Stream { call, next_revision: Some(_), .. }) = self.stream {
-            self.send(Event::WatchUpdate(call, response));
+            self.send(Event::WatchResponse(call, response));
         }
     }
 
--- a/crates/overrides/src/lib.rs
+++ b/crates/overrides/src/lib.rs
@@ -8,7 +8,7 @@
 mod overrides;
 
 pub use order::{
-    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, SharedOrder,
+    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, ReplicatedOrder,
 };
 pub use overrides::{ListedServer, Overrides, State, StateChange};
 
--- a/crates/overrides/src/order.rs
+++ b/crates/overrides/src/order.rs
@@ -23,7 +23,7 @@
     /// What to do with the server.
     pub order: Order,
     /// Whether the order survives a restart, and the server's absence from the list.
-    pub lasting: bool,
+    pub persistent: bool,
     /// Whether to drain even if no cache is left in service.
     pub force: bool,
     /// Number of the server's latest order that the operator has seen, 0 for none. The order is refused if
@@ -46,16 +46,16 @@
     /// Its effect on the server.
     pub effect: OrderEffect,
     /// Whether it survives a restart.
-    pub lasting: bool,
+    pub persistent: bool,
     /// Whether it is replicated to all nodes rather than local to this one.
-    pub shared: bool,
+    pub replicated: bool,
     /// Its number; later orders have higher numbers.
     pub number: u64,
 }
 
 /// An order that is replicated to all nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SharedOrder {
+pub struct ReplicatedOrder {
     /// Name of the server.
     pub server: String,
     /// Its effect on the server.
--- a/crates/overrides/src/overrides.rs
+++ b/crates/overrides/src/overrides.rs
@@ -4,7 +4,7 @@
 
 use crate::Micros;
 use crate::order::{
-    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, SharedOrder,
+    ActiveOrder, AppliedOrder, Order, OrderEffect, OrderRequest, PersistentOrder, Refusal, ReplicatedOrder,
 };
 
 /// Maximum number of orders in force at once.
@@ -58,15 +58,15 @@
 ///   the operator may be working on the machine.
 /// - An order ends when its server leaves the list, unless it survives restarts or is replicated.
 /// - Replicated orders are replaced as a set, as the nodes have agreed on them; a node's local orders stay beside them.
-/// - A server that other nodes report as faulty is excluded for as long as they do, unless no cache would be left in
-///   service.
+/// - A server that other nodes' server lists have as draining or removed is excluded for as long as they do, unless no
+///   cache would be left in service.
 #[derive(Default)]
 pub struct Overrides {
     servers: BTreeMap<String, Server>,
     orders: BTreeMap<String, ActiveOrder>,
     /// Identifier of the replicated order, by server.
     marks: BTreeMap<String, String>,
-    /// Servers excluded because other nodes report them as faulty.
+    /// Servers excluded because other nodes' server lists have them as draining or removed.
     peer_exclusions: BTreeSet<String>,
     /// Number of the latest order.
     last_number: u64,
@@ -87,46 +87,48 @@
                 OrderEffect::ExcludedUntil(self.now.saturating_add(remaining))
             });
             self.last_number += 1;
-            let shared = mark.is_some();
+            let replicated = mark.is_some();
             self.marks.extend(mark.map(|mark| (server.clone(), mark)));
-            self.orders
-                .insert(server, ActiveOrder { effect, lasting: true, shared, number: self.last_number });
+            self.orders.insert(
+                server,
+                ActiveOrder { effect, persistent: true, replicated, number: self.last_number },
+            );
         }
         self.expire();
     }
 
     /// Applies the replicated orders. With `complete`, they are the complete set, and orders missing from it are removed.
     /// Returns the servers whose state changes.
-    pub fn apply_shared_orders(
+    pub fn apply_replicated_orders(
         &mut self,
         now: Micros,
         complete: bool,
-        orders: Vec<SharedOrder>,
+        orders: Vec<ReplicatedOrder>,
     ) -> Vec<StateChange> {
         self.now = self.now.max(now);
         if complete {
             let named: BTreeSet<&str> = orders.iter().map(|order| order.server.as_str()).collect();
-            self.orders.retain(|server, order| !order.shared || named.contains(server.as_str()));
+            self.orders.retain(|server, order| !order.replicated || named.contains(server.as_str()));
             self.marks.clear();
         }
-        for SharedOrder { server, effect, mark } in orders {
+        for ReplicatedOrder { server, effect, mark } in orders {
             let before = self.orders.get(&server).copied();
             if before.is_none() && self.orders.len() >= MAX_ORDERS {
                 continue;
             }
-            let unchanged = before.filter(|before| before.shared && before.effect == effect);
+            let unchanged = before.filter(|before| before.replicated && before.effect == effect);
             self.last_number += u64::from(unchanged.is_none());
             let number = unchanged.map_or(self.last_number, |unchanged| unchanged.number);
-            let lasting = before.is_some_and(|before| before.lasting);
+            let persistent = before.is_some_and(|before| before.persistent);
             self.marks.insert(server.clone(), mark);
-            self.orders.insert(server, ActiveOrder { effect, lasting, shared: true, number });
+            self.orders.insert(server, ActiveOrder { effect, persistent, replicated: true, number });
         }
         self.expire();
         self.update_states()
     }
 
-    /// Replaces the set of servers excluded because other nodes report them as faulty. Returns the servers whose state
-    /// changes.
+    /// Replaces the set of servers excluded because other nodes' server lists have them as draining or removed. Returns
+    /// the servers whose state changes.
     pub fn set_peer_exclusions(&mut self, now: Micros, servers: BTreeSet<String>) -> Vec<StateChange> {
         self.now = self.now.max(now);
         self.peer_exclusions = servers;
@@ -135,7 +137,7 @@
 
     /// The orders to store across a restart.
     pub fn persistent_orders(&self) -> Vec<PersistentOrder> {
-        let persistent_orders = self.orders.iter().filter(|(_, order)| order.lasting);
+        let persistent_orders = self.orders.iter().filter(|(_, order)| order.persistent);
         let to_persistent = |(server, order): (&String, &ActiveOrder)| {
             let remaining = match order.effect {
                 OrderEffect::Drain => None,
@@ -212,7 +214,12 @@
             return Err(Refusal::LastServing);
         }
         self.last_number += 1;
-        let order = ActiveOrder { effect, lasting: request.lasting, shared: false, number: self.last_number };
+        let order = ActiveOrder {
+            effect,
+            persistent: request.persistent,
+            replicated: false,
+            number: self.last_number,
+        };
         let replaced = self.orders.insert(request.server.clone(), order);
         Ok(AppliedOrder { number: self.last_number, replaced })
     }
@@ -261,7 +268,7 @@
 
     /// Removes the order for a server that has left the list: the name may come back as another machine.
     fn drop_order_if_unlisted(&mut self, name: &str) {
-        let ends_with_listing = |order: &ActiveOrder| !order.lasting && !order.shared;
+        let ends_with_listing = |order: &ActiveOrder| !order.persistent && !order.replicated;
         if !self.servers.contains_key(name) && self.orders.get(name).is_some_and(ends_with_listing) {
             self.orders.remove(name);
         }
--- a/crates/overrides/tests/overrides.rs
+++ b/crates/overrides/tests/overrides.rs
@@ -4,7 +4,7 @@
 
 use lilacquay_overrides::{
     AppliedOrder, ListedServer, Micros, Order, OrderEffect, OrderRequest, Overrides, PersistentOrder,
-    Refusal, SharedOrder, State, StateChange,
+    Refusal, ReplicatedOrder, State, StateChange,
 };
 
 const SECOND: Micros = 1_000_000;
@@ -14,7 +14,7 @@
 }
 
 /// Applies an order that must be accepted; returns the result and the changes.
-fn accept(
+fn apply_accepted(
     overrides: &mut Overrides,
     now: Micros,
     request: &OrderRequest,
@@ -23,14 +23,14 @@
     (result.unwrap(), changes)
 }
 
-fn refuse(overrides: &mut Overrides, now: Micros, request: &OrderRequest) -> Refusal {
+fn apply_refused(overrides: &mut Overrides, now: Micros, request: &OrderRequest) -> Refusal {
     let (result, changes) = overrides.apply_order(now, request);
     assert_eq!(changes, []);
     result.unwrap_err()
 }
 
 fn request(server: &str, order: Order) -> OrderRequest {
-    OrderRequest { server: server.into(), order, lasting: false, force: false, seen: None }
+    OrderRequest { server: server.into(), order, persistent: false, force: false, seen: None }
 }
 
 /// Three caches in service, and the origin.
@@ -48,11 +48,11 @@
 #[test]
 fn a_drain_stays_in_force_until_it_is_removed_whatever_the_list_says() {
     let mut overrides = three_caches();
-    let (result, changes) = accept(&mut overrides, 0, &request("a", Order::Drain));
+    let (result, changes) = apply_accepted(&mut overrides, 0, &request("a", Order::Drain));
     assert_eq!((result.replaced, changes), (None, vec![change("a", State::Draining)]));
     let reported = overrides.apply_list(SECOND, false, vec![listed("a", Some(State::Serving))]);
     assert_eq!(reported, [change("a", State::Draining)], "the list does not override an operator");
-    let (_, changes) = accept(&mut overrides, SECOND, &request("a", Order::Undrain));
+    let (_, changes) = apply_accepted(&mut overrides, SECOND, &request("a", Order::Undrain));
     assert_eq!(changes, [change("a", State::Serving)]);
 }
 
@@ -60,16 +60,16 @@
 fn an_operator_does_not_override_the_lists_drain_either() {
     let mut overrides = three_caches();
     overrides.apply_list(0, false, vec![listed("a", Some(State::Draining))]);
-    assert_eq!(refuse(&mut overrides, 0, &request("a", Order::Undrain)), Refusal::NoOrder);
-    accept(&mut overrides, 0, &request("a", Order::Drain));
-    let (_, changes) = accept(&mut overrides, 0, &request("a", Order::Undrain));
+    assert_eq!(apply_refused(&mut overrides, 0, &request("a", Order::Undrain)), Refusal::NoOrder);
+    apply_accepted(&mut overrides, 0, &request("a", Order::Drain));
+    let (_, changes) = apply_accepted(&mut overrides, 0, &request("a", Order::Undrain));
     assert_eq!(changes, [], "the list still has it draining");
 }
 
 #[test]
 fn an_excluded_server_returns_when_its_time_is_over() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &request("b", Order::Exclude(10 * SECOND)));
+    apply_accepted(&mut overrides, 0, &request("b", Order::Exclude(10 * SECOND)));
     assert_eq!(overrides.next_expiry(), Some(10 * SECOND));
     assert_eq!(overrides.tick(10 * SECOND - 1), []);
     assert_eq!(overrides.tick(10 * SECOND), [change("b", State::Serving)]);
@@ -79,23 +79,23 @@
 #[test]
 fn the_last_cache_in_service_is_drained_only_by_force() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &request("a", Order::Drain));
+    apply_accepted(&mut overrides, 0, &request("a", Order::Drain));
     overrides.apply_list(0, false, vec![listed("b", Some(State::Draining))]);
-    assert_eq!(refuse(&mut overrides, 0, &request("c", Order::Drain)), Refusal::LastServing);
+    assert_eq!(apply_refused(&mut overrides, 0, &request("c", Order::Drain)), Refusal::LastServing);
     let forced_exclusion = OrderRequest { force: true, ..request("c", Order::Exclude(SECOND)) };
-    assert_eq!(refuse(&mut overrides, 0, &forced_exclusion), Refusal::LastServing);
-    assert_eq!(refuse(&mut overrides, 0, &request("origin", Order::Drain)), Refusal::Origin);
+    assert_eq!(apply_refused(&mut overrides, 0, &forced_exclusion), Refusal::LastServing);
+    assert_eq!(apply_refused(&mut overrides, 0, &request("origin", Order::Drain)), Refusal::Origin);
     // Draining a server that the list has draining already takes no capacity away.
-    accept(&mut overrides, 0, &request("b", Order::Drain));
+    apply_accepted(&mut overrides, 0, &request("b", Order::Drain));
     let forced = OrderRequest { force: true, ..request("c", Order::Drain) };
-    assert_eq!(accept(&mut overrides, 0, &forced).1, [change("c", State::Draining)]);
+    assert_eq!(apply_accepted(&mut overrides, 0, &forced).1, [change("c", State::Draining)]);
 }
 
 #[test]
 fn excluded_servers_are_used_while_the_list_leaves_no_other_cache() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &request("a", Order::Exclude(60 * SECOND)));
-    accept(&mut overrides, 0, &request("b", Order::Drain));
+    apply_accepted(&mut overrides, 0, &request("a", Order::Exclude(60 * SECOND)));
+    apply_accepted(&mut overrides, 0, &request("b", Order::Drain));
     let reported = overrides.apply_list(SECOND, false, vec![listed("c", None)]);
     assert_eq!(
         reported,
@@ -110,11 +110,11 @@
 fn an_operator_with_an_outdated_view_is_refused_with_the_conflicting_order() {
     let mut overrides = three_caches();
     let having_seen = |seen| OrderRequest { seen: Some(seen), ..request("a", Order::Drain) };
-    let (first, _) = accept(&mut overrides, 0, &having_seen(0));
+    let (first, _) = apply_accepted(&mut overrides, 0, &having_seen(0));
     // The second operator has not seen that order yet.
     let late = OrderRequest { seen: Some(0), ..request("a", Order::Exclude(SECOND)) };
-    assert_eq!(refuse(&mut overrides, 0, &late), Refusal::Conflict(first.number));
-    let (second, _) = accept(&mut overrides, 0, &OrderRequest { seen: Some(first.number), ..late });
+    assert_eq!(apply_refused(&mut overrides, 0, &late), Refusal::Conflict(first.number));
+    let (second, _) = apply_accepted(&mut overrides, 0, &OrderRequest { seen: Some(first.number), ..late });
     assert_eq!(
         second.replaced.map(|order| (order.effect, order.number)),
         Some((OrderEffect::Drain, first.number))
@@ -124,8 +124,8 @@
 #[test]
 fn an_order_ends_when_its_server_leaves_the_list_unless_it_is_persistent() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &request("a", Order::Drain));
-    accept(&mut overrides, 0, &OrderRequest { lasting: true, ..request("b", Order::Drain) });
+    apply_accepted(&mut overrides, 0, &request("a", Order::Drain));
+    apply_accepted(&mut overrides, 0, &OrderRequest { persistent: true, ..request("b", Order::Drain) });
     let remaining = ["c", "origin"].map(|name| listed(name, Some(State::Serving)));
     overrides.apply_list(0, true, remaining.into());
     let returning = ["a", "b"].map(|name| listed(name, Some(State::Serving)));
@@ -136,8 +136,12 @@
 #[test]
 fn a_persistent_order_is_in_force_after_a_restart_for_its_remaining_time() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &OrderRequest { lasting: true, ..request("a", Order::Exclude(60 * SECOND)) });
-    accept(&mut overrides, 0, &request("b", Order::Drain));
+    apply_accepted(
+        &mut overrides,
+        0,
+        &OrderRequest { persistent: true, ..request("a", Order::Exclude(60 * SECOND)) },
+    );
+    apply_accepted(&mut overrides, 0, &request("b", Order::Drain));
     overrides.tick(20 * SECOND);
     let stored = overrides.persistent_orders();
     assert_eq!(stored, [PersistentOrder { server: "a".into(), remaining: Some(40 * SECOND), mark: None }]);
@@ -161,7 +165,7 @@
         (0..2000).filter(|&n| overrides.apply_order(0, &request(&name(n), Order::Drain)).0.is_err()).count();
     assert_eq!(refused, 2000 - 1024);
     assert_eq!(
-        accept(&mut overrides, 0, &request(&name(0), Order::Undrain)).1.len(),
+        apply_accepted(&mut overrides, 0, &request(&name(0), Order::Undrain)).1.len(),
         1,
         "an order can still be removed"
     );
@@ -207,9 +211,9 @@
                         1 => Order::Exclude(rng.u64(..10 * SECOND)),
                         _ => Order::Undrain,
                     };
-                    let (lasting, force) = (rng.bool(), rng.u8(..4) == 0);
+                    let (persistent, force) = (rng.bool(), rng.u8(..4) == 0);
                     let order_request =
-                        OrderRequest { lasting, force, ..request(rng.choice(names).unwrap(), order) };
+                        OrderRequest { persistent, force, ..request(rng.choice(names).unwrap(), order) };
                     let mut changes = overrides.tick(now);
                     let before: Vec<_> = overrides.active_orders().map(|(n, h)| (n.to_owned(), h)).collect();
                     let (result, more) = overrides.apply_order(now, &order_request);
@@ -247,20 +251,20 @@
     }
 }
 
-fn shared(server: &str, effect: OrderEffect) -> SharedOrder {
-    SharedOrder { server: server.into(), effect, mark: format!("mark of {server}") }
+fn replicated(server: &str, effect: OrderEffect) -> ReplicatedOrder {
+    ReplicatedOrder { server: server.into(), effect, mark: format!("mark of {server}") }
 }
 
 #[test]
 fn replicated_orders_are_replaced_as_a_set_and_local_orders_stay() {
     let mut overrides = three_caches();
-    accept(&mut overrides, 0, &OrderRequest { lasting: true, ..request("a", Order::Drain) });
-    accept(&mut overrides, 0, &request("b", Order::Drain));
+    apply_accepted(&mut overrides, 0, &OrderRequest { persistent: true, ..request("a", Order::Drain) });
+    apply_accepted(&mut overrides, 0, &request("b", Order::Drain));
     assert_eq!(
-        overrides.apply_shared_orders(
+        overrides.apply_replicated_orders(
             0,
             true,
-            vec![shared("a", OrderEffect::Drain), shared("gone", OrderEffect::Drain)]
+            vec![replicated("a", OrderEffect::Drain), replicated("gone", OrderEffect::Drain)]
         ),
         []
     );
@@ -270,15 +274,15 @@
         [PersistentOrder { server: "a".into(), remaining: None, mark: Some("mark of a".into()) }]
     );
     // Removed on another node: the local order for b stays, the replicated one goes although it is persistent.
-    assert_eq!(overrides.apply_shared_orders(0, false, vec![]), [], "the set is not complete yet");
-    assert_eq!(overrides.apply_shared_orders(0, true, vec![]), [change("a", State::Serving)]);
+    assert_eq!(overrides.apply_replicated_orders(0, false, vec![]), [], "the set is not complete yet");
+    assert_eq!(overrides.apply_replicated_orders(0, true, vec![]), [change("a", State::Serving)]);
     assert!(overrides.active_order("b").is_some() && overrides.persistent_orders().is_empty());
     // After a restart the stored order is in force until the other nodes answer.
     let mut restarted = three_caches();
     restarted.restore(0, stored);
     assert_eq!(restarted.tick(0), [change("a", State::Draining)]);
     assert_eq!(
-        restarted.apply_shared_orders(0, true, vec![shared("a", OrderEffect::ExcludedUntil(SECOND))]),
+        restarted.apply_replicated_orders(0, true, vec![replicated("a", OrderEffect::ExcludedUntil(SECOND))]),
         []
     );
     assert_eq!(restarted.tick(2 * SECOND), [change("a", State::Serving)]);
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -63,7 +63,7 @@
     pub measures: Vec<Measure>,
     /// The shares, with the root first and each share after its parent. The root's ceilings are the total capacity.
     pub shares: Vec<Share>,
-    /// Half-life of a debt.
+    /// Half-life of a debt; 0 counts as 1 µs.
     pub half_life: Micros,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Validates the plan and returns all errors errors.
+    /// Validates the plan and returns all errors.
     pub fn check(&self) -> Vec<PlanError> {
         let mut errors = Vec::new();
         let is_too_short = |measure: &Measure| {
--- a/crates/quota/src/quota.rs
+++ b/crates/quota/src/quota.rs
@@ -12,8 +12,8 @@
 const DEMAND_DECAY_SLOTS: f64 = SLOTS as f64 / 2.0;
 /// Number of slots for which a share's full guarantee is reserved after a request within it was refused.
 const RESERVATION_SLOTS: u64 = SLOTS as u64 / 2;
-/// Standard deviations of demand reserved for a share above its estimated demand, within its guarantee. The demand of
-/// clients that ask at random differs between windows by about the square root of their number.
+/// Standard deviations of demand reserved for a share above its estimated demand, within its guarantee. Requests
+/// that arrive at random vary from window to window by about the square root of their number.
 const RESERVED_STANDARD_DEVIATIONS: f64 = 6.0;
 /// Period over which an in-flight measure without a window is divided into slots for recomputation, in microseconds.
 const IN_FLIGHT_PERIOD_US: Micros = 1_000_000;
@@ -252,7 +252,7 @@
     }
 
     /// The latest refusals of a share with their times, newest first.
-    pub fn last_refusals(&self, share: usize) -> impl Iterator<Item = (Micros, QuotaExceeded)> {
+    pub fn recent_refusals(&self, share: usize) -> impl Iterator<Item = (Micros, QuotaExceeded)> {
         self.recent_refusals.iter().copied().filter(move |(_, exceeded)| exceeded.share == share)
     }
 
@@ -327,7 +327,8 @@
             gauge.last_cost = cost as f64;
             gauge.demand = (gauge.demand + added_demand).clamp(0.0, bounds.ceiling as f64);
             if !admitted && gauge.used.saturating_add(cost) <= bounds.guarantee {
-                // Otherwise a share that becomes active again would build up its demand one refusal at a time.
+                // The full guarantee is reserved at once; otherwise a share that becomes active again would have to show
+                // its demand one refusal at a time.
                 gauge.reserved_until_slot = slot + RESERVATION_SLOTS;
             }
             if admitted {
--- a/crates/quota/tests/property.rs
+++ b/crates/quota/tests/property.rs
@@ -226,7 +226,7 @@
     );
     assert!(quota.try_acquire(at + retry_after - SECOND / 16, request(1)).is_err(), "no sooner");
     assert!(quota.try_acquire(at + retry_after, request(1)).is_ok());
-    assert_eq!(quota.last_refusals(1).count(), 3);
+    assert_eq!(quota.recent_refusals(1).count(), 3);
     assert_eq!(quota.refused(1), 3);
 }
 
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn no_ceiling_is_exceeded_in_any_window_on_three_hundred_random_plans() {
+fn no_ceiling_is_exceeded_and_nothing_panics_on_three_hundred_random_plans() {
     for seed in 0..300 {
         let RandomPlan { mut rng, plan } = RandomPlan::new(seed);
         let in_flight = plan.measures[0].dimension == Dimension::InFlight;
