--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -442,7 +442,7 @@
             OrderEffect::Drain => None,
             OrderEffect::ExcludedUntil(until) => Some(until.saturating_sub(now) as f64 / 1e6),
         };
-        OrderReport { server: server.into(), seconds_left, lasting: held.lasting, number: held.number }
+        OrderReport { server: server.into(), seconds_left, lasting: held.persistent, number: held.number }
     }
 }
 
@@ -475,13 +475,13 @@
                 Some(OrderRequest {
                     server,
                     order: seconds.map_or(Order::Drain, leave_out),
-                    lasting,
+                    persistent: lasting,
                     force,
                     seen,
                 })
             }
             ControlRequest::Undrain { server, seen, .. } => {
-                Some(OrderRequest { server, order: Order::Undrain, lasting: false, force: false, seen })
+                Some(OrderRequest { server, order: Order::Undrain, persistent: false, force: false, seen })
             }
         }
     }
