--- a/crates/lilacquay/src/appliance.rs
+++ b/crates/lilacquay/src/appliance.rs
@@ -1,5 +1,5 @@
-//! The appliance's one file, which `deploy/appliance.toml` documents: it comes to the platform's JSON and the options of
-//! `serve`, so that a node has one way to be told its configuration.
+//! Reads the appliance's single configuration file, which `deploy/appliance.toml` documents. It is translated to the
+//! platform's JSON and the options of `serve`, so that a node takes its configuration in one form only.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,73 +8,86 @@
 
 use serde_json::{Value, json};
 
-use crate::config_error::{Mistake, Mistakes, unreadable};
-use crate::etcd::Etcd;
+use crate::config_error::{ConfigIssue, IssueCollector, unreadable_file};
+use crate::etcd::EtcdConfig;
 use crate::logging::{Files, Log};
-use crate::memcached::Memcached;
-use crate::options::{Options, log};
-use crate::quota::Quota;
+use crate::memcached::MemcachedConfig;
+use crate::options::{Options, read_log};
+use crate::quota::QuotaConfig;
 use crate::section::{self, Section};
 
-/// The file as it is documented, which `init` writes.
-const DOCUMENTED: &str = include_str!("../../../deploy/appliance.toml");
+/// The documented example file, which `init` writes.
+const DOCUMENTED_FILE: &str = include_str!("../../../deploy/appliance.toml");
 
-/// What holds where the file is silent.
-const ZONE: &str = "here";
-const KIND: &str = "cache";
+/// The zone of the node, if the file sets none.
+const DEFAULT_ZONE: &str = "here";
+/// The kind of a box, if the file sets none.
+const DEFAULT_BOX_KIND: &str = "cache";
+/// The name and the kind of the origin.
 const ORIGIN: &str = "origin";
-const MEMORY_MB: usize = 128;
-const LOG_MB: usize = 4;
-const LOG_FILES: usize = 3;
-const LONGEST_MS: usize = 86_400_000;
+/// Memory limit in MiB, if the file sets none.
+const DEFAULT_MEMORY_MB: usize = 128;
+/// Size of a log file in MiB, if the file sets none.
+const DEFAULT_LOG_FILE_MB: usize = 4;
+/// Number of rotated log files, if the file sets none.
+const DEFAULT_LOG_FILES: usize = 3;
+/// Longest duration that the file may set: one day, in milliseconds.
+const MAX_DURATION_MS: usize = 86_400_000;
 
-/// What a file comes to.
+/// The result of reading an appliance's file.
 pub struct Appliance {
-    /// As the platform's JSON would say it.
-    pub node: Value,
+    /// The part that a platform's JSON file would hold, in that form.
+    pub platform_json: Value,
     pub options: Options,
-    /// Whether the boxes in the file are all there are: no source of members is named.
-    pub fixed: bool,
+    /// Whether the list of servers is taken from the file alone, because it names no discovery service nor etcd.
+    pub has_fixed_list: bool,
 }
 
 impl Appliance {
-    /// Whether a text is meant to be one.
-    pub fn is_meant(text: &str) -> bool {
-        let begins = |line: &str, key: &str| line.trim_start().starts_with(key);
-        text.lines()
-            .any(|line| begins(line, "[[box]]") || begins(line, "[origin]") || begins(line, "state ="))
+    /// Whether a text is an appliance's configuration, by the keys that it has.
+    pub fn is_config_text(text: &str) -> bool {
+        let starts_with_key = |line: &str, key: &str| line.trim_start().starts_with(key);
+        text.lines().any(|line| {
+            starts_with_key(line, "[[box]]")
+                || starts_with_key(line, "[origin]")
+                || starts_with_key(line, "state =")
+        })
     }
 
     /// Reads the file, and those that it names.
     ///
     /// # Errors
-    /// All mistakes that are in them.
-    pub fn read(file: &Path) -> Result<Appliance, Vec<Mistake>> {
-        let text = fs::read_to_string(file).map_err(|error| vec![unreadable(file, &error)])?;
-        let mut mistakes = Mistakes::new(file, &text);
-        let read = parse(file, &text, &mut mistakes);
-        let mut found = mistakes.into_found();
-        let Some((mut appliance, named)) = read else { return Err(found) };
+    /// All issues in them.
+    pub fn read(file: &Path) -> Result<Appliance, Vec<ConfigIssue>> {
+        let text = fs::read_to_string(file).map_err(|error| vec![unreadable_file(file, &error)])?;
+        let mut issues = IssueCollector::new(file, &text);
+        let parsed = parse(file, &text, &mut issues);
+        let mut issues = issues.into_issues();
+        let Some((mut appliance, named_files)) = parsed else { return Err(issues) };
         let options = &mut appliance.options;
-        options.etcd = named.etcd.and_then(|file| kept(Etcd::read(&file), &mut found));
-        options.memcached = named.memcached.and_then(|file| kept(Memcached::read(&file), &mut found));
-        options.quota = named.quota.and_then(|file| kept(Quota::read(&file), &mut found));
-        Some(appliance).filter(|_| found.is_empty()).ok_or(found)
+        options.etcd = named_files.etcd.and_then(|file| ok_or_collect(EtcdConfig::read(&file), &mut issues));
+        options.memcached =
+            named_files.memcached.and_then(|file| ok_or_collect(MemcachedConfig::read(&file), &mut issues));
+        options.quota =
+            named_files.quota.and_then(|file| ok_or_collect(QuotaConfig::read(&file), &mut issues));
+        Some(appliance).filter(|_| issues.is_empty()).ok_or(issues)
     }
 }
 
-fn kept<T>(read: Result<T, Vec<Mistake>>, found: &mut Vec<Mistake>) -> Option<T> {
-    read.map_err(|mistakes| found.extend(mistakes)).ok()
+/// The value that was read; its issues are added to `all_issues` instead if it is invalid.
+fn ok_or_collect<T>(result: Result<T, Vec<ConfigIssue>>, all_issues: &mut Vec<ConfigIssue>) -> Option<T> {
+    result.map_err(|issues| all_issues.extend(issues)).ok()
 }
 
-/// Files with options of their own, not read yet.
-struct Named {
+/// Files of other kinds that the appliance's file names, not read yet.
+struct NamedFiles {
     etcd: Option<PathBuf>,
     memcached: Option<PathBuf>,
     quota: Option<PathBuf>,
 }
 
-struct Place {
+/// A cache box or the origin, as the file lists it.
+struct ServerEntry {
     name: String,
     addr: String,
     zone: String,
@@ -82,11 +95,11 @@
     weight: f64,
 }
 
-fn parse(file: &Path, text: &str, mistakes: &mut Mistakes) -> Option<(Appliance, Named)> {
-    let table = section::parse(text, "deploy/appliance.toml", mistakes)?;
+fn parse(file: &Path, text: &str, issues: &mut IssueCollector) -> Option<(Appliance, NamedFiles)> {
+    let table = section::parse(text, "deploy/appliance.toml", issues)?;
     let folder = file.parent().unwrap_or(Path::new(""));
-    let mut root = Section::root(&table, mistakes);
-    root.only(&[
+    let mut root = Section::root(&table, issues);
+    root.reject_unknown_keys(&[
         "listen",
         "state",
         "memcached",
@@ -102,148 +115,170 @@
         "limits",
         "log",
     ]);
-    let listen = root.address("listen");
-    if listen.is_none() && !root.has("listen") {
-        root.missing("listen", "write where clients connect, as in listen = \"127.0.0.1:6379\"");
+    let listen = root.socket_address("listen");
+    if listen.is_none() && !root.has_key("listen") {
+        root.report_missing("listen", "write where clients connect, as in listen = \"127.0.0.1:6379\"");
     }
-    let state = root.text("state").map(|state| folder.join(state));
-    if state.is_none() && !root.has("state") {
-        root.missing("state", "name a folder that this node alone may write, as in state = \"state\"");
+    let state_folder = root.string("state").map(|path| folder.join(path));
+    if state_folder.is_none() && !root.has_key("state") {
+        root.report_missing("state", "name a folder that this node alone may write, as in state = \"state\"");
     }
-    let zone = root.text("zone").unwrap_or(ZONE).to_owned();
-    let price = root.fraction("cross_zone_price", 0.0..=1e6).unwrap_or(0.0);
-    let [memcached, quota] = ["memcached", "quota"].map(|part| root.text(part).map(|file| folder.join(file)));
-    let boxes = root.each("box", |section| place(section, &zone));
+    let zone = root.string("zone").unwrap_or(DEFAULT_ZONE).to_owned();
+    let cross_zone_price = root.float("cross_zone_price", 0.0..=1e6).unwrap_or(0.0);
+    let [memcached, quota] = ["memcached", "quota"].map(|key| root.string(key).map(|file| folder.join(file)));
+    let boxes = root.read_tables("box", |section| read_box(section, &zone));
     let origin = read_origin(&mut root, &zone);
-    let classes = classes(&mut root);
-    let tenants = root.each("tenant", tenant);
-    let (discovery, etcd) = members(&mut root);
-    let fixed = discovery.is_none() && etcd.is_none();
-    if fixed && !root.has("box") {
-        root.missing("box", "name a cache box below [[box]], or a source of them in [members]");
+    let classes = read_classes(&mut root);
+    let tenants = root.read_tables("tenant", read_tenant);
+    let (discovery, etcd) = read_members(&mut root);
+    let has_fixed_list = discovery.is_none() && etcd.is_none();
+    if has_fixed_list && !root.has_key("box") {
+        root.report_missing("box", "name a cache box below [[box]], or a source of them in [members]");
     }
-    twice(&mut root, "box", boxes.iter().flatten().map(|one| one.name.as_str()));
-    twice(&mut root, "class", classes.iter().flatten().filter_map(|class| class["Name"].as_str()));
-    let known: Vec<Place> = boxes.into_iter().flatten().chain(origin).collect();
-    let mut settings = settings(&mut root);
-    let name_set = |of: fn(&Place) -> &str| known.iter().map(of).collect::<BTreeSet<_>>();
-    let mut zones = name_set(|place| &place.zone);
+    report_duplicate_names(&mut root, "box", boxes.iter().flatten().map(|entry| entry.name.as_str()));
+    report_duplicate_names(
+        &mut root,
+        "class",
+        classes.iter().flatten().filter_map(|class| class["Name"].as_str()),
+    );
+    let servers: Vec<ServerEntry> = boxes.into_iter().flatten().chain(origin).collect();
+    let mut settings = read_settings(&mut root);
+    let distinct =
+        |attribute: fn(&ServerEntry) -> &str| servers.iter().map(attribute).collect::<BTreeSet<_>>();
+    let mut zones = distinct(|server| &server.zone);
     zones.insert(&zone);
-    let kinds: Vec<&str> = name_set(|place| &place.kind).into_iter().filter(|kind| *kind != ORIGIN).collect();
+    let kinds: Vec<&str> =
+        distinct(|server| &server.kind).into_iter().filter(|kind| *kind != ORIGIN).collect();
     settings["FamilyInfo"] = json!({ "Mode": "aside", "OriginKind": kinds.len() });
     settings["Skus"] = kinds.into_iter().chain([ORIGIN]).collect();
     settings["Dcs"] = json!(zones);
     settings["Zone"] = json!(zone);
-    settings["Prices"] = json!({ "CrossZone": price });
+    settings["Prices"] = json!({ "CrossZone": cross_zone_price });
     settings["Classes"] = classes.into_iter().flatten().collect();
     settings["Tenants"] = tenants.into_iter().flatten().collect();
     settings["RegistryMode"] = json!("automatic");
     let mut limits = root.section("limits");
-    limits.only(&["sockets", "memory_mb"]);
-    let sockets = limits.number("sockets", 48..=1 << 20);
-    let memory_mb = limits.number("memory_mb", 16..=1 << 20).unwrap_or(MEMORY_MB);
-    let files = |state: &PathBuf| Files { folder: state.join("log"), bytes: LOG_MB << 20, old: LOG_FILES };
-    let log = log(&mut root, folder);
-    let files = log.files.clone().or(state.as_ref().map(files));
-    let log = sizes(&mut root, Log { files, ..log });
-    let node = json!({
+    limits.reject_unknown_keys(&["sockets", "memory_mb"]);
+    let max_descriptors = limits.integer("sockets", 48..=1 << 20);
+    let memory_mb = limits.integer("memory_mb", 16..=1 << 20).unwrap_or(DEFAULT_MEMORY_MB);
+    let default_files = |state_folder: &PathBuf| Files {
+        folder: state_folder.join("log"),
+        bytes: DEFAULT_LOG_FILE_MB << 20,
+        old: DEFAULT_LOG_FILES,
+    };
+    let log = read_log(&mut root, folder);
+    let files = log.files.clone().or(state_folder.as_ref().map(default_files));
+    let log = with_log_sizes(&mut root, Log { files, ..log });
+    let platform_json = json!({
         "seed": format!("{:x}", fastrand::u64(..)),
-        "known": { "version": 0, "full": true, "servers": known.iter().map(listed).collect::<Vec<_>>() },
+        "known": { "version": 0, "full": true, "servers": servers.iter().map(server_json).collect::<Vec<_>>() },
         "settings": settings,
     });
     let options = Options {
-        node: file.to_owned(),
+        platform_file: file.to_owned(),
         listen: Some(listen?),
         discovery,
         admin: None,
-        prometheus: false,
-        sockets,
+        prometheus_format: false,
+        max_descriptors,
         memory_mb: Some(memory_mb),
         etcd: None,
         memcached: None,
         quota: None,
         siblings: None,
-        control: Some(state?),
+        state_folder: Some(state_folder?),
         log,
     };
-    let named = Named { etcd: etcd.map(|file| folder.join(file)), memcached, quota };
-    Some((Appliance { node, options, fixed }, named))
+    let named_files = NamedFiles { etcd: etcd.map(|file| folder.join(file)), memcached, quota };
+    Some((Appliance { platform_json, options, has_fixed_list }, named_files))
 }
 
-fn place(mut section: Section, zone: &str) -> Option<Place> {
-    section.only(&["name", "addr", "zone", "kind", "weight"]);
-    let name = needed(&mut section, "name", "give the box a name, as in name = \"box-1\"");
-    let kind = section.text("kind").unwrap_or(KIND);
+fn read_box(mut section: Section, zone: &str) -> Option<ServerEntry> {
+    section.reject_unknown_keys(&["name", "addr", "zone", "kind", "weight"]);
+    let name = required_string(&mut section, "name", "give the box a name, as in name = \"box-1\"");
+    let kind = section.string("kind").unwrap_or(DEFAULT_BOX_KIND);
     if kind == ORIGIN {
-        let place = section.place("kind");
-        section.note(place, "kind", "is the origin's", "take it out, and write the origin below [origin]");
+        let offset = section.value_offset("kind");
+        section.report_at(
+            offset,
+            "kind",
+            "reserved for the origin",
+            "remove it, and write the origin below [origin]",
+        );
     }
-    let weight = section.fraction("weight", 0.001..=1e6).unwrap_or(1.0);
-    let addr = addr(&mut section);
-    let zone = section.text("zone").unwrap_or(zone).to_owned();
-    Some(Place { name: name?, addr: addr?, zone, kind: kind.to_owned(), weight })
+    let weight = section.float("weight", 0.001..=1e6).unwrap_or(1.0);
+    let addr = required_address(&mut section);
+    let zone = section.string("zone").unwrap_or(zone).to_owned();
+    Some(ServerEntry { name: name?, addr: addr?, zone, kind: kind.to_owned(), weight })
 }
 
-fn read_origin(root: &mut Section, zone: &str) -> Option<Place> {
-    if !root.has("origin") {
-        root.missing(
+fn read_origin(root: &mut Section, zone: &str) -> Option<ServerEntry> {
+    if !root.has_key("origin") {
+        root.report_missing(
             "origin",
-            "say where missing values are fetched, below [origin]: addr = \"127.0.0.1:8080\"",
+            "write where missing values are fetched, below [origin]: addr = \"127.0.0.1:8080\"",
         );
         return None;
     }
     let mut section = root.section("origin");
-    section.only(&["addr", "zone"]);
-    let addr = addr(&mut section)?;
-    let zone = section.text("zone").unwrap_or(zone).to_owned();
-    Some(Place { name: ORIGIN.into(), addr, zone, kind: ORIGIN.into(), weight: 1.0 })
+    section.reject_unknown_keys(&["addr", "zone"]);
+    let addr = required_address(&mut section)?;
+    let zone = section.string("zone").unwrap_or(zone).to_owned();
+    Some(ServerEntry { name: ORIGIN.into(), addr, zone, kind: ORIGIN.into(), weight: 1.0 })
 }
 
-fn addr(section: &mut Section) -> Option<String> {
-    if !section.has("addr") {
-        section.missing("addr", "say where it listens, as in addr = \"127.0.0.1:7001\"");
+/// The address of a server, which must be there.
+fn required_address(section: &mut Section) -> Option<String> {
+    if !section.has_key("addr") {
+        section.report_missing("addr", "write where it listens, as in addr = \"127.0.0.1:7001\"");
     }
-    section.address("addr").map(|addr| addr.to_string())
+    section.socket_address("addr").map(|addr| addr.to_string())
 }
 
-fn needed(section: &mut Section, key: &str, mend: &str) -> Option<String> {
-    if !section.has(key) {
-        section.missing(key, mend);
+/// A string that must be there and not be empty.
+fn required_string(section: &mut Section, key: &str, fix: &str) -> Option<String> {
+    if !section.has_key(key) {
+        section.report_missing(key, fix);
     }
-    let text = section.text(key)?;
+    let text = section.string(key)?;
     if text.is_empty() {
-        section.note(section.place(key), key, "empty", mend);
+        section.report_at(section.value_offset(key), key, "empty", fix);
         return None;
     }
     Some(text.to_owned())
 }
 
-fn classes(root: &mut Section) -> Vec<Option<Value>> {
-    if !root.has("class") {
-        root.missing(
+fn read_classes(root: &mut Section) -> Vec<Option<Value>> {
+    if !root.has_key("class") {
+        root.report_missing(
             "class",
-            "say what clients ask for, below [[class]]: name = \"read\", effect = \"safe\"",
+            "describe what clients request, below [[class]]: name = \"read\", effect = \"safe\"",
         );
     }
-    root.each("class", |mut section| {
-        section.only(&["name", "effect", "aim_ms", "limit_ms", "worth", "window_ms"]);
-        let name = needed(&mut section, "name", "give the class a name, as in name = \"read\"");
-        let effect = needed(&mut section, "effect", "write safe, keyed or unsafe");
+    root.read_tables("class", |mut section| {
+        section.reject_unknown_keys(&["name", "effect", "aim_ms", "limit_ms", "worth", "window_ms"]);
+        let name = required_string(&mut section, "name", "give the class a name, as in name = \"read\"");
+        let effect = required_string(&mut section, "effect", "write safe, keyed or unsafe");
         if effect.as_ref().is_some_and(|effect| !["safe", "keyed", "unsafe"].contains(&effect.as_str())) {
-            section.note(section.place("effect"), "effect", "no such effect", "write safe, keyed or unsafe");
+            section.report_at(
+                section.value_offset("effect"),
+                "effect",
+                "no such effect",
+                "write safe, keyed or unsafe",
+            );
         }
-        let aim = section.number("aim_ms", 1..=LONGEST_MS).unwrap_or(300);
-        let limit = section.number("limit_ms", 1..=LONGEST_MS).unwrap_or(2000);
+        let aim = section.integer("aim_ms", 1..=MAX_DURATION_MS).unwrap_or(300);
+        let limit = section.integer("limit_ms", 1..=MAX_DURATION_MS).unwrap_or(2000);
         if limit < aim {
-            section.note(
-                section.place("limit_ms"),
+            section.report_at(
+                section.value_offset("limit_ms"),
                 "limit_ms",
                 "less than aim_ms",
-                "give it as much at least",
+                "set it to at least aim_ms",
             );
         }
-        let window = section.number("window_ms", 0..=LONGEST_MS).unwrap_or(30_000);
-        let worth = section.fraction("worth", 0.001..=1e6).unwrap_or(1.0);
+        let window = section.integer("window_ms", 0..=MAX_DURATION_MS).unwrap_or(30_000);
+        let worth = section.float("worth", 0.001..=1e6).unwrap_or(1.0);
         Some(json!({
             "Name": name?, "Effect": effect?, "Aim": aim as f64, "HardLimit": limit as f64, "Worth": worth,
             "DedupScope": "all", "Window": window as f64,
@@ -251,50 +286,62 @@
     })
 }
 
-fn tenant(mut section: Section) -> Option<Value> {
-    section.only(&["name", "share"]);
-    let name = needed(&mut section, "name", "give the tenant a name, as in name = \"libraries\"");
-    let share = section.fraction("share", 0.0..=1.0).unwrap_or(0.0);
+fn read_tenant(mut section: Section) -> Option<Value> {
+    section.reject_unknown_keys(&["name", "share"]);
+    let name = required_string(&mut section, "name", "give the tenant a name, as in name = \"libraries\"");
+    let share = section.float("share", 0.0..=1.0).unwrap_or(0.0);
     Some(json!({ "Name": name?, "Share": share }))
 }
 
-fn members(root: &mut Section) -> (Option<std::net::SocketAddr>, Option<String>) {
+/// The address of the discovery service and the file for etcd, where they are named.
+fn read_members(root: &mut Section) -> (Option<std::net::SocketAddr>, Option<String>) {
     let mut members = root.section("members");
-    members.only(&["discovery", "etcd"]);
-    (members.address("discovery"), members.text("etcd").map(str::to_owned))
+    members.reject_unknown_keys(&["discovery", "etcd"]);
+    (members.socket_address("discovery"), members.string("etcd").map(str::to_owned))
 }
 
-/// Two of one name: the later is at fault.
-fn twice<'a>(root: &mut Section, what: &str, names: impl Iterator<Item = &'a str>) {
+/// Reports each table that has the name of an earlier one.
+fn report_duplicate_names<'a>(root: &mut Section, table_name: &str, names: impl Iterator<Item = &'a str>) {
     let mut seen = BTreeSet::new();
-    for (n, name) in names.enumerate() {
+    for (index, name) in names.enumerate() {
         if !seen.insert(name) {
-            let offset = root.place(what);
-            root.note(
+            let offset = root.value_offset(table_name);
+            root.report_at(
                 offset,
-                &format!("{what}[{n}].name"),
-                format!("{name:?} is there twice"),
-                "give each its own",
+                &format!("{table_name}[{index}].name"),
+                format!("{name:?} is used twice"),
+                "give each a name of its own",
             );
         }
     }
 }
 
-fn settings(root: &mut Section) -> Value {
+/// The platform settings that concern cache boxes; those that the file cannot set have constant values here.
+fn read_settings(root: &mut Section) -> Value {
     let mut boxes = root.section("boxes");
-    boxes.only(&["cold_ms", "cold_from", "connect_ms", "keepalive_ms", "max_attempts", "retry_after_ms"]);
-    let mut ms = |key, otherwise| boxes.number(key, 0..=LONGEST_MS).unwrap_or(otherwise) as f64;
-    let (cold, connect, keepalive) =
-        (ms("cold_ms", 20_000), ms("connect_ms", 1_000), ms("keepalive_ms", 60_000));
-    let retry_after = ms("retry_after_ms", 2_000);
-    let cold_from = boxes.fraction("cold_from", 0.0..=1.0).unwrap_or(0.2);
-    let attempts = boxes.number("max_attempts", 1..=16).unwrap_or(4);
+    boxes.reject_unknown_keys(&[
+        "cold_ms",
+        "cold_from",
+        "connect_ms",
+        "keepalive_ms",
+        "max_attempts",
+        "retry_after_ms",
+    ]);
+    let mut duration_ms = |key, default| boxes.integer(key, 0..=MAX_DURATION_MS).unwrap_or(default) as f64;
+    let (cold, connect, keepalive) = (
+        duration_ms("cold_ms", 20_000),
+        duration_ms("connect_ms", 1_000),
+        duration_ms("keepalive_ms", 60_000),
+    );
+    let retry_after = duration_ms("retry_after_ms", 2_000);
+    let cold_from = boxes.float("cold_from", 0.0..=1.0).unwrap_or(0.2);
+    let max_attempts = boxes.integer("max_attempts", 1..=16).unwrap_or(4);
     json!({
         "Guarantees": {
             "Cold": cold, "ColdFrom": cold_from, "Fall": 1000.0, "MustAskIn": 10_000.0, "OverloadFactor": 3.0,
         },
         "Limits": {
-            "Cancel": true, "ConnectTimeout": connect, "Keepalive": keepalive, "MaxAttempts": attempts,
+            "Cancel": true, "ConnectTimeout": connect, "Keepalive": keepalive, "MaxAttempts": max_attempts,
             "MaxRetryAfter": retry_after, "MaxStreams": 1, "RetryAfter": retry_after > 0.0, "SecondCopies": true,
         },
         "Quantum": 1.0,
@@ -302,50 +349,52 @@
     })
 }
 
-/// The sizes of the log, which lies in the state folder unless it is told to lie elsewhere.
-fn sizes(root: &mut Section, log: Log) -> Log {
+/// Sets the size and number of log files, whose defaults differ from those of `serve`: the log of an appliance goes
+/// to files in the state folder unless another folder is set.
+fn with_log_sizes(root: &mut Section, log: Log) -> Log {
     let mut section = root.section("log");
-    let mb = section.number("size_mb", 1..=1 << 12).unwrap_or(LOG_MB);
-    let old = section.number("files", 1..=1000).unwrap_or(LOG_FILES);
-    Log { files: log.files.map(|files| Files { bytes: mb << 20, old, ..files }), ..log }
+    let file_mb = section.integer("size_mb", 1..=1 << 12).unwrap_or(DEFAULT_LOG_FILE_MB);
+    let rotated_files = section.integer("files", 1..=1000).unwrap_or(DEFAULT_LOG_FILES);
+    Log { files: log.files.map(|files| Files { bytes: file_mb << 20, old: rotated_files, ..files }), ..log }
 }
 
-fn listed(place: &Place) -> Value {
+/// A server as the platform's JSON lists it.
+fn server_json(server: &ServerEntry) -> Value {
     json!({
-        "id": place.name, "addr": place.addr, "zone": place.zone, "kind": place.kind, "cell": 0, "state": "SERVING",
-        "weight": place.weight, "started_ms": 0,
+        "id": server.name, "addr": server.addr, "zone": server.zone, "kind": server.kind, "cell": 0, "state": "SERVING",
+        "weight": server.weight, "started_ms": 0,
     })
 }
 
-/// Writes the documented file where none is yet.
+/// Writes the documented example file; an existing file is not overwritten.
 ///
 /// # Errors
-/// If there is one, or it can't be written.
+/// If the file exists, or cannot be written.
 pub fn init(file: &Path) -> io::Result<()> {
     let mut new = fs::OpenOptions::new().write(true).create_new(true).open(file).map_err(|error| {
-        let mend = match error.kind() {
-            io::ErrorKind::AlreadyExists => "it is left as it is; name another file, or take it away first",
+        let fix = match error.kind() {
+            io::ErrorKind::AlreadyExists => "it is left as it is; name another file, or remove it first",
             _ => "name a file in a folder that this user may write",
         };
-        io::Error::new(error.kind(), format!("{}: {error}; {mend}", file.display()))
+        io::Error::new(error.kind(), format!("{}: {error}; {fix}", file.display()))
     })?;
-    new.write_all(DOCUMENTED.as_bytes())
+    new.write_all(DOCUMENTED_FILE.as_bytes())
 }
 
-/// Mistakes, as they fit into one screen of 80 by 24.
-pub fn screen(file: &Path, mistakes: &[Mistake]) -> String {
-    /// Of three lines each, with four lines round them.
-    const SHOWN: usize = 6;
-    let mut text = format!("The appliance can't start: {} to mend.\n", mistakes.len());
-    for mistake in mistakes.iter().take(SHOWN) {
-        let line = if mistake.line > 0 { format!(" line {}", mistake.line) } else { String::new() };
-        text += &format!("\n  {}{line}  {}\n", mistake.file.display(), mistake.field);
-        text += &format!("    {}: {}\n", mistake.what, mistake.mend);
+/// The issues that prevent a start, as text that fits one terminal screen of 80 by 24.
+pub fn startup_failure_screen(file: &Path, issues: &[ConfigIssue]) -> String {
+    /// Each issue takes three lines, and the text around them four.
+    const MAX_ISSUES_SHOWN: usize = 6;
+    let mut text = format!("The appliance cannot start: {} to fix.\n", issues.len());
+    for issue in issues.iter().take(MAX_ISSUES_SHOWN) {
+        let line = if issue.line > 0 { format!(" line {}", issue.line) } else { String::new() };
+        text += &format!("\n  {}{line}  {}\n", issue.file.display(), issue.field);
+        text += &format!("    {}: {}\n", issue.problem, issue.fix);
     }
-    if mistakes.len() > SHOWN {
-        text += &format!("\n  and {} more\n", mistakes.len() - SHOWN);
+    if issues.len() > MAX_ISSUES_SHOWN {
+        text += &format!("\n  and {} more\n", issues.len() - MAX_ISSUES_SHOWN);
     }
-    text + &format!("\n`lilacquay check {}` tells them all.\n", file.display())
+    text + &format!("\n`lilacquay check {}` lists them all.\n", file.display())
 }
 
 #[cfg(test)]
@@ -356,15 +405,16 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("appliance.toml");
         fs::write(&file, text).unwrap();
-        let told = |mistake: &Mistake| mistake.to_string().replace(&format!("{}:", file.display()), "");
-        Appliance::read(&file).map_err(|mistakes| mistakes.iter().map(told).collect())
+        let without_path =
+            |issue: &ConfigIssue| issue.to_string().replace(&format!("{}:", file.display()), "");
+        Appliance::read(&file).map_err(|issues| issues.iter().map(without_path).collect())
     }
 
     #[test]
-    fn the_documented_file_is_good_and_what_it_says_holds_without_is_what_holds() {
-        let plain = read(DOCUMENTED).unwrap_or_else(|told| panic!("{told:?}"));
-        assert!(plain.fixed);
-        let commented = |line: &str| {
+    fn the_documented_file_is_valid_and_its_commented_defaults_are_the_defaults() {
+        let without_keys = read(DOCUMENTED_FILE).unwrap_or_else(|issues| panic!("{issues:?}"));
+        assert!(without_keys.has_fixed_list);
+        let uncomment_key = |line: &str| {
             let key = line.strip_prefix('#').unwrap_or(line);
             let is_key = key.starts_with('[')
                 || key.split(" = ").next().is_some_and(|key| {
@@ -372,44 +422,44 @@
                 });
             if is_key { key.to_owned() } else { line.to_owned() }
         };
-        let named =
+        let left_commented =
             ["memcached", "quota", "etcd", "discovery", "[members]", "[[tenant]]", "name = \"lib", "share"];
-        let open: Vec<String> = DOCUMENTED
+        let lines: Vec<String> = DOCUMENTED_FILE
             .lines()
-            .map(|line| match named.iter().any(|name| line.starts_with(&format!("#{name}"))) {
+            .map(|line| match left_commented.iter().any(|name| line.starts_with(&format!("#{name}"))) {
                 true => line.to_owned(),
-                false => commented(line),
+                false => uncomment_key(line),
             })
             .collect();
-        let open = read(&open.join("\n")).unwrap_or_else(|told| panic!("{told:?}"));
-        assert_eq!(open.node["settings"], plain.node["settings"]);
-        assert_eq!(open.node["known"], plain.node["known"]);
-        let log = |appliance: &Appliance| {
+        let with_keys = read(&lines.join("\n")).unwrap_or_else(|issues| panic!("{issues:?}"));
+        assert_eq!(with_keys.platform_json["settings"], without_keys.platform_json["settings"]);
+        assert_eq!(with_keys.platform_json["known"], without_keys.platform_json["known"]);
+        let log_sizes = |appliance: &Appliance| {
             appliance.options.log.files.as_ref().map(|files| (files.bytes, files.old))
         };
-        assert_eq!(log(&open), log(&plain));
+        assert_eq!(log_sizes(&with_keys), log_sizes(&without_keys));
     }
 
     #[test]
-    fn each_mistake_is_told_with_its_place_and_mend() {
+    fn each_issue_is_reported_with_place_and_fix() {
         let cases = [
             ("listen = \"127.0.0.1:6379\"\n", "state: missing; name a folder that this node alone may write"),
-            ("state = \"s\"\nlisten = \"here\"\n", "2: listen: \"here\" is no address with a port"),
+            ("state = \"s\"\nlisten = \"here\"\n", "2: listen: \"here\" is not an address with a port"),
             ("[[box]]\naddr = \"127.0.0.1:1\"\n", "box[0].name: missing; give the box a name"),
-            ("[[box]]\nname = \"a\"\n", "box[0].addr: missing; say where it listens"),
+            ("[[box]]\nname = \"a\"\n", "box[0].addr: missing; write where it listens"),
             (
                 "[[box]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\nkind = \"origin\"\n",
-                "4: box[0].kind: is the origin's",
+                "4: box[0].kind: reserved for the origin",
             ),
             ("[[class]]\nname = \"r\"\neffect = \"maybe\"\n", "3: class[0].effect: no such effect"),
             (
                 "[[class]]\nname = \"r\"\neffect = \"safe\"\nlimit_ms = 2\n",
                 "4: class[0].limit_ms: less than aim_ms",
             ),
-            ("state = \"s\"\n", "origin: missing; say where missing values are fetched"),
+            ("state = \"s\"\n", "origin: missing; write where missing values are fetched"),
             (
                 "[members]\nconsul = \"x\"\n",
-                "2: members.consul: no such key; take it out, or write one of discovery, etcd",
+                "2: members.consul: no such key; remove it, or use one of discovery, etcd",
             ),
             (
                 "[log]\nlevel = \"loud\"\n",
@@ -417,27 +467,27 @@
             ),
             (
                 "[[box]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\n[[box]]\nname = \"a\"\naddr = \"127.0.0.1:1\"\n",
-                "box[1].name: \"a\" is there twice; give each its own",
+                "box[1].name: \"a\" is used twice; give each a name of its own",
             ),
         ];
-        for (text, wanted) in cases {
-            let told = read(text).err().expect(text);
-            assert!(told.iter().any(|told| told.contains(wanted)), "{text}: {told:#?}");
+        for (text, expected) in cases {
+            let issues = read(text).err().expect(text);
+            assert!(issues.iter().any(|issue| issue.contains(expected)), "{text}: {issues:#?}");
         }
     }
 
     #[test]
-    fn however_many_mistakes_fit_into_one_screen() {
-        let mistake = |line| Mistake {
+    fn any_number_of_issues_fits_into_one_screen() {
+        let issue = |line| ConfigIssue {
             file: "a.toml".into(),
             line,
             field: "f".into(),
-            what: "w".into(),
-            mend: "m".into(),
+            problem: "w".into(),
+            fix: "m".into(),
         };
         for n in [1, 6, 7, 500] {
-            let mistakes: Vec<Mistake> = (0..n).map(mistake).collect();
-            let screen = screen(Path::new("a.toml"), &mistakes);
+            let issues: Vec<ConfigIssue> = (0..n).map(issue).collect();
+            let screen = startup_failure_screen(Path::new("a.toml"), &issues);
             assert!(screen.lines().count() <= 24, "{screen}");
             assert_eq!(screen.contains("more"), n > 6);
         }
--- a/crates/lilacquay/src/check.rs
+++ b/crates/lilacquay/src/check.rs
@@ -1,57 +1,59 @@
-//! `check`: tells each mistake in a file.
+//! The `check` command: prints every issue in a configuration file of any kind and starts nothing.
 
 use std::path::Path;
 use std::process::ExitCode;
 
 use crate::appliance::Appliance;
-use crate::config::{self, Config, ConfigError, Source};
-use crate::config_error::Mistake;
-use crate::etcd::Etcd;
-use crate::memcached::Memcached;
+use crate::config::{self, Config, ConfigError, ConfigSource};
+use crate::config_error::ConfigIssue;
+use crate::etcd::EtcdConfig;
+use crate::memcached::MemcachedConfig;
 use crate::options::Options;
-use crate::quota::Quota;
+use crate::quota::QuotaConfig;
 
-/// Prints each mistake of a file; a success if there is none.
+/// Prints each issue of a file; succeeds if there is none.
 pub fn run(file: &Path) -> ExitCode {
-    // By what it begins with: the platform's file may have any name, and no options begin with a brace.
+    // The kind of file is told by its content, as the platform's file may have any name; no TOML file of ours
+    // begins with a brace.
     let text = std::fs::read_to_string(file).unwrap_or_default();
-    let mistakes = if text.trim_start().starts_with('{') {
+    let issues = if text.trim_start().starts_with('{') {
         config::check_json(file, None)
-    } else if Appliance::is_meant(&text) {
-        match Config::read(&Source::Appliance(file.to_owned())) {
-            Err(ConfigError::Mistakes(_, mistakes)) => mistakes,
+    } else if Appliance::is_config_text(&text) {
+        match Config::read(&ConfigSource::Appliance(file.to_owned())) {
+            Err(ConfigError::Invalid(_, issues)) => issues,
             _ => Vec::new(),
         }
-    } else if Etcd::is_meant(&text) {
-        Etcd::read(file).and_then(|etcd| etcd.settings()).err().unwrap_or_default()
-    } else if Memcached::is_meant(&text) {
-        Memcached::read(file).err().unwrap_or_default()
-    } else if Quota::is_meant(&text) {
-        Quota::read(file).err().unwrap_or_default()
+    } else if EtcdConfig::is_config_text(&text) {
+        EtcdConfig::read(file).and_then(|etcd| etcd.settings()).err().unwrap_or_default()
+    } else if MemcachedConfig::is_config_text(&text) {
+        MemcachedConfig::read(file).err().unwrap_or_default()
+    } else if QuotaConfig::is_config_text(&text) {
+        QuotaConfig::read(file).err().unwrap_or_default()
     } else {
         check_options(file)
     };
-    mistakes.iter().for_each(|mistake| println!("{mistake}"));
-    match mistakes.len() {
+    issues.iter().for_each(|issue| println!("{issue}"));
+    match issues.len() {
         0 => {
             println!("{}: good", file.display());
             ExitCode::SUCCESS
         }
         n => {
-            eprintln!("lilacquay: {n} to mend");
+            eprintln!("lilacquay: {n} to fix");
             ExitCode::FAILURE
         }
     }
 }
 
-fn check_options(file: &Path) -> Vec<Mistake> {
+/// Checks a file of options, the files that it names, and the platform's JSON against the names that those use.
+fn check_options(file: &Path) -> Vec<ConfigIssue> {
     match Options::read(file) {
         Ok(options) => {
-            let named = options.etcd.as_ref().and_then(|etcd| etcd.settings().err());
-            let mut mistakes = config::check_json(&options.node, Some(&options));
-            mistakes.extend(named.unwrap_or_default());
-            mistakes
+            let etcd_issues = options.etcd.as_ref().and_then(|etcd| etcd.settings().err());
+            let mut issues = config::check_json(&options.platform_file, Some(&options));
+            issues.extend(etcd_issues.unwrap_or_default());
+            issues
         }
-        Err(mistakes) => mistakes,
+        Err(issues) => issues,
     }
 }
--- a/crates/lilacquay/src/cli.rs
+++ b/crates/lilacquay/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: clap turns these types into commands, flags and help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,8 +8,8 @@
 
 /// A cache-proxy node.
 ///
-/// Without a command it is the platform's node: it reads the JSON file that EDGE_CONFIG names, and EDGE_LISTEN
-/// and EDGE_DISCOVERY go before what that says.
+/// Without a command it runs as the platform's node: it reads the JSON file that EDGE_CONFIG names; EDGE_LISTEN and
+/// EDGE_DISCOVERY override the addresses in that file.
 #[derive(Parser)]
 #[command(version)]
 pub struct Cli {
@@ -19,52 +19,52 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Run a node by a file of options; deploy/serve.toml documents each
+    /// Run a node with a file of options; deploy/serve.toml documents each
     Serve {
         /// The options, in TOML
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Tell each mistake in a file of options, or in a platform's JSON; start nothing
+    /// Report each mistake in a file of options, or in a platform's JSON; start nothing
     Check {
-        /// What `serve --config` or EDGE_CONFIG would name
+        /// The file that `serve --config` or EDGE_CONFIG would name
         file: PathBuf,
     },
-    /// Run a whole site on loopback: stand-ins and one node
+    /// Run a whole site on loopback: one node, with simulated cache boxes and origin
     Fleet(FleetArgs),
-    /// Load a node of a stand-in fleet, in an open loop
+    /// Send load to a node of a simulated fleet, in an open loop
     Load(LoadArgs),
     /// Show or change the list of servers in etcd
     Members(MembersArgs),
-    /// Run a node as an appliance, by one file; `init FILE` writes a documented one
+    /// Run a node as an appliance, with one file; `init FILE` writes a documented one
     Appliance(ApplianceArgs),
-    /// Show a running node: its answers, its list, and its servers with what it has out at each
+    /// Show a running node: its answers, its list, and its servers with the requests in flight at each
     Status(ControlArgs),
-    /// Watch and steer a running node from a terminal
+    /// Watch and control a running node from a terminal
     Console(ConsoleArgs),
-    /// Show what has happened at a running node
+    /// Show the events of a running node
     Events(EventsArgs),
-    /// Have a running node read its configuration again
+    /// Make a running node read its configuration again
     Reload(ControlArgs),
-    /// Have a running node log more or less: error, warn, info, debug or trace
+    /// Set the log level of a running node: error, warn, info, debug or trace
     Level(LevelArgs),
-    /// Take a running node itself out of service: it tells fronts no and closes resting connections, and runs on
+    /// Take a running node itself out of service: it fails health checks and closes idle connections, and keeps running
     Leave(ControlArgs),
-    /// Have a node that has left be in service again
+    /// Put a node that has left back in service
     Join(ControlArgs),
-    /// Drain a running node itself: it answers all that it has taken, and ends
+    /// Drain a running node itself: it answers all requests that it has accepted, and exits
     Stop(ControlArgs),
-    /// Have a running node write a bundle for whoever looks for a fault
+    /// Make a running node write a bundle for diagnosing a fault
     Diagnose(ControlArgs),
-    /// Show what a running node sees of the other nodes: who is here, gone or not known, and who hears whom
+    /// Show what a running node knows of the other nodes: which are here, gone or not known, and which hears which
     Siblings(ControlArgs),
-    /// Show what a running node holds of what all nodes hold in common: orders, conflicts, who is behind
+    /// Show a running node's copy of the state that all nodes replicate: orders, conflicts, and which nodes are behind
     Replica(ReplicaArgs),
-    /// Show the orders that hold at a running node
+    /// Show the orders in force at a running node
     Orders(ControlArgs),
-    /// Take a server out of service at a running node: it finishes what it has and gets nothing new
+    /// Take a server out of service at a running node: it finishes its requests and gets no new ones
     Drain(DrainArgs),
-    /// Lift the order that holds a server at a running node
+    /// Lift the order that keeps a server out of service at a running node
     Undrain(UndrainArgs),
 }
 
@@ -84,21 +84,23 @@
     /// The node's state folder
     #[arg(long, value_name = "FOLDER", required = true)]
     pub state: Option<PathBuf>,
-    /// Print the answer in JSON, which `diff` takes as well
+    /// Print the answer in JSON, which `diff` accepts as well
     #[arg(long)]
     pub json: bool,
     #[command(subcommand)]
-    pub order: Option<ReplicaOrder>,
+    pub command: Option<ReplicaCommand>,
 }
 
 #[derive(Subcommand)]
-pub enum ReplicaOrder {
+pub enum ReplicaCommand {
     /// Show in which records the copies of two nodes differ
     Diff {
-        /// A state folder, or a file with what `replica --json` has printed
-        one: PathBuf,
-        /// Another
-        other: PathBuf,
+        /// A state folder, or a file with the output of `replica --json`
+        #[arg(value_name = "ONE")]
+        first: PathBuf,
+        /// Another state folder or file
+        #[arg(value_name = "OTHER")]
+        second: PathBuf,
     },
 }
 
@@ -108,14 +110,14 @@
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
     #[command(subcommand)]
-    pub order: Option<ApplianceOrder>,
+    pub command: Option<ApplianceCommand>,
 }
 
 #[derive(Subcommand)]
-pub enum ApplianceOrder {
-    /// Write a documented file, where there is none yet
+pub enum ApplianceCommand {
+    /// Write a documented file; an existing file is not overwritten
     Init {
-        /// Where
+        /// The file to write
         file: PathBuf,
     },
 }
@@ -125,7 +127,7 @@
     /// The node's state folder
     #[arg(long, value_name = "FOLDER")]
     pub state: PathBuf,
-    /// Most bytes a second to the terminal, over longer than one screen; 960 suits a serial line of 9600 baud
+    /// Most bytes a second to the terminal, on average over more than one screen; 960 suits a serial line of 9600 baud
     #[arg(long, value_name = "BYTES", default_value_t = 20_000, value_parser = clap::value_parser!(u32).range(100..))]
     pub bytes_per_second: u32,
     /// No colours, as with NO_COLOR in the environment
@@ -137,22 +139,22 @@
 pub struct EventsArgs {
     #[command(flatten)]
     pub control: ControlArgs,
-    /// Stay, and show those to come
+    /// Keep running, and show new events as they come
     #[arg(long)]
     pub follow: bool,
-    /// Only those behind this number
+    /// Only events after this number
     #[arg(long, value_name = "NUMBER", default_value_t = 0)]
     pub after: u64,
-    /// Only those with these words, in capitals or not
+    /// Only events that contain this text, regardless of case
     #[arg(long, value_name = "WORDS")]
     pub search: Option<String>,
 }
 
 #[derive(Args)]
 pub struct LevelArgs {
-    /// From which level on
+    /// The least severe level to log
     pub level: String,
-    /// At all nodes, where they hold orders in common
+    /// At all nodes, if they replicate orders
     #[arg(long)]
     pub everywhere: bool,
     #[command(flatten)]
@@ -165,22 +167,22 @@
     pub server: String,
     #[command(flatten)]
     pub control: ControlArgs,
-    /// Only for this time, as in `10m`
+    /// Only for this duration, as in `10m`
     #[arg(long = "for", value_name = "TIME", value_parser = humantime::parse_duration)]
-    pub time: Option<Duration>,
-    /// Also after a restart of the node
+    pub duration: Option<Duration>,
+    /// Keep the order over a restart of the node
     #[arg(long)]
     pub lasting: bool,
-    /// Also if no cache serves after it
-    #[arg(long, conflicts_with = "time")]
+    /// Even if no cache is left in service
+    #[arg(long, conflicts_with = "duration")]
     pub force: bool,
-    /// Stay until the node has nothing out at the server, and tell what it still holds; 60 s at most
+    /// Wait until the node has no request in flight at the server, and report what it still holds; 60 s at most
     #[arg(long)]
     pub wait: bool,
-    /// Only if the server's latest order has this number, 0 for none
+    /// Only if the server's latest order has this number; 0 for none
     #[arg(long, value_name = "NUMBER")]
     pub seen: Option<u64>,
-    /// Stay until so many nodes hold the order, where they hold orders in common; 3 s at most
+    /// Wait until this many nodes hold the order, if they replicate orders; 3 s at most
     #[arg(long, value_name = "NODES")]
     pub wait_for: Option<usize>,
 }
@@ -194,7 +196,7 @@
     /// Only if the server's latest order has this number
     #[arg(long, value_name = "NUMBER")]
     pub seen: Option<u64>,
-    /// Stay until so many nodes hold the order, where they hold orders in common; 3 s at most
+    /// Wait until this many nodes hold the order, if they replicate orders; 3 s at most
     #[arg(long, value_name = "NODES")]
     pub wait_for: Option<usize>,
 }
@@ -205,121 +207,122 @@
     #[arg(long, value_name = "FILE")]
     pub etcd: PathBuf,
     #[command(subcommand)]
-    pub order: Option<MembersOrder>,
+    pub command: Option<MembersCommand>,
 }
 
 #[derive(Subcommand)]
-pub enum MembersOrder {
-    /// Print the list with its revision, age and source; this is what is done without an order
+pub enum MembersCommand {
+    /// Print the list with its revision, age and source; the default
     List,
-    /// Write a server, whatever was there
+    /// Write a server's entry, and replace an existing one
     Put(PutArgs),
-    /// Have a server finish what it has and get nothing new
+    /// Make a server finish its requests and get no new ones
     Drain {
-        /// Its id
+        /// The server's id
         id: String,
     },
-    /// Have a drained server serve again
+    /// Put a drained server back in service
     Undrain {
-        /// Its id
+        /// The server's id
         id: String,
     },
     /// Remove a server
     Remove {
-        /// Its id
+        /// The server's id
         id: String,
     },
 }
 
 #[derive(Args)]
 pub struct PutArgs {
-    /// Its id, the same at every node
+    /// The server's id, the same at every node
     pub id: String,
-    /// Where nodes reach it
+    /// The address at which nodes reach it
     #[arg(long)]
     pub addr: SocketAddr,
-    /// The zone it stands in
+    /// The zone that it is in
     #[arg(long, default_value = "")]
     pub zone: String,
-    /// Its kind of machine; one kind is the origin's
+    /// Its kind of machine; one kind is reserved for the origin
     #[arg(long, default_value = "")]
     pub kind: String,
-    /// The cell, for classes whose repeats a cell discards
+    /// Its cell, for classes whose duplicate requests are discarded within a cell
     #[arg(long, default_value_t = 0)]
     pub cell: u32,
-    /// Its size in comparison with the others
+    /// Its capacity relative to the other servers
     #[arg(long)]
     pub weight: Option<f64>,
-    /// It has just started, and is cold
+    /// It has just started with an empty cache
     #[arg(long)]
     pub cold: bool,
-    /// Hold it on a lease of so many seconds: stay, renew it, and let the server go with this process
+    /// Hold the entry on a lease of this many seconds: keep running and renew it; it is removed when the process ends
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(i64).range(1..=86_400))]
     pub lease: Option<i64>,
 }
 
 #[derive(Args)]
 pub struct FleetArgs {
-    /// How many cache boxes
+    /// Number of cache boxes
     #[arg(long, default_value_t = 6)]
     pub boxes: usize,
-    /// Where the node listens; port 0 takes a free one
+    /// The address on which the node listens; port 0 picks a free port
     #[arg(long, default_value = "127.0.0.1:0")]
     pub listen: SocketAddr,
-    /// For all random choices
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Endpoints of a stand-in etcd; the node follows that in place of discovery
+    /// Number of endpoints of a simulated etcd; the node follows it in place of discovery
     #[arg(long, value_name = "ENDPOINTS", default_value_t = 0)]
     pub etcd: usize,
-    /// How many of the boxes, the last of them, speak memcached; the node speaks it to clients too then
+    /// Number of boxes, counted from the last, that speak memcached; with this flag the node also speaks it to clients
     #[arg(long, value_name = "BOXES", num_args = 0..=1, default_missing_value = "0")]
     pub memcached: Option<usize>,
-    /// What goes wrong and when, in TOML; docs/fleet.md has an example
+    /// Which faults occur and when, in TOML; docs/fleet.md has an example
     #[arg(long, value_name = "FILE")]
     pub script: Option<PathBuf>,
-    /// End by itself after this time, as in `30s`
+    /// Exit after this duration, as in `30s`
     #[arg(long = "for", value_name = "TIME", value_parser = humantime::parse_duration)]
-    pub time: Option<Duration>,
+    pub duration: Option<Duration>,
 }
 
 #[derive(Args)]
 pub struct LoadArgs {
-    /// The node
+    /// The address of the node
     #[arg(long)]
     pub to: SocketAddr,
-    /// Requests a second; they come at random and don't wait for answers
+    /// Requests a second; they are sent at random times and do not wait for answers
     #[arg(long, default_value_t = 300.0)]
     pub rate: f64,
-    /// For how long, as in `10s`
+    /// Duration, as in `10s`
     #[arg(long = "for", value_name = "TIME", default_value = "10s", value_parser = humantime::parse_duration)]
-    pub time: Duration,
-    /// For all random choices; two loads at once need two seeds
+    pub duration: Duration,
+    /// Seed of all random choices; two loads at the same time need different seeds
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many keys
+    /// Number of keys
     #[arg(long, default_value_t = 1000)]
     pub keys: usize,
-    /// How unevenly they are asked for: a Zipf exponent, 0 for all alike
+    /// How unevenly the keys are requested: a Zipf exponent; 0 requests all equally
     #[arg(long, default_value_t = 0.9)]
     pub skew: f64,
-    /// Speak memcached's binary protocol, at the node's listener for that; each key has its class before it
+    /// Use memcached's binary protocol, on the node's listener for it; each key is prefixed with its class
     #[arg(long)]
     pub memcached: bool,
     /// Shares of lookup (a read), signup (a keyed write) and post (an unsafe write)
-    #[arg(long, value_name = "LOOKUP,SIGNUP,POST", default_value = "0.94,0.05,0.01", value_parser = mix)]
+    #[arg(long, value_name = "LOOKUP,SIGNUP,POST", default_value = "0.94,0.05,0.01", value_parser = parse_class_shares)]
     pub mix: Mix,
 }
 
-/// The shares of the classes.
+/// The relative shares of the classes lookup, signup and post.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mix(pub [f64; 3]);
 
-fn mix(text: &str) -> Result<Mix, String> {
+/// Parses three comma-separated shares; each must be finite and not negative, and their sum above 0.
+fn parse_class_shares(text: &str) -> Result<Mix, String> {
     let shares: Vec<f64> = text.split(',').filter_map(|share| share.trim().parse().ok()).collect();
     let shares = <[f64; 3]>::try_from(shares).ok();
-    let good = shares.filter(|shares| {
-        shares.iter().all(|s| *s >= 0.0 && s.is_finite()) && shares.iter().sum::<f64>() > 0.0
+    let valid = shares.filter(|shares| {
+        shares.iter().all(|share| *share >= 0.0 && share.is_finite()) && shares.iter().sum::<f64>() > 0.0
     });
-    good.map(Mix).ok_or_else(|| "write three shares, as in 0.94,0.05,0.01".into())
+    valid.map(Mix).ok_or_else(|| "write three shares, as in 0.94,0.05,0.01".into())
 }
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -1,4 +1,5 @@
-//! What a node is told at its start: the platform's JSON file, the environment, and the options of `serve`.
+//! The configuration of a node, merged from the platform's JSON file, the environment, and the options file of
+//! `serve` or the appliance's file. Also the checks of the JSON file for the `check` command.
 
 use std::env::{self, VarError};
 use std::net::{SocketAddr, TcpListener};
@@ -17,135 +18,143 @@
 use serde_json::{Value, json};
 
 use crate::appliance::Appliance;
-use crate::config_error::{Mistake, Mistakes, one_line, unreadable};
-use crate::etcd::Etcd;
+use crate::config_error::{ConfigIssue, IssueCollector, summarize, unreadable_file};
+use crate::etcd::EtcdConfig;
 use crate::logging::Log;
-use crate::memcached::{Memcached, Ready};
+use crate::memcached::{MemcachedConfig, ResolvedMemcached};
 use crate::options::Options;
-use crate::quota::Quota;
+use crate::quota::QuotaConfig;
 use crate::siblings::Site;
 
-/// Descriptors that are neither clients' nor servers' connections: the standard streams, the
-/// listener, discovery, the runtime's own, and one to spare for a connection that is turned away.
-const RESERVED: usize = 24;
-/// Descriptors of a second address: its listener and its callers.
-const ADMIN: usize = lilacquay_admin::MAX_CONNECTIONS + 1;
-/// Names the descriptor of the listening socket, where the platform holds that.
-const PASSED: &str = "EDGE_PASSED_SOCKET";
-/// Where the configuration sets no limit.
-const SOCKETS: usize = 1024;
-const MEMORY_MB: usize = 192;
-
-/// Who tells a node its configuration.
+/// Descriptors that are neither clients' nor servers' connections: the standard streams, the listener, discovery,
+/// those of the async runtime, and a spare one to accept a connection that is then refused.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Descriptors of the admin address: its listener and its clients' connections.
+const ADMIN_DESCRIPTORS: usize = lilacquay_admin::MAX_CONNECTIONS + 1;
+/// Environment variable with the descriptor of the listening socket, if the platform passes one.
+const INHERITED_SOCKET_VARIABLE: &str = "EDGE_PASSED_SOCKET";
+/// Limit on descriptors if the configuration sets none.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// Limit on memory in MiB if the configuration sets none.
+const DEFAULT_MEMORY_MB: usize = 192;
+
+/// Where a node's configuration comes from.
 #[derive(Debug, Clone)]
-pub enum Source {
+pub enum ConfigSource {
     /// The platform: the environment, and the JSON file that it names.
     Platform,
-    /// A file of options, which names the JSON file.
+    /// The options file of `serve`, which names the JSON file.
     Options(PathBuf),
-    /// The appliance's file, which says all.
+    /// The appliance's file, which holds the whole configuration.
     Appliance(PathBuf),
 }
 
-impl Source {
-    /// The file that `check` takes.
+impl ConfigSource {
+    /// The file to give to `check`.
     pub fn path(&self) -> PathBuf {
         match self {
-            Source::Platform => env::var_os("EDGE_CONFIG").unwrap_or_default().into(),
-            Source::Options(path) | Source::Appliance(path) => path.clone(),
+            ConfigSource::Platform => env::var_os("EDGE_CONFIG").unwrap_or_default().into(),
+            ConfigSource::Options(path) | ConfigSource::Appliance(path) => path.clone(),
         }
     }
 }
 
-/// What a node is told.
+/// The configuration of a node.
 pub struct Config {
     pub listen: SocketAddr,
-    /// The listening socket, where the platform holds it.
-    pub passed: Option<Passed>,
-    /// The folder that all processes of the node share.
+    /// The listening socket, if the platform passes it.
+    pub inherited_socket: Option<InheritedSocket>,
+    /// The folder that all processes of the node share, from TMPDIR.
     pub shared_folder: Option<PathBuf>,
-    /// The second address, for whoever runs the node.
+    /// Address of the admin listener, for health checks and metrics.
     pub admin: Option<SocketAddr>,
-    /// Whether the figures there are Prometheus' text.
-    pub prometheus: bool,
-    /// Where discovery is; without it there is etcd.
+    /// Whether the admin listener writes metrics in the Prometheus text format.
+    pub prometheus_format: bool,
+    /// Address of the discovery service; `None` if the list of servers comes from etcd alone or is fixed.
     pub discovery: Option<SocketAddr>,
-    /// The list of servers from etcd.
-    pub etcd: Option<(Etcd, Settings)>,
-    /// memcached's binary protocol, as its file says and as a node needs it.
-    pub memcached: Option<(Memcached, Ready)>,
-    /// Quotas, of names that the settings have.
-    pub quota: Option<Quota>,
-    /// The other nodes, where they may speak to one another.
+    /// How to reach etcd, if the list of servers comes from there.
+    pub etcd: Option<(EtcdConfig, Settings)>,
+    /// The memcached protocol: its file as read, and with its names resolved.
+    pub memcached: Option<(MemcachedConfig, ResolvedMemcached)>,
+    /// The quotas; all names in it have been found in the settings.
+    pub quota: Option<QuotaConfig>,
+    /// This node's site with its other nodes, if nodes may communicate.
     pub siblings: Option<Site>,
-    /// The state folder, in which operators' orders are taken.
-    pub control: Option<PathBuf>,
+    /// The state folder, with the control socket that accepts operators' orders.
+    pub state_folder: Option<PathBuf>,
     pub seed: u64,
-    pub sockets: usize,
+    /// Most file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// Most memory that the process may use, in MiB.
     pub memory_mb: usize,
-    pub known: DiscoveryResponse,
-    /// Whether what is known is all there is: no source tells the list, but a reload.
-    pub fixed: bool,
+    /// The list of servers to start with.
+    pub initial_list: DiscoveryResponse,
+    /// Whether the list of servers comes from the configuration alone, so that only a reload changes it.
+    pub has_fixed_list: bool,
     pub log: Log,
     pub setup: Setup,
 }
 
-/// What a reload looks at: where the list of servers comes from, and what changes only with a restart.
-pub struct Sources {
-    /// The list, where no source tells it.
-    pub fixed: Option<ServerList>,
+/// The part of the configuration that a reload reads. Some of it changes only with a restart; it is read to warn
+/// about a difference.
+pub struct ReloadableConfig {
+    /// The list of servers, if it is taken from the configuration alone.
+    pub fixed_list: Option<ServerList>,
     pub discovery: Option<SocketAddr>,
-    pub etcd: Option<(Etcd, Settings)>,
-    pub memcached: Option<Memcached>,
-    pub quota: Option<Quota>,
+    pub etcd: Option<(EtcdConfig, Settings)>,
+    pub memcached: Option<MemcachedConfig>,
+    pub quota: Option<QuotaConfig>,
     pub siblings: Option<Site>,
 }
 
-/// A listening socket that the platform holds and passes.
-pub struct Passed(RawFd);
+/// The descriptor of a listening socket that the platform passes to this process.
+pub struct InheritedSocket(RawFd);
 
-impl Passed {
-    /// The socket, which must listen where the node is told to.
+impl InheritedSocket {
+    /// The socket; it must listen on the address that the configuration sets.
     ///
     /// # Errors
-    /// If the descriptor is no such socket.
-    pub fn listener(&self, told: SocketAddr) -> io::Result<TcpListener> {
-        lilacquay_inherit::inherited_listener(self.0, told)
-            .map_err(|why| io::Error::other(format!("{PASSED}: {why}")))
+    /// If the descriptor is not such a socket.
+    pub fn listener(&self, configured: SocketAddr) -> io::Result<TcpListener> {
+        lilacquay_inherit::inherited_listener(self.0, configured)
+            .map_err(|error| io::Error::other(format!("{INHERITED_SOCKET_VARIABLE}: {error}")))
     }
 }
 
 /// Why a node cannot start.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// An environment variable that is needed, or a key of that name in the file.
+    /// A required environment variable that is not set, and the file has no key that replaces it.
     Missing(&'static str),
-    /// The second address is the first.
-    SameAddress(SocketAddr),
-    /// A variable that names no descriptor.
-    Passed(InheritedSocketError),
-    /// An environment variable that is no address.
-    Address(&'static str, String),
-    /// Mistakes in a file of this source.
-    Mistakes(Source, Vec<Mistake>),
+    /// The admin address equals the clients' address.
+    SameAdminAddress(SocketAddr),
+    /// The variable for the listening socket names no descriptor.
+    InheritedSocket(InheritedSocketError),
+    /// An environment variable that is not an address, or not Unicode.
+    InvalidAddress(&'static str, String),
+    /// Issues in the files of this source.
+    Invalid(ConfigSource, Vec<ConfigIssue>),
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigError::Missing(name) => write!(f, "{name} is not set"),
-            ConfigError::Address(name, text) => write!(f, "{name}: {text:?} is no address with a port"),
-            ConfigError::SameAddress(at) => {
-                write!(f, "admin is {at}, as listen is; give it a port of its own")
+            ConfigError::InvalidAddress(name, text) => {
+                write!(f, "{name}: {text:?} is not an address with a port")
             }
-            ConfigError::Passed(why) => write!(f, "{PASSED}: {why}"),
-            ConfigError::Mistakes(source, mistakes) => f.write_str(&one_line(&source.path(), mistakes)),
+            ConfigError::SameAdminAddress(address) => {
+                write!(f, "admin is {address}, as listen is; give it a port of its own")
+            }
+            ConfigError::InheritedSocket(error) => write!(f, "{INHERITED_SOCKET_VARIABLE}: {error}"),
+            ConfigError::Invalid(source, issues) => f.write_str(&summarize(&source.path(), issues)),
         }
     }
 }
 
+/// The platform's JSON file as it is written.
 #[derive(Deserialize)]
-struct File {
+struct PlatformFile {
     listen: Option<String>,
     discovery: Option<String>,
     admin: Option<String>,
@@ -166,8 +175,8 @@
     memory_mb: Option<usize>,
 }
 
-/// The JSON file, read and with its words understood.
-struct Read {
+/// The platform's JSON file with its addresses, seed and settings parsed.
+struct PlatformConfig {
     listen: Option<SocketAddr>,
     discovery: Option<SocketAddr>,
     admin: Option<SocketAddr>,
@@ -178,244 +187,265 @@
     siblings: Option<Site>,
 }
 
-impl Read {
-    fn new(path: &Path) -> Result<Read, Vec<Mistake>> {
-        let text = fs::read_to_string(path).map_err(|error| vec![unreadable(path, &error)])?;
-        let mut mistakes = Mistakes::new(path, &text);
-        let read = Read::parse(&text, &mut mistakes);
-        let found = mistakes.into_found();
-        read.filter(|_| found.is_empty()).ok_or(found)
+impl PlatformConfig {
+    fn read(path: &Path) -> Result<PlatformConfig, Vec<ConfigIssue>> {
+        let text = fs::read_to_string(path).map_err(|error| vec![unreadable_file(path, &error)])?;
+        let mut issues = IssueCollector::new(path, &text);
+        let config = PlatformConfig::parse(&text, &mut issues);
+        let issues = issues.into_issues();
+        config.filter(|_| issues.is_empty()).ok_or(issues)
     }
 
-    /// What the appliance's file comes to. Its own reader has told all that is wrong in it.
-    fn compiled(file: &Path, node: &Value) -> Result<Read, Vec<Mistake>> {
-        let text = node.to_string();
-        let mut mistakes = Mistakes::new(file, &text);
-        let read = Read::parse(&text, &mut mistakes);
-        read.ok_or_else(|| mistakes.into_found())
+    /// Parses the JSON that an appliance's file was translated to. The appliance's reader has reported the issues in
+    /// the file already.
+    fn from_appliance(file: &Path, platform_json: &Value) -> Result<PlatformConfig, Vec<ConfigIssue>> {
+        let text = platform_json.to_string();
+        let mut issues = IssueCollector::new(file, &text);
+        let config = PlatformConfig::parse(&text, &mut issues);
+        config.ok_or_else(|| issues.into_issues())
     }
 
-    fn parse(text: &str, mistakes: &mut Mistakes) -> Option<Read> {
-        let mut json = serde_json::Deserializer::from_str(text);
-        let file: File = match serde_path_to_error::deserialize(&mut json) {
+    fn parse(text: &str, issues: &mut IssueCollector) -> Option<PlatformConfig> {
+        let mut deserializer = serde_json::Deserializer::from_str(text);
+        let file: PlatformFile = match serde_path_to_error::deserialize(&mut deserializer) {
             Ok(file) => file,
             Err(error) => {
                 let (field, inner) = (error.path().to_string(), error.inner());
                 let field = if field == "." { "" } else { &field };
-                let what = inner.to_string();
-                let what = what.split(" at line ").next().unwrap_or(&what);
-                mistakes.on_line(inner.line(), field, what, "write it as the platform does");
+                let problem = inner.to_string();
+                let problem = problem.split(" at line ").next().unwrap_or(&problem);
+                issues.report_at_line(inner.line(), field, problem, "write it as the platform does");
                 return None;
             }
         };
-        let mut address = |name: &str, text_: &Option<String>| {
-            let address = text_.as_ref().map(|text| text.parse::<SocketAddr>());
+        let mut parse_address = |name: &str, value: &Option<String>| {
+            let address = value.as_ref().map(|text| text.parse::<SocketAddr>());
             if let Some(Err(_)) = address {
-                let what = format!("{:?} is no address with a port", text_.as_deref().unwrap_or(""));
-                mistakes.at(place(text, name), name, what, "write it as 127.0.0.1:6379");
+                let problem = format!("{:?} is not an address with a port", value.as_deref().unwrap_or(""));
+                issues.report_at_offset(key_offset(text, name), name, problem, "write it as 127.0.0.1:6379");
             }
             address.and_then(Result::ok)
         };
-        let (listen, discovery) = (address("listen", &file.listen), address("discovery", &file.discovery));
-        let admin = address("admin", &file.admin);
-        let peer_listen = address("peer_listen", &file.peer_listen);
+        let (listen, discovery) =
+            (parse_address("listen", &file.listen), parse_address("discovery", &file.discovery));
+        let admin = parse_address("admin", &file.admin);
+        let peer_listen = parse_address("peer_listen", &file.peer_listen);
         let peers: Vec<SocketAddr> =
-            file.peers.iter().filter_map(|peer| address("peers", &Some(peer.clone()))).collect();
+            file.peers.iter().filter_map(|peer| parse_address("peers", &Some(peer.clone()))).collect();
         let seed = u64::from_str_radix(&file.seed, 16);
         if seed.is_err() {
-            let what = format!("bad seed {:?}", file.seed);
-            mistakes.at(place(text, "seed"), "seed", what, "write 16 hex digits at most");
+            let problem = format!("bad seed {:?}", file.seed);
+            issues.report_at_offset(key_offset(text, "seed"), "seed", problem, "write 16 hex digits at most");
         }
-        if file.limits.sockets.is_some_and(|sockets| sockets < 2 * RESERVED) {
-            let mend = format!("grant {} at least", 2 * RESERVED);
-            mistakes.at(place(text, "sockets"), "limits.sockets", "too low a limit", mend);
+        if file.limits.sockets.is_some_and(|sockets| sockets < 2 * RESERVED_DESCRIPTORS) {
+            let fix = format!("set at least {}", 2 * RESERVED_DESCRIPTORS);
+            issues.report_at_offset(key_offset(text, "sockets"), "limits.sockets", "limit too low", fix);
         }
         let setup = Setup::try_from(file.settings).inspect_err(|error| {
-            let mend = "write safe, keyed or unsafe";
-            mistakes.at(place(text, "Effect"), "settings.Classes", error.to_string(), mend);
+            let fix = "write safe, keyed or unsafe";
+            issues.report_at_offset(key_offset(text, "Effect"), "settings.Classes", error.to_string(), fix);
         });
         let (seed, setup) = (seed.ok()?, setup.ok()?);
-        let site = setup.names.all_classes().join(",");
-        let siblings = Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site);
+        let site_name = setup.names.all_classes().join(",");
+        let siblings =
+            Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site_name);
         let (limits, known) = (file.limits, file.known);
-        Some(Read { listen, discovery, admin, seed, limits, known, setup, siblings })
+        Some(PlatformConfig { listen, discovery, admin, seed, limits, known, setup, siblings })
     }
 }
 
-/// Where a key of the JSON stands first.
-fn place(text: &str, key: &str) -> usize {
+/// The byte offset of a key's first occurrence in the JSON text; 0 if there is none.
+fn key_offset(text: &str, key: &str) -> usize {
     text.find(&format!("\"{key}\"")).unwrap_or(0)
 }
 
-/// Reads a platform's JSON and tells all that is wrong with it, also what a node could start with, and what the
-/// options name that it lacks.
-pub fn check_json(path: &Path, options: Option<&Options>) -> Vec<Mistake> {
-    match Read::new(path) {
-        Err(mistakes) => mistakes,
-        Ok(read) => {
+/// Reads a platform's JSON file and returns all its issues. They include those that a node would start with, and
+/// the classes and tenants that the options name and the JSON lacks.
+pub fn check_json(path: &Path, options: Option<&Options>) -> Vec<ConfigIssue> {
+    match PlatformConfig::read(path) {
+        Err(issues) => issues,
+        Ok(config) => {
             let text = fs::read_to_string(path).unwrap_or_default();
-            let mut mistakes = Mistakes::new(path, &text);
-            look_closer(&read, &text, &mut mistakes);
-            let mut found = mistakes.into_found();
-            let names = &read.setup.names;
+            let mut issues = IssueCollector::new(path, &text);
+            check_semantics(&config, &text, &mut issues);
+            let mut issues = issues.into_issues();
+            let names = &config.setup.names;
             if let Some(memcached) = options.and_then(|options| options.memcached.as_ref()) {
-                found.extend(memcached.ready(names).err().unwrap_or_default());
+                issues.extend(memcached.resolve(names).err().unwrap_or_default());
             }
             if let Some(quota) = options.and_then(|options| options.quota.as_ref()) {
-                found.extend(quota.look_up(names));
+                issues.extend(quota.unresolved_names(names));
             }
-            found
+            issues
         }
     }
 }
 
-/// What makes no sense though it can be read.
-fn look_closer(read: &Read, text: &str, mistakes: &mut Mistakes) {
-    if read.known.skipped > 0 {
-        let what = format!("{} servers that can't be read", read.known.skipped);
-        mistakes.at(place(text, "known"), "known.servers", what, "give each an id, an addr and a state");
+/// Reports values that can be parsed but make no sense together.
+fn check_semantics(config: &PlatformConfig, text: &str, issues: &mut IssueCollector) {
+    if config.known.skipped > 0 {
+        let problem = format!("{} servers that cannot be read", config.known.skipped);
+        issues.report_at_offset(
+            key_offset(text, "known"),
+            "known.servers",
+            problem,
+            "give each an id, an addr and a state",
+        );
     }
     let json: Value = serde_json::from_str(text).unwrap_or_default();
     let settings = &json["settings"];
-    let names = |name: &str| settings[name].as_array().cloned().unwrap_or_default();
-    if settings["Zone"].is_string() && !names("Dcs").contains(&settings["Zone"]) {
-        let what = format!("{} is not among Dcs", settings["Zone"]);
-        mistakes.at(place(text, "Zone"), "settings.Zone", what, "name one of Dcs");
+    let elements = |name: &str| settings[name].as_array().cloned().unwrap_or_default();
+    if settings["Zone"].is_string() && !elements("Dcs").contains(&settings["Zone"]) {
+        let problem = format!("{} is not among Dcs", settings["Zone"]);
+        issues.report_at_offset(key_offset(text, "Zone"), "settings.Zone", problem, "name one of Dcs");
     }
-    let origin = settings["FamilyInfo"]["OriginKind"].as_u64();
-    let kinds = names("Skus").len() as u64;
-    if settings["FamilyInfo"]["Mode"] == "aside" && origin.is_none_or(|kind| kind >= kinds) {
-        let mend = "give the place, from 0, of the origin's kind among Skus";
-        mistakes.at(
-            place(text, "FamilyInfo"),
+    let origin_kind = settings["FamilyInfo"]["OriginKind"].as_u64();
+    let kind_count = elements("Skus").len() as u64;
+    if settings["FamilyInfo"]["Mode"] == "aside" && origin_kind.is_none_or(|kind| kind >= kind_count) {
+        let fix = "give the index, from 0, of the origin's kind in Skus";
+        issues.report_at_offset(
+            key_offset(text, "FamilyInfo"),
             "settings.FamilyInfo.OriginKind",
-            "names no kind of Skus",
-            mend,
+            "is not an index into Skus",
+            fix,
         );
     }
-    for (n, class) in names("Classes").iter().enumerate() {
-        let longest = class["HardLimit"].as_f64().unwrap_or(0.0);
-        if longest <= 0.0 || class["Aim"].as_f64().unwrap_or(0.0) > longest {
-            let field = format!("settings.Classes[{n}].HardLimit");
+    for (index, class) in elements("Classes").iter().enumerate() {
+        let hard_limit = class["HardLimit"].as_f64().unwrap_or(0.0);
+        if hard_limit <= 0.0 || class["Aim"].as_f64().unwrap_or(0.0) > hard_limit {
+            let field = format!("settings.Classes[{index}].HardLimit");
             let name = class["Name"].as_str().unwrap_or("");
-            let what = format!("class {name} has no time beyond its Aim");
-            let at = text.find(&format!("\"{name}\"")).unwrap_or(0);
-            mistakes.at(at, &field, what, "give a HardLimit of at least the Aim, in ms");
+            let problem = format!("class {name} has no HardLimit, or one below its Aim");
+            let offset = text.find(&format!("\"{name}\"")).unwrap_or(0);
+            issues.report_at_offset(offset, &field, problem, "give a HardLimit of at least the Aim, in ms");
         }
     }
 }
 
 impl Config {
-    /// Reads what a source tells.
+    /// Reads the whole configuration from a source.
     ///
     /// # Errors
-    /// What is missing, and all mistakes in its files.
-    pub fn read(source: &Source) -> Result<Config, ConfigError> {
-        let read =
-            |path: &Path| Read::new(path).map_err(|found| ConfigError::Mistakes(source.clone(), found));
-        let mut fixed = false;
-        let (read, options) = match source {
-            Source::Platform => (read(&platform_file()?)?, None),
-            Source::Appliance(path) => {
-                let wrong = |found| ConfigError::Mistakes(source.clone(), found);
-                let appliance = Appliance::read(path).map_err(wrong)?;
-                fixed = appliance.fixed;
-                (Read::compiled(path, &appliance.node).map_err(wrong)?, Some(appliance.options))
+    /// What is missing, and all issues in its files.
+    pub fn read(source: &ConfigSource) -> Result<Config, ConfigError> {
+        let invalid = |issues| ConfigError::Invalid(source.clone(), issues);
+        let mut has_fixed_list = false;
+        let (platform, options) = match source {
+            ConfigSource::Platform => (PlatformConfig::read(&platform_file_path()?).map_err(invalid)?, None),
+            ConfigSource::Appliance(path) => {
+                let appliance = Appliance::read(path).map_err(invalid)?;
+                has_fixed_list = appliance.has_fixed_list;
+                (
+                    PlatformConfig::from_appliance(path, &appliance.platform_json).map_err(invalid)?,
+                    Some(appliance.options),
+                )
             }
-            Source::Options(path) => {
-                let options =
-                    Options::read(path).map_err(|found| ConfigError::Mistakes(source.clone(), found))?;
-                (read(&options.node)?, Some(options))
+            ConfigSource::Options(path) => {
+                let options = Options::read(path).map_err(invalid)?;
+                (PlatformConfig::read(&options.platform_file).map_err(invalid)?, Some(options))
             }
         };
-        let said = options.as_ref();
-        let etcd = said.and_then(|said| said.etcd.clone()).map(|etcd| Ok((etcd.settings()?, etcd)));
-        let etcd = etcd.transpose().map_err(|found| ConfigError::Mistakes(source.clone(), found))?;
-        let memcached = said.and_then(|said| said.memcached.as_ref());
-        let memcached = memcached.map(|file| Ok((file.clone(), file.ready(&read.setup.names)?))).transpose();
-        let memcached = memcached.map_err(|found| ConfigError::Mistakes(source.clone(), found))?;
-        let quota = said.and_then(|said| said.quota.clone());
-        let unknown = quota.as_ref().map_or(Vec::new(), |quota| quota.look_up(&read.setup.names));
-        if !unknown.is_empty() {
-            return Err(ConfigError::Mistakes(source.clone(), unknown));
+        let options = options.as_ref();
+        let etcd = options.and_then(|options| options.etcd.clone()).map(|etcd| Ok((etcd.settings()?, etcd)));
+        let etcd = etcd.transpose().map_err(invalid)?;
+        let memcached = options.and_then(|options| options.memcached.as_ref());
+        let memcached =
+            memcached.map(|file| Ok((file.clone(), file.resolve(&platform.setup.names)?))).transpose();
+        let memcached = memcached.map_err(invalid)?;
+        let quota = options.and_then(|options| options.quota.clone());
+        let unresolved =
+            quota.as_ref().map_or(Vec::new(), |quota| quota.unresolved_names(&platform.setup.names));
+        if !unresolved.is_empty() {
+            return Err(ConfigError::Invalid(source.clone(), unresolved));
         }
-        let discovery = address("EDGE_DISCOVERY", said.map(|said| said.discovery), read.discovery);
+        let discovery =
+            address("EDGE_DISCOVERY", options.map(|options| options.discovery), platform.discovery);
         let discovery = match discovery {
-            Err(ConfigError::Missing(_)) if etcd.is_some() || fixed => None,
+            Err(ConfigError::Missing(_)) if etcd.is_some() || has_fixed_list => None,
             other => Some(other?),
         };
-        let listen = address("EDGE_LISTEN", said.map(|said| said.listen), read.listen)?;
-        let admin = match address("EDGE_ADMIN", said.map(|said| said.admin), read.admin) {
+        let listen = address("EDGE_LISTEN", options.map(|options| options.listen), platform.listen)?;
+        let admin = match address("EDGE_ADMIN", options.map(|options| options.admin), platform.admin) {
             Err(ConfigError::Missing(_)) => None,
             other => Some(other?),
         };
         if admin.is_some_and(|admin| admin == listen && listen.port() != 0) {
-            return Err(ConfigError::SameAddress(listen));
+            return Err(ConfigError::SameAdminAddress(listen));
         }
-        // The platform alone passes a socket; a file of options names an address to bind.
-        let passed = match source {
-            Source::Platform => variable(PASSED)?,
-            Source::Options(_) | Source::Appliance(_) => None,
+        // Only the platform passes a socket; files of options name an address to bind.
+        let inherited_socket = match source {
+            ConfigSource::Platform => env_variable(INHERITED_SOCKET_VARIABLE)?,
+            ConfigSource::Options(_) | ConfigSource::Appliance(_) => None,
         };
-        let passed = passed.map(|text| parse_descriptor(&text)).transpose().map_err(ConfigError::Passed)?;
+        let inherited_socket = inherited_socket
+            .map(|text| parse_descriptor(&text))
+            .transpose()
+            .map_err(ConfigError::InheritedSocket)?;
         Ok(Config {
             listen,
-            passed: passed.map(Passed),
+            inherited_socket: inherited_socket.map(InheritedSocket),
             shared_folder: env::var_os("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from),
             admin,
-            prometheus: said.is_some_and(|said| said.prometheus),
+            prometheus_format: options.is_some_and(|options| options.prometheus_format),
             discovery,
             etcd: etcd.map(|(settings, etcd)| (etcd, settings)),
             memcached,
             quota,
-            siblings: said.map_or(read.siblings, |said| said.siblings.clone()),
-            control: said.and_then(|said| said.control.clone()),
-            seed: read.seed,
-            sockets: said.and_then(|said| said.sockets).or(read.limits.sockets).unwrap_or(SOCKETS),
-            memory_mb: said.and_then(|said| said.memory_mb).or(read.limits.memory_mb).unwrap_or(MEMORY_MB),
-            known: read.known,
-            fixed,
-            log: options.map(|said| said.log).unwrap_or_default(),
-            setup: read.setup,
+            siblings: options.map_or(platform.siblings, |options| options.siblings.clone()),
+            state_folder: options.and_then(|options| options.state_folder.clone()),
+            seed: platform.seed,
+            max_descriptors: options
+                .and_then(|options| options.max_descriptors)
+                .or(platform.limits.sockets)
+                .unwrap_or(DEFAULT_MAX_DESCRIPTORS),
+            memory_mb: options
+                .and_then(|options| options.memory_mb)
+                .or(platform.limits.memory_mb)
+                .unwrap_or(DEFAULT_MEMORY_MB),
+            initial_list: platform.known,
+            has_fixed_list,
+            log: options.map(|options| options.log.clone()).unwrap_or_default(),
+            setup: platform.setup,
         })
     }
 
-    /// Reads the source anew, for what may change while the node runs: where the list of servers comes from. On
-    /// the platform, what the file says now goes before the environment, which is as old as the process.
+    /// Reads the source again for a reload. On the platform, the file takes precedence over the environment here,
+    /// because the environment dates from the start of the process.
     ///
     /// # Errors
     /// As [`Config::read`].
-    pub fn sources_anew(source: &Source) -> Result<Sources, ConfigError> {
+    pub fn read_reloadable(source: &ConfigSource) -> Result<ReloadableConfig, ConfigError> {
         match source {
-            Source::Platform => {
-                let read = Read::new(&platform_file()?);
-                let read = read.map_err(|found| ConfigError::Mistakes(source.clone(), found))?;
-                let discovery = match read.discovery {
+            ConfigSource::Platform => {
+                let platform = PlatformConfig::read(&platform_file_path()?)
+                    .map_err(|issues| ConfigError::Invalid(source.clone(), issues))?;
+                let discovery = match platform.discovery {
                     Some(address) => address,
                     None => address("EDGE_DISCOVERY", None, None)?,
                 };
-                Ok(Sources {
-                    fixed: None,
+                Ok(ReloadableConfig {
+                    fixed_list: None,
                     discovery: Some(discovery),
                     etcd: None,
                     memcached: None,
                     quota: None,
-                    siblings: read.siblings,
+                    siblings: platform.siblings,
                 })
             }
-            Source::Options(_) | Source::Appliance(_) => {
-                let Config { discovery, etcd, memcached, quota, known, fixed, siblings, .. } =
-                    Config::read(source)?;
-                let fixed = fixed.then_some(ServerList { full: true, ..known.list });
+            ConfigSource::Options(_) | ConfigSource::Appliance(_) => {
+                let Config {
+                    discovery, etcd, memcached, quota, initial_list, has_fixed_list, siblings, ..
+                } = Config::read(source)?;
+                let fixed_list = has_fixed_list.then_some(ServerList { full: true, ..initial_list.list });
                 let memcached = memcached.map(|(file, _)| file);
-                Ok(Sources { fixed, discovery, etcd, memcached, quota, siblings })
+                Ok(ReloadableConfig { fixed_list, discovery, etcd, memcached, quota, siblings })
             }
         }
     }
 
-    /// What may be shown to whoever looks for a fault: no secret is read into it, nor where secrets are kept.
-    pub fn described(&self) -> Value {
-        let servers = self.known.list.servers.iter();
+    /// A summary for the diagnostic bundle. It holds neither secrets nor the paths of files with secrets.
+    pub fn diagnostic_summary(&self) -> Value {
+        let servers = self.initial_list.list.servers.iter();
         let servers: Vec<Value> = servers
             .map(|server| json!({ "name": server.id, "addr": server.addr, "zone": server.zone, "kind": server.kind }))
             .collect();
@@ -423,7 +453,7 @@
             .etcd
             .as_ref()
             .map(|(etcd, settings)| json!({ "prefix": etcd.prefix, "endpoints": settings.endpoints }));
-        let listeners = self.memcached.iter().flat_map(|(_, ready)| &ready.listeners);
+        let listeners = self.memcached.iter().flat_map(|(_, resolved)| &resolved.listeners);
         let listeners: Vec<Value> =
             listeners.map(|listener| json!({ "name": listener.name, "address": listener.address })).collect();
         json!({
@@ -434,7 +464,7 @@
             "memcached": listeners,
             "quotas": self.quota.is_some(),
             "siblings": self.siblings.as_ref().map(|site| json!({ "me": site.me, "nodes": site.nodes })),
-            "sockets": self.sockets,
+            "sockets": self.max_descriptors,
             "memory_mb": self.memory_mb,
             "log": format!("{:?}", self.log),
             "classes": self.setup.names.all_classes(),
@@ -444,64 +474,70 @@
         })
     }
 
-    /// What clients may hold: a third of the descriptors, and more while servers need fewer, with some left
-    /// for those to come.
-    pub fn client_bounds(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> ClientLimits {
-        let with_servers = (self.sockets - self.sockets / 8).saturating_sub(self.reserved());
-        let memory = self.request_memory();
+    /// Limits on clients' connections: a third of the descriptors, and more while servers use fewer. An eighth of all
+    /// descriptors stays free for further connections to servers.
+    pub fn client_limits(&self, gauges: Arc<Gauges>, portion: ResourceShare) -> ClientLimits {
+        let total_connections =
+            (self.max_descriptors - self.max_descriptors / 8).saturating_sub(self.reserved_descriptors());
         ClientLimits {
-            connections: self.sockets / 3,
-            total_connections: with_servers,
+            connections: self.max_descriptors / 3,
+            total_connections,
             gauges,
-            buffer_bytes: memory,
+            buffer_bytes: self.request_memory_bytes(),
             portion,
         }
     }
 
-    /// Bytes that open requests may hold: an eighth of the memory, as buffers may that are not small.
-    pub fn request_memory(&self) -> usize {
+    /// Most bytes that open requests may hold: an eighth of the memory. Large buffers are limited to the same amount.
+    pub fn request_memory_bytes(&self) -> usize {
         (self.memory_mb << 20) / 8
     }
 
-    /// Most connections to servers.
-    pub fn server_connections(&self) -> usize {
-        (self.sockets - self.sockets / 3).saturating_sub(self.reserved()).max(1)
+    /// Most connections to servers: two thirds of the descriptors, without the reserved ones.
+    pub fn max_server_connections(&self) -> usize {
+        (self.max_descriptors - self.max_descriptors / 3).saturating_sub(self.reserved_descriptors()).max(1)
     }
 
-    /// Connections that it may hold in all.
-    pub fn connections(&self) -> usize {
-        self.sockets.saturating_sub(self.reserved()).max(1)
+    /// Most connections to clients and servers together.
+    pub fn max_connections(&self) -> usize {
+        self.max_descriptors.saturating_sub(self.reserved_descriptors()).max(1)
     }
 
-    fn reserved(&self) -> usize {
-        RESERVED + if self.admin.is_some() { ADMIN } else { 0 } + usize::from(self.siblings.is_some())
+    /// Descriptors that are not available to connections of clients and servers.
+    fn reserved_descriptors(&self) -> usize {
+        RESERVED_DESCRIPTORS
+            + if self.admin.is_some() { ADMIN_DESCRIPTORS } else { 0 }
+            + usize::from(self.siblings.is_some())
     }
 }
 
-fn platform_file() -> Result<PathBuf, ConfigError> {
-    variable("EDGE_CONFIG")?.map(PathBuf::from).ok_or(ConfigError::Missing("EDGE_CONFIG"))
+fn platform_file_path() -> Result<PathBuf, ConfigError> {
+    env_variable("EDGE_CONFIG")?.map(PathBuf::from).ok_or(ConfigError::Missing("EDGE_CONFIG"))
 }
 
-/// An address: of the options, where there are any, or else of the environment; last of the JSON.
+/// An address from the options file, or from the environment if there is no options file; the value in the JSON file
+/// is used if that has none.
 fn address(
     name: &'static str,
-    said: Option<Option<SocketAddr>>,
-    in_file: Option<SocketAddr>,
+    in_options: Option<Option<SocketAddr>>,
+    in_json: Option<SocketAddr>,
 ) -> Result<SocketAddr, ConfigError> {
-    let first = match said {
-        Some(said) => said,
-        None => match variable(name)? {
-            Some(text) => Some(text.parse().map_err(|_| ConfigError::Address(name, text))?),
+    let address = match in_options {
+        Some(in_options) => in_options,
+        None => match env_variable(name)? {
+            Some(text) => Some(text.parse().map_err(|_| ConfigError::InvalidAddress(name, text))?),
             None => None,
         },
     };
-    first.or(in_file).ok_or(ConfigError::Missing(name))
+    address.or(in_json).ok_or(ConfigError::Missing(name))
 }
 
-fn variable(name: &'static str) -> Result<Option<String>, ConfigError> {
+fn env_variable(name: &'static str) -> Result<Option<String>, ConfigError> {
     match env::var(name) {
         Ok(text) => Ok(Some(text)),
         Err(VarError::NotPresent) => Ok(None),
-        Err(VarError::NotUnicode(text)) => Err(ConfigError::Address(name, text.to_string_lossy().into())),
+        Err(VarError::NotUnicode(text)) => {
+            Err(ConfigError::InvalidAddress(name, text.to_string_lossy().into()))
+        }
     }
 }
--- a/crates/lilacquay/src/config_error.rs
+++ b/crates/lilacquay/src/config_error.rs
@@ -1,24 +1,23 @@
-//! Mistakes in files, each with its place and its mend.
+//! Issues found in configuration files, each with its place in the file and the fix.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
 /// Something wrong in a file.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Mistake {
-    /// The file.
+pub struct ConfigIssue {
     pub file: PathBuf,
-    /// The line, from 1; 0 where the whole file is meant.
+    /// The line, from 1; 0 if the issue concerns the whole file.
     pub line: usize,
-    /// The field, as in `limits.sockets`; empty where the whole file is meant.
+    /// The path of the field, as in `limits.sockets`; empty if the issue concerns the whole file.
     pub field: String,
     /// What is wrong.
-    pub what: String,
-    /// What to do about it.
-    pub mend: String,
+    pub problem: String,
+    /// What the user should do about it.
+    pub fix: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigIssue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.file.display())?;
         if self.line > 0 {
@@ -27,53 +26,70 @@
         if !self.field.is_empty() {
             write!(f, " {}:", self.field)?;
         }
-        write!(f, " {}; {}", self.what, self.mend)
+        write!(f, " {}; {}", self.problem, self.fix)
     }
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for ConfigIssue {}
 
-/// Mistakes of one file, with the text that they stand in.
-pub struct Mistakes<'a> {
+/// Collects the issues of one file; the file's text is needed to turn byte offsets into lines.
+pub struct IssueCollector<'a> {
     file: &'a Path,
     text: &'a str,
-    found: Vec<Mistake>,
+    issues: Vec<ConfigIssue>,
 }
 
-impl<'a> Mistakes<'a> {
+impl<'a> IssueCollector<'a> {
     pub fn new(file: &'a Path, text: &'a str) -> Self {
-        Mistakes { file, text, found: Vec::new() }
+        IssueCollector { file, text, issues: Vec::new() }
     }
 
-    /// Notes one, by the place of its first byte in the text.
-    pub fn at(&mut self, offset: usize, field: &str, what: impl Into<String>, mend: impl Into<String>) {
+    /// Records an issue at a byte offset in the text.
+    pub fn report_at_offset(
+        &mut self,
+        offset: usize,
+        field: &str,
+        problem: impl Into<String>,
+        fix: impl Into<String>,
+    ) {
         let line =
             1 + self.text.as_bytes()[..offset.min(self.text.len())].iter().filter(|&&b| b == b'\n').count();
-        self.on_line(line, field, what, mend);
+        self.report_at_line(line, field, problem, fix);
     }
 
-    /// Notes one, by its line.
-    pub fn on_line(&mut self, line: usize, field: &str, what: impl Into<String>, mend: impl Into<String>) {
+    /// Records an issue on a line, counted from 1.
+    pub fn report_at_line(
+        &mut self,
+        line: usize,
+        field: &str,
+        problem: impl Into<String>,
+        fix: impl Into<String>,
+    ) {
         let (file, field) = (self.file.to_owned(), field.to_owned());
-        self.found.push(Mistake { file, line, field, what: what.into(), mend: mend.into() });
+        self.issues.push(ConfigIssue { file, line, field, problem: problem.into(), fix: fix.into() });
     }
 
-    pub fn into_found(self) -> Vec<Mistake> {
-        self.found
+    pub fn into_issues(self) -> Vec<ConfigIssue> {
+        self.issues
     }
 }
 
-/// A file that can't be read.
-pub fn unreadable(file: &Path, error: &std::io::Error) -> Mistake {
-    let (what, mend) = (format!("cannot be read: {error}"), "name a file that this user may read".into());
-    Mistake { file: file.to_owned(), line: 0, field: String::new(), what, mend }
+/// The issue of a file that cannot be read.
+pub fn unreadable_file(file: &Path, error: &std::io::Error) -> ConfigIssue {
+    ConfigIssue {
+        file: file.to_owned(),
+        line: 0,
+        field: String::new(),
+        problem: format!("cannot be read: {error}"),
+        fix: "name a file that this user may read".into(),
+    }
 }
 
-/// The first mistake, and how to see the others.
-pub fn one_line(file: &Path, mistakes: &[Mistake]) -> String {
-    let more = match mistakes.len() {
+/// The first issue in one line, with the command that lists the others.
+pub fn summarize(file: &Path, issues: &[ConfigIssue]) -> String {
+    let more = match issues.len() {
         0 | 1 => String::new(),
         n => format!(" (and {} more: `lilacquay check {}`)", n - 1, file.display()),
     };
-    mistakes.first().map_or_else(String::new, |first| format!("{first}{more}"))
+    issues.first().map_or_else(String::new, |first| format!("{first}{more}"))
 }
--- a/crates/lilacquay/src/fleet.rs
+++ b/crates/lilacquay/src/fleet.rs
@@ -48,7 +48,7 @@
     introduce(&fleet, &node, at)?;
     runtime.block_on(async {
         tokio::select! {
-            () = signals.told_to_end(args.time) => Ok(()),
+            () = signals.told_to_end(args.duration) => Ok(()),
             played = play(&fleet, script) => played,
             ended = node.ended() => ended,
         }
--- a/crates/lilacquay/src/logging.rs
+++ b/crates/lilacquay/src/logging.rs
@@ -1,7 +1,7 @@
-//! Where the log goes, in which form, and how much of it. What is logged from `info` on is also kept as events.
+//! Sets up the log: destination, format and level. Whatever is logged at `info` or above is also kept as an event.
 //!
-//! Lines are written by a thread of their own, from a queue that drops what it can't hold.
-//! Guards against: a full disk, or a terminal that takes nothing, that stalls the node's one thread.
+//! A thread of its own writes the lines, from a bounded queue that drops what does not fit. Otherwise a full disk,
+//! or a terminal that accepts no output, would stall the node's only thread.
 
 use std::fmt::{Debug, Write as _};
 use std::io::{self, Write};
@@ -21,37 +21,37 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Layer, Registry, fmt};
 
-/// Lines that wait to be written; more are dropped.
-const QUEUED: usize = 4096;
-/// All packages of ours begin with this.
-const OURS: &str = "lilacquay";
+/// Capacity of the queue of lines to be written; lines beyond it are dropped.
+const MAX_QUEUED_LINES: usize = 4096;
+/// Prefix of the log targets of this workspace's packages.
+const WORKSPACE_TARGET_PREFIX: &str = "lilacquay";
 
-/// The form of a line.
+/// The format of a line. Its `Debug` output is part of the diagnostic bundle, as is that of [`Log`] and [`Files`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Plain text, for people.
     #[default]
     Text,
-    /// For programs: a line of JSON each.
+    /// One JSON object per line, for programs.
     Json,
 }
 
-/// Files that are kept, and their sizes together.
+/// The rotated log files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Files {
     pub folder: PathBuf,
-    /// The size of each in bytes; at that it makes room for the next.
+    /// Size limit of each file in bytes; a file that exceeds it is rotated.
     pub bytes: usize,
-    /// How many are kept beside the one that is written.
+    /// Number of rotated files to keep besides the current one.
     pub old: usize,
 }
 
-/// How it is logged.
+/// The configuration of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Log {
     pub level: Level,
     pub format: Format,
-    /// Without, to standard error.
+    /// `None` logs to standard error.
     pub files: Option<Files>,
 }
 
@@ -61,91 +61,93 @@
     }
 }
 
-/// A log that is running; what is queued is written when it is dropped.
+/// A running log; dropping it writes the lines that are still queued.
 pub struct Logging {
     pub events: EventLog,
-    level: Handle<Targets, Registry>,
-    _writer: WorkerGuard,
+    level_filter: Handle<Targets, Registry>,
+    _writer_guard: WorkerGuard,
 }
 
-/// Begins to log.
+/// Installs the global log subscriber and starts the thread that writes.
 ///
 /// # Errors
-/// If the folder can't be made or written.
+/// If the folder cannot be created or written, or a subscriber is installed already.
 pub fn start(log: &Log) -> io::Result<Logging> {
     let sink: Box<dyn Write + Send> = match &log.files {
         None => Box::new(io::stderr()),
-        Some(files) => Box::new(rotated(files)?),
+        Some(files) => Box::new(open_rotating_file(files)?),
     };
-    let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUED);
+    let queue = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_QUEUED_LINES);
     let (writer, guard) = queue.thread_name("log").finish(sink);
-    let (filter, level) = reload::Layer::new(up_to(log.level));
+    let (filter, level_filter) = reload::Layer::new(target_filter(log.level));
     let lines = fmt::layer().with_ansi(false).with_target(false).with_writer(writer);
     let lines: Box<dyn Layer<Registry> + Send + Sync> = match log.format {
         Format::Text => lines.with_filter(filter).boxed(),
         Format::Json => lines.json().flatten_event(true).with_filter(filter).boxed(),
     };
     let events = EventLog::new();
-    let kept = ToEvents(events.clone()).with_filter(up_to(Level::INFO));
-    let subscriber = tracing_subscriber::registry().with(lines.and_then(kept));
+    let event_layer = EventLayer(events.clone()).with_filter(target_filter(Level::INFO));
+    let subscriber = tracing_subscriber::registry().with(lines.and_then(event_layer));
     subscriber.try_init().map_err(io::Error::other)?;
-    Ok(Logging { events, level, _writer: guard })
+    Ok(Logging { events, level_filter, _writer_guard: guard })
 }
 
-/// Others' packages speak from a warning on.
-fn up_to(level: Level) -> Targets {
-    Targets::new().with_default(LevelFilter::WARN).with_target(OURS, level)
+/// Lets through this workspace's packages at `level` and above, and dependencies only at `warn` and above.
+fn target_filter(level: Level) -> Targets {
+    Targets::new().with_default(LevelFilter::WARN).with_target(WORKSPACE_TARGET_PREFIX, level)
 }
 
-fn rotated(files: &Files) -> io::Result<FileRotate<AppendCount>> {
+fn open_rotating_file(files: &Files) -> io::Result<FileRotate<AppendCount>> {
     std::fs::create_dir_all(&files.folder)?;
     let path = files.folder.join("node.log");
-    // Where it can't be written, that shows now, not in a thread that nobody hears.
+    // Opened here so that a file that cannot be written is an error at the start; in the writer thread the error
+    // would go unnoticed.
     std::fs::OpenOptions::new().create(true).append(true).open(&path)?;
     let limit = ContentLimit::BytesSurpassed(files.bytes);
     Ok(FileRotate::new(path, AppendCount::new(files.old), limit, Compression::None, None))
 }
 
 impl Logging {
-    /// Logs from this level on.
+    /// Changes the least severe level that is logged.
     ///
     /// # Errors
-    /// If there is no such level.
+    /// If there is no such level, or the subscriber is gone.
     pub fn set_level(&self, level: &str) -> Result<(), String> {
-        let level = parse_level(level).ok_or_else(|| LEVELS_ARE.to_owned())?;
-        self.level.reload(up_to(level)).map_err(|error| error.to_string())
+        let level = parse_level(level).ok_or_else(|| LEVEL_HINT.to_owned())?;
+        self.level_filter.reload(target_filter(level)).map_err(|error| error.to_string())
     }
 }
 
-/// What to write where a level is wanted.
-pub const LEVELS_ARE: &str = "write error, warn, info, debug or trace";
+/// The fix that is suggested for an invalid level.
+pub const LEVEL_HINT: &str = "write error, warn, info, debug or trace";
 
 /// A level by its name.
 pub fn parse_level(text: &str) -> Option<Level> {
-    let known = ["error", "warn", "info", "debug", "trace"];
-    known.contains(&text).then(|| text.parse().ok()).flatten()
+    let level_names = ["error", "warn", "info", "debug", "trace"];
+    level_names.contains(&text).then(|| text.parse().ok()).flatten()
 }
 
-/// Keeps as events what is logged.
-struct ToEvents(EventLog);
+/// Records what is logged in the event log.
+struct EventLayer(EventLog);
 
-impl<S: Subscriber> Layer<S> for ToEvents {
+impl<S: Subscriber> Layer<S> for EventLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-        let mut words = Words::default();
-        event.record(&mut words);
-        self.0.note(event.metadata().level().as_str(), words.message + &words.fields);
+        let mut text = EventText::default();
+        event.record(&mut text);
+        self.0.note(event.metadata().level().as_str(), text.message + &text.fields);
     }
 }
 
+/// The text of one event: its message, and its fields as ` name=value`.
 #[derive(Default)]
-struct Words {
+struct EventText {
     message: String,
     fields: String,
 }
 
-impl Visit for Words {
+impl Visit for EventText {
     fn record_str(&mut self, field: &Field, value: &str) {
-        let _ = write!(self.fields, " {}={value}", field.name()); // to a string, which takes all
+        let _ = write!(self.fields, " {}={value}", field.name()); // writing to a String never fails
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
--- a/crates/lilacquay/src/main.rs
+++ b/crates/lilacquay/src/main.rs
@@ -1,4 +1,4 @@
-//! One cache-proxy node, and the tools beside it: see `cli`.
+//! Entry point of a cache-proxy node and of the tools to run and control it; `cli` defines the commands.
 
 mod admin;
 mod appliance;
@@ -31,8 +31,8 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use cli::{ApplianceArgs, ApplianceOrder, Cli, Command, ConsoleArgs};
-use config::{Config, ConfigError, Source};
+use cli::{ApplianceArgs, ApplianceCommand, Cli, Command, ConsoleArgs};
+use config::{Config, ConfigError, ConfigSource};
 use lilacquay_control::Verb;
 use lilacquay_core::stall;
 use node::Failure;
@@ -43,15 +43,15 @@
 
 fn main() -> ExitCode {
     match Cli::parse().command {
-        None => serve(Source::Platform),
-        Some(Command::Serve { config }) => serve(Source::Options(config)),
+        None => serve(ConfigSource::Platform),
+        Some(Command::Serve { config }) => serve(ConfigSource::Options(config)),
         Some(Command::Check { file }) => check::run(&file),
-        Some(Command::Fleet(args)) => end(fleet::run(args)),
+        Some(Command::Fleet(args)) => exit_code(fleet::run(args)),
         Some(Command::Load(args)) => load::run(args),
-        Some(Command::Members(args)) => end(members::run(args)),
-        Some(Command::Appliance(args)) => appliance(args),
+        Some(Command::Members(args)) => exit_code(members::run(args)),
+        Some(Command::Appliance(args)) => run_appliance(args),
         Some(Command::Status(args)) => control::status(&args),
-        Some(Command::Console(args)) => console(args),
+        Some(Command::Console(args)) => run_console(args),
         Some(Command::Events(args)) => control::events(&args),
         Some(Command::Reload(args)) => control::node(&args, Verb::Reload),
         Some(Command::Level(args)) => control::level(args),
@@ -67,112 +67,116 @@
     }
 }
 
-/// Serves until it is told to stop.
-fn serve(source: Source) -> ExitCode {
+/// Runs a node until it is stopped.
+fn serve(source: ConfigSource) -> ExitCode {
     let config = match Config::read(&source) {
         Ok(config) => config,
-        Err(error) => return failed(error),
+        Err(error) => return report_failure(error),
     };
     let logging = match logging::start(&config.log) {
         Ok(logging) => logging,
-        Err(error) => return failed(format_args!("the log can't be written: {error}; mend [log]")),
+        Err(error) => return report_failure(format_args!("the log cannot be written: {error}; fix [log]")),
     };
-    end(runtime().and_then(|runtime| runtime.block_on(node::run(config, source, &logging))))
+    exit_code(build_runtime().and_then(|runtime| runtime.block_on(node::run(config, source, &logging))))
 }
 
-/// Serves as an appliance: a core that fails is started again, with the configuration as it is then.
-fn appliance(args: ApplianceArgs) -> ExitCode {
+/// Runs a node as an appliance. If its core fails, the node is started again after a backoff, and the configuration
+/// is read again.
+fn run_appliance(args: ApplianceArgs) -> ExitCode {
     let file = match args {
-        ApplianceArgs { order: Some(ApplianceOrder::Init { file }), .. } => return init(&file),
+        ApplianceArgs { command: Some(ApplianceCommand::Init { file }), .. } => return init_appliance(&file),
         ApplianceArgs { config: Some(file), .. } => file,
         ApplianceArgs { .. } => {
-            return failed("name the appliance's file, as in `lilacquay appliance --config FILE`");
+            return report_failure("name the appliance's file, as in `lilacquay appliance --config FILE`");
         }
     };
-    let source = Source::Appliance(file.clone());
+    let source = ConfigSource::Appliance(file.clone());
     let config = match Config::read(&source) {
         Ok(config) => config,
-        Err(ConfigError::Mistakes(_, mistakes)) => {
-            eprint!("{}", appliance::screen(&file, &mistakes));
+        Err(ConfigError::Invalid(_, issues)) => {
+            eprint!("{}", appliance::startup_failure_screen(&file, &issues));
             return ExitCode::FAILURE;
         }
-        Err(error) => return failed(error),
+        Err(error) => return report_failure(error),
     };
     let logging = match logging::start(&config.log) {
         Ok(logging) => logging,
         Err(error) => {
-            return failed(format_args!("the log can't be written: {error}; mend `state` or [log]"));
+            return report_failure(format_args!("the log cannot be written: {error}; fix `state` or [log]"));
         }
     };
-    let started = |config: Config| {
+    let run_node = |config: Config| {
         println!(
             "serving on {} with {} servers; the log is in the state folder",
             config.listen,
-            config.known.list.servers.len()
+            config.initial_list.list.servers.len()
         );
         node::run(config, source.clone(), &logging)
     };
-    let runtime = match runtime() {
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
-        Err(error) => return failed(error),
+        Err(error) => return report_failure(error),
     };
-    end(runtime.block_on(async {
-        let (mut next, mut backoff) = (Some(config), Backoff::default());
+    exit_code(runtime.block_on(async {
+        let (mut next_config, mut backoff) = (Some(config), Backoff::default());
         loop {
             let start = Instant::now();
-            let ended = match next.take().map_or_else(|| Config::read(&source), Ok) {
-                Ok(config) => started(config).await,
+            let result = match next_config.take().map_or_else(|| Config::read(&source), Ok) {
+                Ok(config) => run_node(config).await,
                 Err(error) => Err(Failure::Core(error.to_string())),
             };
-            match ended {
-                Err(Failure::Core(what)) => {
+            match result {
+                Err(Failure::Core(cause)) => {
                     let pause = backoff.failed(start.elapsed());
                     error!(
                         pause_ms = pause.as_millis() as u64,
-                        "the node has failed and is started again: {what}"
+                        "the node has failed and is started again: {cause}"
                     );
                     sleep(pause).await;
                 }
-                ended => return ended,
+                result => return result,
             }
         }
     }))
 }
 
-fn console(args: ConsoleArgs) -> ExitCode {
+fn run_console(args: ConsoleArgs) -> ExitCode {
     let ConsoleArgs { state, bytes_per_second, no_colour } = args;
-    let unwanted = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
-    let options = lilacquay_console::Options { state, bytes_per_second, colours: !no_colour && !unwanted };
-    end(lilacquay_console::run(&options))
+    let no_color_requested = std::env::var_os("NO_COLOR").is_some_and(|value| !value.is_empty());
+    let options =
+        lilacquay_console::Options { state, bytes_per_second, colours: !no_colour && !no_color_requested };
+    exit_code(lilacquay_console::run(&options))
 }
 
-fn init(file: &Path) -> ExitCode {
+/// Writes the documented example file of an appliance.
+fn init_appliance(file: &Path) -> ExitCode {
     match appliance::init(file) {
         Ok(()) => {
             let file = file.display();
-            println!("{file} is written: name the boxes and the origin in it, then");
+            println!("{file} is written: name the boxes and the origin in it, then run");
             println!("  lilacquay check {file}\n  lilacquay appliance --config {file}");
             ExitCode::SUCCESS
         }
-        Err(error) => failed(error),
+        Err(error) => report_failure(error),
     }
 }
 
-fn runtime() -> Result<Runtime, Failure> {
+fn build_runtime() -> Result<Runtime, Failure> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     builder.enable_all().on_thread_unpark(stall::record_wakeup);
     builder.build().map_err(Failure::Start)
 }
 
-fn end(result: Result<(), impl Display>) -> ExitCode {
+/// The exit code of a command; its error is printed.
+fn exit_code(result: Result<(), impl Display>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => failed(error),
+        Err(error) => report_failure(error),
     }
 }
 
-fn failed(error: impl Display) -> ExitCode {
-    // Guards against: a panic where the terminal has gone.
+fn report_failure(error: impl Display) -> ExitCode {
+    // `eprintln!` would panic if the terminal is gone.
     let _ = writeln!(io::stderr(), "lilacquay: {error}");
     ExitCode::FAILURE
 }
--- a/crates/lilacquay/src/members.rs
+++ b/crates/lilacquay/src/members.rs
@@ -11,9 +11,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use crate::cli::{MembersArgs, MembersOrder, PutArgs};
-use crate::config_error::Mistake;
-use crate::etcd::Etcd;
+use crate::cli::{MembersArgs, MembersCommand, PutArgs};
+use crate::config_error::ConfigIssue;
+use crate::etcd::EtcdConfig;
 
 /// After a failed renewal it is tried again this soon.
 const AGAIN: Duration = Duration::from_millis(500);
@@ -21,7 +21,7 @@
 /// Why an order was not carried out.
 pub enum MembersError {
     /// Mistakes in the file, or files that it names.
-    Mistakes(Vec<Mistake>),
+    Mistakes(Vec<ConfigIssue>),
     /// The registry's.
     Registry(RegistryError),
     /// The system's.
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MembersError::Mistakes(mistakes) => {
-                let words: Vec<String> = mistakes.iter().map(Mistake::to_string).collect();
+                let words: Vec<String> = mistakes.iter().map(ConfigIssue::to_string).collect();
                 f.write_str(&words.join("\n"))
             }
             MembersError::Registry(error) => write!(f, "{error}"),
@@ -57,28 +57,28 @@
 
 /// Carries out an order.
 pub fn run(args: MembersArgs) -> Done {
-    let etcd = Etcd::read(&args.etcd).map_err(MembersError::Mistakes)?;
+    let etcd = EtcdConfig::read(&args.etcd).map_err(MembersError::Mistakes)?;
     let settings = etcd.settings().map_err(MembersError::Mistakes)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        match args.order.unwrap_or(MembersOrder::List) {
-            MembersOrder::List => list(&etcd, &settings).await,
-            MembersOrder::Put(put) => match put.lease {
+        match args.command.unwrap_or(MembersCommand::List) {
+            MembersCommand::List => list(&etcd, &settings).await,
+            MembersCommand::Put(put) => match put.lease {
                 Some(seconds) => hold(&etcd, &settings, &entry(&put), seconds).await,
                 None => {
                     let revision = connect(&etcd, &settings).await?.put(&entry(&put), 0).await?;
                     said(&put.id, "is listed", revision)
                 }
             },
-            MembersOrder::Drain { id } => {
+            MembersCommand::Drain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Draining).await?;
                 said(&id, "drains", revision)
             }
-            MembersOrder::Undrain { id } => {
+            MembersCommand::Undrain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Serving).await?;
                 said(&id, "serves", revision)
             }
-            MembersOrder::Remove { id } => {
+            MembersCommand::Remove { id } => {
                 let revision = connect(&etcd, &settings).await?.remove(&id).await?;
                 said(&id, "is removed", revision)
             }
@@ -86,7 +86,7 @@
     })
 }
 
-async fn connect(etcd: &Etcd, settings: &Settings) -> Result<Registry, RegistryError> {
+async fn connect(etcd: &EtcdConfig, settings: &Settings) -> Result<Registry, RegistryError> {
     Registry::connect(settings, &etcd.prefix).await
 }
 
@@ -109,7 +109,7 @@
 }
 
 /// Prints the list as the store has it, or else as it is kept.
-async fn list(etcd: &Etcd, settings: &Settings) -> Done {
+async fn list(etcd: &EtcdConfig, settings: &Settings) -> Done {
     let read = async {
         let registry = connect(etcd, settings).await?;
         let (revision, listed) = registry.list().await?;
@@ -119,7 +119,7 @@
         Ok((revision, listed, endpoint)) => return print(revision, "0 s old", &endpoint, &listed),
         Err(error) => error,
     };
-    let Some(folder) = &etcd.keep else { return Err(error.into()) };
+    let Some(folder) = &etcd.cache_folder else { return Err(error.into()) };
     let Some(kept) = CachedList::read(folder)? else { return Err(error.into()) };
     writeln!(io::stderr(), "lilacquay: {error}; this is the kept list")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -161,7 +161,7 @@
 }
 
 /// Holds a server on a lease until this process is told to end.
-async fn hold(etcd: &Etcd, settings: &Settings, entry: &ServerEntry, seconds: i64) -> Done {
+async fn hold(etcd: &EtcdConfig, settings: &Settings, entry: &ServerEntry, seconds: i64) -> Done {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let registry = connect(etcd, settings).await?;
     let mut held = Some((registry.grant_lease(seconds).await?, registry));
@@ -201,7 +201,7 @@
 }
 
 async fn listed_anew(
-    etcd: &Etcd,
+    etcd: &EtcdConfig,
     settings: &Settings,
     entry: &ServerEntry,
     seconds: i64,
--- a/crates/lilacquay/src/memcached.rs
+++ b/crates/lilacquay/src/memcached.rs
@@ -1,4 +1,5 @@
-//! The options for memcached's binary protocol, which `deploy/memcached.toml` documents.
+//! Reads the options for memcached's binary protocol; `deploy/memcached.toml` documents each key. The file has the
+//! listeners, and rules (`[[row]]`) that assign classes and tenants to keys.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,262 +13,276 @@
 use lilacquay_fronts::memcache::{Frontend, WriteCapabilities};
 use paddlefold::setup::Names;
 
-use crate::config_error::{Mistake, Mistakes, unreadable};
+use crate::config_error::{ConfigIssue, IssueCollector, unreadable_file};
 use crate::section::{self, Section};
 
-/// How long a client waits, if the file does not say, in milliseconds.
-const WAIT_MS: usize = 1000;
-const LONGEST_WAIT_MS: usize = 3_600_000;
+/// How long clients wait for an answer, if the file does not say.
+const DEFAULT_CLIENT_TIMEOUT_MS: usize = 1000;
+/// Longest client timeout that the file may set: one hour.
+const MAX_CLIENT_TIMEOUT_MS: usize = 3_600_000;
 
-/// What the file says. The names in it are not looked up yet, nor the files that it names read.
+/// The content of the file. Its names are looked up, and the password files that it names are read, by
+/// [`Self::resolve`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct Memcached {
+pub struct MemcachedConfig {
     file: PathBuf,
     text: String,
-    listeners: Vec<ListenerLines>,
+    listeners: Vec<RawListener>,
+    /// Each user's name and password file.
     users: Vec<(String, PathBuf)>,
-    rows: Vec<RowLines>,
-    others: Option<RowLines>,
+    rules: Vec<RawRule>,
+    /// The rule of commands that match no other rule.
+    fallback_rule: Option<RawRule>,
+    /// Whether the servers support conditional writes, flags, and an expiry; see [`WriteCapabilities`].
     conditions: bool,
     flags: bool,
     expiry: bool,
-    kinds: BTreeSet<String>,
+    server_kinds: BTreeSet<String>,
 }
 
+/// A `[[listener]]` table.
 #[derive(Debug, Clone, PartialEq)]
-struct ListenerLines {
+struct RawListener {
     name: String,
     address: SocketAddr,
-    login: bool,
+    requires_login: bool,
 }
 
-/// A name in the file, with its field and place.
+/// A name of something else that the file mentions, with its field and place, so that it can be reported if it is
+/// not found.
 #[derive(Debug, Clone, PartialEq)]
-struct Word {
+struct NameRef {
     text: String,
+    /// The path of the field, as issues report it.
     field: String,
-    place: usize,
+    /// Byte offset in the file.
+    offset: usize,
 }
 
+/// A `[[row]]` table, or `[others]`.
 #[derive(Debug, Clone, PartialEq)]
-struct RowLines {
-    listener: Option<Word>,
-    user: Option<Word>,
+struct RawRule {
+    listener: Option<NameRef>,
+    user: Option<NameRef>,
     prefix: String,
-    read: Option<Word>,
-    write: Option<Word>,
-    tenant: Option<Word>,
-    wait_ms: usize,
+    read: Option<NameRef>,
+    write: Option<NameRef>,
+    tenant: Option<NameRef>,
+    client_timeout_ms: usize,
     repeats: RepeatMarker,
 }
 
-/// What a node needs of it.
-pub struct Ready {
-    /// Where clients connect.
+/// The configuration with its names resolved, as a node uses it.
+pub struct ResolvedMemcached {
     pub listeners: Vec<Listener>,
-    /// Caches of these kinds of machine speak it.
-    pub kinds: BTreeSet<String>,
+    /// Kinds of cache servers that are reached over the memcached protocol.
+    pub server_kinds: BTreeSet<String>,
 }
 
-/// A place where clients connect.
+/// An address on which clients connect.
 pub struct Listener {
-    /// Its name in the table.
+    /// Its name, by which rules refer to it.
     pub name: String,
-    /// Its address.
     pub address: SocketAddr,
-    table: Arc<CommandRules>,
+    rules: Arc<CommandRules>,
     users: Option<Arc<Users>>,
-    abilities: WriteCapabilities,
+    write_capabilities: WriteCapabilities,
 }
 
 impl Listener {
-    /// Its front.
-    pub fn front(&self, gauges: Arc<Gauges>, nonce: u64) -> Arc<Frontend> {
-        let (table, users) = (self.table.clone(), self.users.clone());
-        Frontend::new(self.name.clone(), table, users, self.abilities, gauges, nonce)
+    /// The protocol frontend that serves the listener's connections.
+    pub fn frontend(&self, gauges: Arc<Gauges>, nonce: u64) -> Arc<Frontend> {
+        let (rules, users) = (self.rules.clone(), self.users.clone());
+        Frontend::new(self.name.clone(), rules, users, self.write_capabilities, gauges, nonce)
     }
 }
 
-impl Memcached {
-    /// Whether a file is meant for this, by what it says.
-    pub fn is_meant(text: &str) -> bool {
+impl MemcachedConfig {
+    /// Whether a text is a configuration of this kind, by the tables that it has.
+    pub fn is_config_text(text: &str) -> bool {
         text.lines()
-            .any(|line| ["[[listener]]", "[boxes]"].iter().any(|head| line.trim_start().starts_with(head)))
+            .any(|line| ["[[listener]]", "[boxes]"].iter().any(|table| line.trim_start().starts_with(table)))
     }
 
     /// Reads the file.
     ///
     /// # Errors
-    /// All mistakes that are in it.
-    pub fn read(file: &Path) -> Result<Memcached, Vec<Mistake>> {
-        let text = fs::read_to_string(file).map_err(|error| vec![unreadable(file, &error)])?;
-        let mut mistakes = Mistakes::new(file, &text);
-        let read = Memcached::parse(file, &text, &mut mistakes);
-        let found = mistakes.into_found();
-        read.filter(|_| found.is_empty()).ok_or(found)
+    /// All issues in it.
+    pub fn read(file: &Path) -> Result<MemcachedConfig, Vec<ConfigIssue>> {
+        let text = fs::read_to_string(file).map_err(|error| vec![unreadable_file(file, &error)])?;
+        let mut issues = IssueCollector::new(file, &text);
+        let config = MemcachedConfig::parse(file, &text, &mut issues);
+        let issues = issues.into_issues();
+        config.filter(|_| issues.is_empty()).ok_or(issues)
     }
 
-    fn parse(file: &Path, text: &str, mistakes: &mut Mistakes) -> Option<Memcached> {
+    fn parse(file: &Path, text: &str, issues: &mut IssueCollector) -> Option<MemcachedConfig> {
         let folder = file.parent().unwrap_or(Path::new(""));
-        let table = section::parse(text, "deploy/memcached.toml", mistakes)?;
-        let mut root = Section::root(&table, mistakes);
-        root.only(&["listener", "user", "row", "others", "writes", "boxes"]);
-        let users = root.each("user", |user| read_user(user, folder));
-        let any_user = !users.is_empty();
-        let listeners = root.each("listener", |listener| read_listener(listener, any_user));
-        let rows = root.each("row", |mut row| {
-            row.only(&["listener", "user", "prefix", "read", "write", "tenant", "wait_ms", "repeats"]);
-            read_row(row)
+        let table = section::parse(text, "deploy/memcached.toml", issues)?;
+        let mut root = Section::root(&table, issues);
+        root.reject_unknown_keys(&["listener", "user", "row", "others", "writes", "boxes"]);
+        let users = root.read_tables("user", |user| read_user(user, folder));
+        let has_users = !users.is_empty();
+        let listeners = root.read_tables("listener", |listener| read_listener(listener, has_users));
+        let rules = root.read_tables("row", |mut row| {
+            row.reject_unknown_keys(&[
+                "listener", "user", "prefix", "read", "write", "tenant", "wait_ms", "repeats",
+            ]);
+            read_rule(row)
         });
-        let others = root.has("others").then(|| {
+        let fallback_rule = root.has_key("others").then(|| {
             let mut others = root.section("others");
-            others.only(&["read", "write", "tenant", "wait_ms", "repeats"]);
-            read_row(others)
+            others.reject_unknown_keys(&["read", "write", "tenant", "wait_ms", "repeats"]);
+            read_rule(others)
         });
         let mut writes = root.section("writes");
-        writes.only(&["conditions", "flags", "expiry"]);
-        let mut yes = |key| writes.yes(key).unwrap_or(false);
-        let (conditions, flags, expiry) = (yes("conditions"), yes("flags"), yes("expiry"));
+        writes.reject_unknown_keys(&["conditions", "flags", "expiry"]);
+        let mut enabled = |key| writes.boolean(key).unwrap_or(false);
+        let (conditions, flags, expiry) = (enabled("conditions"), enabled("flags"), enabled("expiry"));
         let mut boxes = root.section("boxes");
-        boxes.only(&["kinds"]);
-        let kinds = boxes.texts("kinds").unwrap_or_default();
-        let kinds = kinds.into_iter().map(|(_, kind)| kind.to_owned()).collect();
-        Some(Memcached {
+        boxes.reject_unknown_keys(&["kinds"]);
+        let kinds = boxes.strings("kinds").unwrap_or_default();
+        let server_kinds = kinds.into_iter().map(|(_, kind)| kind.to_owned()).collect();
+        Some(MemcachedConfig {
             file: file.to_owned(),
             text: text.to_owned(),
             listeners: listeners.into_iter().collect::<Option<_>>()?,
             users: users.into_iter().collect::<Option<_>>()?,
-            rows: rows.into_iter().collect::<Option<_>>()?,
-            others: match others {
-                Some(others) => Some(others?),
+            rules: rules.into_iter().collect::<Option<_>>()?,
+            fallback_rule: match fallback_rule {
+                Some(rule) => Some(rule?),
                 None => None,
             },
             conditions,
             flags,
             expiry,
-            kinds,
+            server_kinds,
         })
     }
 
-    /// Looks up what the file names: classes and tenants in the settings, listeners and users in itself, passwords
-    /// in their files.
+    /// Resolves what the file names: classes and tenants in the settings, listeners and users in the file itself, and
+    /// passwords in their files.
     ///
     /// # Errors
-    /// All names that are not there, and files that can't be read.
-    pub fn ready(&self, names: &Names) -> Result<Ready, Vec<Mistake>> {
-        let mut mistakes = Mistakes::new(&self.file, &self.text);
-        let rows: Vec<CommandRule> =
-            self.rows.iter().map(|row| self.row(row, names, &mut mistakes)).collect();
-        let others = self.others.as_ref().map(|others| self.row(others, names, &mut mistakes));
-        let mut found = mistakes.into_found();
+    /// All names that are not found, and password files that cannot be read.
+    pub fn resolve(&self, names: &Names) -> Result<ResolvedMemcached, Vec<ConfigIssue>> {
+        let mut issues = IssueCollector::new(&self.file, &self.text);
+        let rules: Vec<CommandRule> =
+            self.rules.iter().map(|rule| self.resolve_rule(rule, names, &mut issues)).collect();
+        let fallback = self.fallback_rule.as_ref().map(|rule| self.resolve_rule(rule, names, &mut issues));
+        let mut issues = issues.into_issues();
         let mut users = Vec::new();
         for (name, file) in &self.users {
             match fs::read_to_string(file) {
                 Ok(text) => users.push((name.clone(), text.lines().next().unwrap_or("").to_owned())),
-                Err(error) => found.push(unreadable(file, &error)),
+                Err(error) => issues.push(unreadable_file(file, &error)),
             }
         }
-        if !found.is_empty() {
-            return Err(found);
+        if !issues.is_empty() {
+            return Err(issues);
         }
-        let (table, users) =
-            (Arc::new(CommandRules { rules: rows, fallback: others }), Arc::new(Users::new(users)));
-        let abilities =
+        let (rules, users) = (Arc::new(CommandRules { rules, fallback }), Arc::new(Users::new(users)));
+        let write_capabilities =
             WriteCapabilities { conditions: self.conditions, flags: self.flags, expiry: self.expiry };
-        let listener = |lines: &ListenerLines| Listener {
-            name: lines.name.clone(),
-            address: lines.address,
-            table: table.clone(),
-            users: lines.login.then(|| users.clone()),
-            abilities,
+        let listener = |raw: &RawListener| Listener {
+            name: raw.name.clone(),
+            address: raw.address,
+            rules: rules.clone(),
+            users: raw.requires_login.then(|| users.clone()),
+            write_capabilities,
         };
-        Ok(Ready { listeners: self.listeners.iter().map(listener).collect(), kinds: self.kinds.clone() })
+        Ok(ResolvedMemcached {
+            listeners: self.listeners.iter().map(listener).collect(),
+            server_kinds: self.server_kinds.clone(),
+        })
     }
 
-    fn row(&self, row: &RowLines, names: &Names, mistakes: &mut Mistakes) -> CommandRule {
+    fn resolve_rule(&self, rule: &RawRule, names: &Names, issues: &mut IssueCollector) -> CommandRule {
         let mut look_up =
-            |word: &Option<Word>, what: &str, find: &dyn Fn(&str) -> Option<usize>, mend: &str| {
-                let word = word.as_ref()?;
-                let index = find(&word.text);
+            |name: &Option<NameRef>, kind: &str, find: &dyn Fn(&str) -> Option<usize>, fix: &str| {
+                let name = name.as_ref()?;
+                let index = find(&name.text);
                 if index.is_none() {
-                    mistakes.at(word.place, &word.field, format!("no {what} {:?}", word.text), mend);
+                    let problem = format!("no {kind} {:?}", name.text);
+                    issues.report_at_offset(name.offset, &name.field, problem, fix);
                 }
-                Some(NamedIndex { name: word.text.clone(), index: index? })
+                Some(NamedIndex { name: name.text.clone(), index: index? })
             };
         let class = |name: &str| names.class(name);
         let listener = |name: &str| self.listeners.iter().position(|listener| listener.name == name);
         let user = |name: &str| self.users.iter().position(|(user, _)| user == name);
         let in_settings = "name one of the platform's settings";
         CommandRule {
-            listener: look_up(&row.listener, "listener", &listener, "name one of [[listener]]")
-                .map(|l| l.name),
-            user: look_up(&row.user, "user", &user, "name one of [[user]]").map(|u| u.name),
-            prefix: row.prefix.clone(),
-            read_class: look_up(&row.read, "class", &class, in_settings),
-            write_class: look_up(&row.write, "class", &class, in_settings),
-            tenant: look_up(&row.tenant, "tenant", &|name| names.tenant(name), in_settings),
-            client_timeout_us: row.wait_ms as u64 * 1000,
-            repeats: row.repeats.clone(),
+            listener: look_up(&rule.listener, "listener", &listener, "name one of [[listener]]")
+                .map(|listener| listener.name),
+            user: look_up(&rule.user, "user", &user, "name one of [[user]]").map(|user| user.name),
+            prefix: rule.prefix.clone(),
+            read_class: look_up(&rule.read, "class", &class, in_settings),
+            write_class: look_up(&rule.write, "class", &class, in_settings),
+            tenant: look_up(&rule.tenant, "tenant", &|name| names.tenant(name), in_settings),
+            client_timeout_us: rule.client_timeout_ms as u64 * 1000,
+            repeats: rule.repeats.clone(),
         }
     }
 }
 
 fn read_user(mut user: Section, folder: &Path) -> Option<(String, PathBuf)> {
-    user.only(&["name", "password_file"]);
-    let name = needed(&mut user, "name", "name the user");
-    let file = needed(&mut user, "password_file", "name the file with its password");
+    user.reject_unknown_keys(&["name", "password_file"]);
+    let name = required(&mut user, "name", "name the user");
+    let file = required(&mut user, "password_file", "name the file with its password");
     Some((name?, folder.join(file?)))
 }
 
-fn read_listener(mut listener: Section, any_user: bool) -> Option<ListenerLines> {
-    listener.only(&["name", "address", "login"]);
-    let name = needed(&mut listener, "name", "give it a name, which rows may name");
-    if !listener.has("address") {
-        listener.missing("address", "write it as in address = \"127.0.0.1:11211\"");
+fn read_listener(mut listener: Section, has_users: bool) -> Option<RawListener> {
+    listener.reject_unknown_keys(&["name", "address", "login"]);
+    let name = required(&mut listener, "name", "give it a name, which rows may name");
+    if !listener.has_key("address") {
+        listener.report_missing("address", "write it as in address = \"127.0.0.1:11211\"");
     }
-    let address = listener.address("address");
-    let login = listener.yes("login").unwrap_or(false);
-    if login && !any_user {
-        let place = listener.place("login");
-        listener.note(place, "login", "nobody may log in", "add a [[user]], or write false");
+    let address = listener.socket_address("address");
+    let requires_login = listener.boolean("login").unwrap_or(false);
+    if requires_login && !has_users {
+        let offset = listener.value_offset("login");
+        listener.report_at(offset, "login", "no user can log in", "add a [[user]], or write false");
     }
-    Some(ListenerLines { name: name?, address: address?, login })
+    Some(RawListener { name: name?, address: address?, requires_login })
 }
 
-fn needed(section: &mut Section, key: &str, mend: &str) -> Option<String> {
-    if !section.has(key) {
-        section.missing(key, mend);
+fn required(section: &mut Section, key: &str, fix: &str) -> Option<String> {
+    if !section.has_key(key) {
+        section.report_missing(key, fix);
     }
-    section.text(key).map(str::to_owned)
+    section.string(key).map(str::to_owned)
 }
 
-fn read_row(mut row: Section) -> Option<RowLines> {
-    let mut word = |key: &str| {
-        let text = row.text(key)?.to_owned();
-        Some(Word { text, field: row.field(key), place: row.place(key) })
+fn read_rule(mut row: Section) -> Option<RawRule> {
+    let mut read_name = |key: &str| {
+        let text = row.string(key)?.to_owned();
+        Some(NameRef { text, field: row.field(key), offset: row.value_offset(key) })
     };
-    let (listener, user) = (word("listener"), word("user"));
-    let (read, write, tenant) = (word("read"), word("write"), word("tenant"));
-    let prefix = row.text("prefix").unwrap_or("").to_owned();
-    let wait_ms = row.number("wait_ms", 1..=LONGEST_WAIT_MS).unwrap_or(WAIT_MS);
-    let repeats = match row.text("repeats") {
+    let (listener, user) = (read_name("listener"), read_name("user"));
+    let (read, write, tenant) = (read_name("read"), read_name("write"), read_name("tenant"));
+    let prefix = row.string("prefix").unwrap_or("").to_owned();
+    let client_timeout_ms =
+        row.integer("wait_ms", 1..=MAX_CLIENT_TIMEOUT_MS).unwrap_or(DEFAULT_CLIENT_TIMEOUT_MS);
+    let repeats = match row.string("repeats") {
         None | Some("none") => RepeatMarker::Unmarked,
         Some("cas") => RepeatMarker::Cas,
         Some(text) => match text.strip_prefix("suffix:").filter(|suffix| !suffix.is_empty()) {
             Some(suffix) => RepeatMarker::Suffix(suffix.to_owned()),
             None => {
-                let place = row.place("repeats");
-                row.note(
-                    place,
+                let offset = row.value_offset("repeats");
+                row.report_at(
+                    offset,
                     "repeats",
                     format!("unknown {text:?}"),
-                    "write none, cas, or suffix: and a text",
+                    "write none, cas, or suffix: followed by the suffix",
                 );
                 return None;
             }
         },
     };
-    Some(RowLines { listener, user, prefix, read, write, tenant, wait_ms, repeats })
+    Some(RawRule { listener, user, prefix, read, write, tenant, client_timeout_ms, repeats })
 }
 
 #[cfg(test)]
@@ -283,34 +298,37 @@
         Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap().names
     }
 
-    fn read(text: &str) -> Result<Ready, Vec<String>> {
+    fn read(text: &str) -> Result<ResolvedMemcached, Vec<String>> {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("memcached.toml");
         fs::write(&file, text).unwrap();
         fs::write(folder.path().join("widget.password"), "secret\n").unwrap();
-        let told = |mistake: &Mistake| mistake.to_string().replace(&format!("{}:", file.display()), "");
-        let ready = Memcached::read(&file).and_then(|memcached| memcached.ready(&names()));
-        ready.map_err(|mistakes| mistakes.iter().map(told).collect())
+        let without_path =
+            |issue: &ConfigIssue| issue.to_string().replace(&format!("{}:", file.display()), "");
+        let resolved = MemcachedConfig::read(&file).and_then(|memcached| memcached.resolve(&names()));
+        resolved.map_err(|issues| issues.iter().map(without_path).collect())
     }
 
     #[test]
-    fn the_documented_file_is_good_and_names_every_key() {
+    fn the_documented_file_is_valid_and_names_every_key() {
         let text = include_str!("../../../deploy/memcached.toml");
-        assert!(Memcached::is_meant(text));
-        let ready = read(text).unwrap();
-        assert_eq!(ready.kinds.len(), 1);
-        let [office, kiosk] = &ready.listeners[..] else { panic!("two listeners") };
+        assert!(MemcachedConfig::is_config_text(text));
+        let resolved = read(text).unwrap();
+        assert_eq!(resolved.server_kinds.len(), 1);
+        let [office, kiosk] = &resolved.listeners[..] else { panic!("two listeners") };
         assert!(office.users.is_none() && kiosk.users.is_some());
-        let rows = &office.table.rules;
-        assert!(rows.iter().any(|row| row.user.is_some()) && rows.iter().any(|row| row.listener.is_some()));
-        assert!(rows.iter().any(|row| row.repeats == RepeatMarker::Cas));
-        assert!(rows.iter().any(|row| matches!(row.repeats, RepeatMarker::Suffix(_))));
-        assert!(rows.iter().any(|row| row.tenant.is_some() && row.write_class.is_some()));
-        assert!(office.table.fallback.is_some());
+        let rules = &office.rules.rules;
+        assert!(
+            rules.iter().any(|rule| rule.user.is_some()) && rules.iter().any(|rule| rule.listener.is_some())
+        );
+        assert!(rules.iter().any(|rule| rule.repeats == RepeatMarker::Cas));
+        assert!(rules.iter().any(|rule| matches!(rule.repeats, RepeatMarker::Suffix(_))));
+        assert!(rules.iter().any(|rule| rule.tenant.is_some() && rule.write_class.is_some()));
+        assert!(office.rules.fallback.is_some());
     }
 
     #[test]
-    fn each_mistake_is_told_with_its_line_field_and_mend() {
+    fn each_issue_is_reported_with_line_field_and_fix() {
         let cases = [
             (
                 "[[listener]]\nname = \"a\"",
@@ -318,11 +336,11 @@
             ),
             (
                 "[[listener]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\nlogin = true",
-                "4: listener[0].login: nobody may log in; add a [[user]], or write false",
+                "4: listener[0].login: no user can log in; add a [[user]], or write false",
             ),
             (
                 "[[row]]\nport = 1",
-                "2: row[0].port: no such key; take it out, or write one of listener, user, prefix, read, write, tenant, wait_ms, repeats",
+                "2: row[0].port: no such key; remove it, or use one of listener, user, prefix, read, write, tenant, wait_ms, repeats",
             ),
             (
                 "[[row]]\n[[row]]\nread = \"look\"",
@@ -336,7 +354,7 @@
             ("[[row]]\nuser = \"x\"", "2: row[0].user: no user \"x\"; name one of [[user]]"),
             (
                 "[[row]]\nrepeats = \"suffix:\"",
-                "2: row[0].repeats: unknown \"suffix:\"; write none, cas, or suffix: and a text",
+                "2: row[0].repeats: unknown \"suffix:\"; write none, cas, or suffix: followed by the suffix",
             ),
             (
                 "[[row]]\nwait_ms = 0",
@@ -347,12 +365,15 @@
                 "2: writes.flags: neither true nor false; write one of them, without quotes",
             ),
             ("row = 1", "1: row: not a list of tables; write [[row]] before each"),
-            ("[boxes]\nkinds = \"m\"", "2: boxes.kinds: not a list of texts; write it as [\"one\", \"two\"]"),
+            (
+                "[boxes]\nkinds = \"m\"",
+                "2: boxes.kinds: not a list of strings; write it as [\"one\", \"two\"]",
+            ),
         ];
-        for (text, told) in cases {
-            assert_eq!(read(text).map(|_| ()), Err(vec![told.to_owned()]), "{text}");
+        for (text, expected) in cases {
+            assert_eq!(read(text).map(|_| ()), Err(vec![expected.to_owned()]), "{text}");
         }
-        let missing = read("[[user]]\nname = \"x\"\npassword_file = \"none\"").map(|_| ()).unwrap_err();
-        assert!(missing[0].contains("none: cannot be read"), "{missing:?}");
+        let missing_file = read("[[user]]\nname = \"x\"\npassword_file = \"none\"").map(|_| ()).unwrap_err();
+        assert!(missing_file[0].contains("none: cannot be read"), "{missing_file:?}");
     }
 }
--- a/crates/lilacquay/src/options.rs
+++ b/crates/lilacquay/src/options.rs
@@ -1,46 +1,45 @@
-//! The options of `serve`: what an installation sets beyond the platform's JSON. `deploy/serve.toml` documents
-//! each key.
+//! Reads the options file of `serve`: what an installation sets beyond the platform's JSON. `deploy/serve.toml`
+//! documents each key.
 
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use crate::config_error::{Mistake, Mistakes, unreadable};
-use crate::etcd::Etcd;
-use crate::logging::{Files, Format, LEVELS_ARE, Log, parse_level};
-use crate::memcached::Memcached;
-use crate::quota::Quota;
+use crate::config_error::{ConfigIssue, IssueCollector, unreadable_file};
+use crate::etcd::EtcdConfig;
+use crate::logging::{Files, Format, LEVEL_HINT, Log, parse_level};
+use crate::memcached::MemcachedConfig;
+use crate::quota::QuotaConfig;
 use crate::section::{self, Section};
 use crate::siblings::Site;
 
-/// What the file says.
+/// The content of the file, and of the files that it names.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The platform's JSON.
-    pub node: PathBuf,
-    /// Where clients connect.
+    /// The platform's JSON file.
+    pub platform_file: PathBuf,
+    /// Address on which clients connect.
     pub listen: Option<SocketAddr>,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
-    /// The second address, for whoever runs the node.
+    /// Address of the admin listener, for health checks and metrics.
     pub admin: Option<SocketAddr>,
-    /// Whether its figures are Prometheus' text.
-    pub prometheus: bool,
-    /// Descriptors that the process may hold.
-    pub sockets: Option<usize>,
-    /// Memory that it may take.
+    /// Whether the admin listener writes metrics in the Prometheus text format.
+    pub prometheus_format: bool,
+    /// Most file descriptors that the process may hold.
+    pub max_descriptors: Option<usize>,
+    /// Most memory that the process may use, in MiB.
     pub memory_mb: Option<usize>,
-    /// The list of servers from etcd.
-    pub etcd: Option<Etcd>,
-    /// memcached's binary protocol.
-    pub memcached: Option<Memcached>,
-    /// Quotas.
-    pub quota: Option<Quota>,
-    /// The other nodes.
+    /// How to reach etcd, if the list of servers comes from there.
+    pub etcd: Option<EtcdConfig>,
+    /// Listeners and rules of the memcached binary protocol.
+    pub memcached: Option<MemcachedConfig>,
+    /// Quotas of tenants and classes.
+    pub quota: Option<QuotaConfig>,
+    /// This node's site with its other nodes.
     pub siblings: Option<Site>,
-    /// The state folder, in which operators' orders are taken.
-    pub control: Option<PathBuf>,
-    /// How it is logged.
+    /// The state folder, with the control socket that accepts operators' orders.
+    pub state_folder: Option<PathBuf>,
     pub log: Log,
 }
 
@@ -48,24 +47,24 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// All mistakes that are in it.
-    pub fn read(file: &Path) -> Result<Options, Vec<Mistake>> {
-        let text = fs::read_to_string(file).map_err(|error| vec![unreadable(file, &error)])?;
-        let mut mistakes = Mistakes::new(file, &text);
-        let read = Options::parse(file, &text, &mut mistakes);
-        let mut found = mistakes.into_found();
-        let Some((mut options, Named { etcd, memcached, quota })) = read else { return Err(found) };
-        options.etcd = good(etcd.map(|file| Etcd::read(&file)), &mut found);
-        options.memcached = good(memcached.map(|file| Memcached::read(&file)), &mut found);
-        options.quota = good(quota.map(|file| Quota::read(&file)), &mut found);
-        Some(options).filter(|_| found.is_empty()).ok_or(found)
+    /// All issues in it and in the files that it names.
+    pub fn read(file: &Path) -> Result<Options, Vec<ConfigIssue>> {
+        let text = fs::read_to_string(file).map_err(|error| vec![unreadable_file(file, &error)])?;
+        let mut issues = IssueCollector::new(file, &text);
+        let parsed = Options::parse(file, &text, &mut issues);
+        let mut issues = issues.into_issues();
+        let Some((mut options, NamedFiles { etcd, memcached, quota })) = parsed else { return Err(issues) };
+        options.etcd = ok_or_collect(etcd.map(|file| EtcdConfig::read(&file)), &mut issues);
+        options.memcached = ok_or_collect(memcached.map(|file| MemcachedConfig::read(&file)), &mut issues);
+        options.quota = ok_or_collect(quota.map(|file| QuotaConfig::read(&file)), &mut issues);
+        Some(options).filter(|_| issues.is_empty()).ok_or(issues)
     }
 
-    /// The options, and the files that they name.
-    fn parse(file: &Path, text: &str, mistakes: &mut Mistakes) -> Option<(Options, Named)> {
-        let table = section::parse(text, "deploy/serve.toml", mistakes)?;
-        let mut root = Section::root(&table, mistakes);
-        root.only(&[
+    /// Parses the options, and returns them with the files that they name.
+    fn parse(file: &Path, text: &str, issues: &mut IssueCollector) -> Option<(Options, NamedFiles)> {
+        let table = section::parse(text, "deploy/serve.toml", issues)?;
+        let mut root = Section::root(&table, issues);
+        root.reject_unknown_keys(&[
             "node",
             "resp",
             "discovery",
@@ -78,91 +77,112 @@
             "siblings",
             "log",
         ]);
-        let node = root.text("node");
-        if node.is_none() && !root.has("node") {
-            root.missing("node", "name the platform's JSON file, as in node = \"node.json\"");
+        let platform_file = root.string("node");
+        if platform_file.is_none() && !root.has_key("node") {
+            root.report_missing("node", "name the platform's JSON file, as in node = \"node.json\"");
         }
-        let [etcd, memcached, quota] = ["etcd", "memcached", "quota"].map(|part| root.text(part));
+        let [etcd, memcached, quota] = ["etcd", "memcached", "quota"].map(|key| root.string(key));
         let mut resp = root.section("resp");
-        resp.only(&["listen"]);
-        let listen = resp.address("listen");
-        let mut found = root.section("discovery");
-        found.only(&["address"]);
-        let discovery = found.address("address");
-        let mut second = root.section("admin");
-        second.only(&["address", "form"]);
-        let admin = second.address("address");
-        let prometheus = match second.text("form") {
+        resp.reject_unknown_keys(&["listen"]);
+        let listen = resp.socket_address("listen");
+        let mut discovery_section = root.section("discovery");
+        discovery_section.reject_unknown_keys(&["address"]);
+        let discovery = discovery_section.socket_address("address");
+        let mut admin_section = root.section("admin");
+        admin_section.reject_unknown_keys(&["address", "form"]);
+        let admin = admin_section.socket_address("address");
+        let prometheus_format = match admin_section.string("form") {
             None | Some("lines") => false,
             Some("prometheus") => true,
             Some(_) => {
-                second.note(second.place("form"), "form", "no such form", "write lines or prometheus");
+                admin_section.report_at(
+                    admin_section.value_offset("form"),
+                    "form",
+                    "no such form",
+                    "write lines or prometheus",
+                );
                 false
             }
         };
         let mut limits = root.section("limits");
-        limits.only(&["sockets", "memory_mb"]);
-        let (sockets, memory_mb) =
-            (limits.number("sockets", 48..=1 << 20), limits.number("memory_mb", 16..=1 << 20));
+        limits.reject_unknown_keys(&["sockets", "memory_mb"]);
+        let (max_descriptors, memory_mb) =
+            (limits.integer("sockets", 48..=1 << 20), limits.integer("memory_mb", 16..=1 << 20));
         let mut control = root.section("control");
-        control.only(&["folder"]);
+        control.reject_unknown_keys(&["folder"]);
         let folder = file.parent().unwrap_or(Path::new(""));
-        let control = control.text("folder").map(|state| folder.join(state));
+        let state_folder = control.string("folder").map(|path| folder.join(path));
         let siblings = Site::read(&mut root);
-        let log = log(&mut root, folder);
-        let node = folder.join(node?);
+        let log = read_log(&mut root, folder);
+        let platform_file = folder.join(platform_file?);
         let options = Options {
-            node,
+            platform_file,
             listen,
             discovery,
             admin,
-            prometheus,
-            sockets,
+            prometheus_format,
+            max_descriptors,
             memory_mb,
             etcd: None,
             memcached: None,
             quota: None,
             siblings,
-            control,
+            state_folder,
             log,
         };
-        let named = |file: Option<&str>| file.map(|file| folder.join(file));
-        Some((options, Named { etcd: named(etcd), memcached: named(memcached), quota: named(quota) }))
+        let resolve_path = |file: Option<&str>| file.map(|file| folder.join(file));
+        Some((
+            options,
+            NamedFiles {
+                etcd: resolve_path(etcd),
+                memcached: resolve_path(memcached),
+                quota: resolve_path(quota),
+            },
+        ))
     }
 }
 
-/// How it is logged: to standard error, unless a folder is named.
-pub fn log(root: &mut Section, folder: &Path) -> Log {
+/// Reads `[log]`; the log goes to standard error unless a folder is named.
+pub fn read_log(root: &mut Section, folder: &Path) -> Log {
     let mut section = root.section("log");
-    section.only(&["level", "format", "folder", "size_mb", "files"]);
+    section.reject_unknown_keys(&["level", "format", "folder", "size_mb", "files"]);
     let mut log = Log::default();
-    if let Some(text) = section.text("level") {
+    if let Some(text) = section.string("level") {
         match parse_level(text) {
             Some(level) => log.level = level,
-            None => section.note(section.place("level"), "level", "no such level", LEVELS_ARE),
+            None => section.report_at(section.value_offset("level"), "level", "no such level", LEVEL_HINT),
         }
     }
-    match section.text("format") {
+    match section.string("format") {
         None | Some("text") => {}
         Some("json") => log.format = Format::Json,
-        Some(_) => section.note(section.place("format"), "format", "no such form", "write text or json"),
+        Some(_) => section.report_at(
+            section.value_offset("format"),
+            "format",
+            "no such format",
+            "write text or json",
+        ),
     }
-    let bytes = section.number("size_mb", 1..=1 << 12).unwrap_or(16) << 20;
-    let old = section.number("files", 1..=1000).unwrap_or(4);
-    log.files = section.text("folder").map(|at| Files { folder: folder.join(at), bytes, old });
+    let bytes = section.integer("size_mb", 1..=1 << 12).unwrap_or(16) << 20;
+    let rotated_files = section.integer("files", 1..=1000).unwrap_or(4);
+    log.files =
+        section.string("folder").map(|path| Files { folder: folder.join(path), bytes, old: rotated_files });
     log
 }
 
-/// Files with options of their own, not read yet.
-struct Named {
+/// Files of other kinds that the options name, not read yet.
+struct NamedFiles {
     etcd: Option<PathBuf>,
     memcached: Option<PathBuf>,
     quota: Option<PathBuf>,
 }
 
-/// What was read, or its mistakes among the others.
-fn good<T>(read: Option<Result<T, Vec<Mistake>>>, found: &mut Vec<Mistake>) -> Option<T> {
-    read?.map_err(|mistakes| found.extend(mistakes)).ok()
+/// The value that was read; its issues are added to `all_issues` instead if it is invalid.
+fn ok_or_collect<T>(
+    result: Option<Result<T, Vec<ConfigIssue>>>,
+    all_issues: &mut Vec<ConfigIssue>,
+) -> Option<T> {
+    result?.map_err(|issues| all_issues.extend(issues)).ok()
 }
 
 #[cfg(test)]
@@ -173,39 +193,40 @@
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("serve.toml");
         fs::write(&file, text).unwrap();
-        let told = |mistake: &Mistake| mistake.to_string().replace(&format!("{}:", file.display()), "");
-        Options::read(&file).map_err(|mistakes| mistakes.iter().map(told).collect())
+        let without_path =
+            |issue: &ConfigIssue| issue.to_string().replace(&format!("{}:", file.display()), "");
+        Options::read(&file).map_err(|issues| issues.iter().map(without_path).collect())
     }
 
     #[test]
-    fn the_documented_file_is_good_and_names_every_key() {
+    fn the_documented_file_is_valid_and_names_every_key() {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/serve.toml");
         let options = Options::read(&file).unwrap();
         assert!(options.etcd.is_some() && options.memcached.is_some() && options.quota.is_some());
-        assert!(options.node.ends_with("node.json"));
-        assert!(options.control.is_some_and(|folder| folder.ends_with("state")));
+        assert!(options.platform_file.ends_with("node.json"));
+        assert!(options.state_folder.is_some_and(|folder| folder.ends_with("state")));
         assert!(options.log.format == Format::Json && options.log.files.is_some());
         assert!(options.listen.is_some() && options.discovery.is_some());
-        assert!(options.sockets.is_some() && options.memory_mb.is_some());
-        assert!(options.admin.is_some() && !options.prometheus);
+        assert!(options.max_descriptors.is_some() && options.memory_mb.is_some());
+        assert!(options.admin.is_some() && !options.prometheus_format);
         assert!(options.siblings.is_some_and(|site| site.nodes.len() == 3 && site.me == 0));
         let example = Options::read(&file.with_file_name("siblings.toml")).unwrap();
         assert!(example.siblings.is_some_and(|site| site.nodes.len() == 3 && site.common.evidence));
     }
 
     #[test]
-    fn each_mistake_is_told_with_its_line_field_and_mend() {
+    fn each_issue_is_reported_with_line_field_and_fix() {
         let cases = [
-            ("node = 7", "1: node: not a text; put it in quotes"),
+            ("node = 7", "1: node: not a string; put it in quotes"),
             ("[limits]", "1: node: missing; name the platform's JSON file, as in node = \"node.json\""),
             (
                 "node = \"n\"\nport = 1",
-                "2: port: no such key; take it out, or write one of node, resp, discovery, admin, limits, etcd, memcached, quota, control, siblings, log",
+                "2: port: no such key; remove it, or use one of node, resp, discovery, admin, limits, etcd, memcached, quota, control, siblings, log",
             ),
             ("node = \"n\"\nresp = 1", "2: resp: not a table; write [resp] and its keys below"),
             (
                 "node = \"n\"\n[resp]\nlisten = \"6379\"",
-                "3: resp.listen: \"6379\" is no address with a port; write it as 127.0.0.1:6379 or [::1]:6379",
+                "3: resp.listen: \"6379\" is not an address with a port; write it as 127.0.0.1:6379 or [::1]:6379",
             ),
             (
                 "node = \"n\"\n[admin]\nform = \"html\"",
@@ -236,11 +257,11 @@
                 "3: limits.sockets: out of range; write a whole number from 48 to 1048576",
             ),
         ];
-        for (text, told) in cases {
-            assert_eq!(read(text), Err(vec![told.to_owned()]));
+        for (text, expected) in cases {
+            assert_eq!(read(text), Err(vec![expected.to_owned()]));
         }
-        let all = read("node = 7\nport = 1\n[limits]\nsockets = -1\n").unwrap_err();
-        assert_eq!(all.len(), 3, "{all:?}");
-        assert!(read("node = ").unwrap_err()[0].starts_with("1: no TOML"));
+        let three_issues = read("node = 7\nport = 1\n[limits]\nsockets = -1\n").unwrap_err();
+        assert_eq!(three_issues.len(), 3, "{three_issues:?}");
+        assert!(read("node = ").unwrap_err()[0].starts_with("1: invalid TOML"));
     }
 }
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -46,18 +46,18 @@
 
     /// Reads `common`; orders and words if there is none.
     pub fn read(section: &mut Section) -> Kinds {
-        if !section.has("common") {
+        if !section.has_key("common") {
             return Kinds { orders: true, words: true, evidence: false };
         }
         let mut kinds = Kinds::default();
-        for (place, name) in section.texts("common").unwrap_or_default() {
+        for (place, name) in section.strings("common").unwrap_or_default() {
             match name {
                 "orders" => kinds.orders = true,
                 "words" => kinds.words = true,
                 "evidence" => kinds.evidence = true,
                 other => {
                     let mend = format!("name some of {}", Kinds::NAMES.join(", "));
-                    section.note(place, "common", format!("{other:?} is no such kind"), &mend);
+                    section.report_at(place, "common", format!("{other:?} is no such kind"), &mend);
                 }
             }
         }
--- a/crates/lilacquay/src/script.rs
+++ b/crates/lilacquay/src/script.rs
@@ -1,4 +1,4 @@
-//! A script for the stand-in fleet, read from a file.
+//! Reads the script of a test fleet from a TOML file: which fault or change happens at which time.
 
 use std::fs;
 use std::path::Path;
@@ -8,41 +8,41 @@
 use serde::Deserialize;
 use serde::de::Error as _;
 
-use crate::config_error::{Mistake, Mistakes, unreadable};
+use crate::config_error::{ConfigIssue, IssueCollector, unreadable_file};
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ScriptFile {
     #[serde(default)]
-    step: Vec<Timed>,
+    step: Vec<TimedStep>,
 }
 
 #[derive(Deserialize)]
-struct Timed {
-    #[serde(deserialize_with = "time")]
+struct TimedStep {
+    #[serde(deserialize_with = "deserialize_duration")]
     at: Duration,
     #[serde(flatten)]
     step: Step,
 }
 
-fn time<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
+fn deserialize_duration<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     humantime::parse_duration(&text).map_err(|error| D::Error::custom(format!("{text:?}: {error}")))
 }
 
-/// Reads a script, in order of its times.
+/// Reads a script; the result is sorted by time.
 ///
 /// # Errors
-/// The first mistake that is in it.
-pub fn read(file: &Path) -> Result<Script, Mistake> {
-    let text = fs::read_to_string(file).map_err(|error| unreadable(file, &error))?;
-    let steps: File = toml::from_str(&text).map_err(|error| {
-        let mut mistakes = Mistakes::new(file, &text);
+/// The first issue in the file, or that it cannot be read.
+pub fn read(file: &Path) -> Result<Script, ConfigIssue> {
+    let text = fs::read_to_string(file).map_err(|error| unreadable_file(file, &error))?;
+    let script_file: ScriptFile = toml::from_str(&text).map_err(|error| {
+        let mut issues = IssueCollector::new(file, &text);
         let offset = error.span().map_or(0, |span| span.start);
-        mistakes.at(offset, "step", error.message(), "write it as the example in docs/fleet.md");
-        mistakes.into_found().remove(0)
+        issues.report_at_offset(offset, "step", error.message(), "write it as the example in docs/fleet.md");
+        issues.into_issues().remove(0)
     })?;
-    let mut script: Script = steps.step.into_iter().map(|timed| (timed.at, timed.step)).collect();
+    let mut script: Script = script_file.step.into_iter().map(|timed| (timed.at, timed.step)).collect();
     script.sort_by_key(|(at, _)| *at);
     Ok(script)
 }
@@ -54,22 +54,23 @@
     fn script(text: &str) -> Result<Script, String> {
         let file = tempfile::NamedTempFile::new().unwrap();
         fs::write(file.path(), text).unwrap();
-        read(file.path()).map_err(|mistake| mistake.to_string())
+        read(file.path()).map_err(|issue| issue.to_string())
     }
 
     #[test]
     fn the_documented_script_is_read_in_order() {
-        let page = include_str!("../../../docs/fleet.md");
-        let example = page.split("```toml").nth(1).and_then(|rest| rest.split("```").next()).unwrap();
+        let documentation = include_str!("../../../docs/fleet.md");
+        let example =
+            documentation.split("```toml").nth(1).and_then(|rest| rest.split("```").next()).unwrap();
         let steps = script(example).unwrap();
         assert!(steps.len() >= 6 && steps.is_sorted_by_key(|(at, _)| *at), "{steps:?}");
     }
 
     #[test]
-    fn a_mistake_is_told_with_its_line() {
-        let told = script("[[step]]\nat = \"1s\"\ndo = \"burn\"\n").unwrap_err();
-        assert!(told.contains(":1: step:") && told.contains("burn"), "{told}");
-        let told = script("[[step]]\nat = \"soon\"\ndo = \"drain\"\nserver = \"box-0\"\n").unwrap_err();
-        assert!(told.contains("soon"), "{told}");
+    fn an_issue_is_reported_with_its_line() {
+        let issue = script("[[step]]\nat = \"1s\"\ndo = \"burn\"\n").unwrap_err();
+        assert!(issue.contains(":1: step:") && issue.contains("burn"), "{issue}");
+        let issue = script("[[step]]\nat = \"soon\"\ndo = \"drain\"\nserver = \"box-0\"\n").unwrap_err();
+        assert!(issue.contains("soon"), "{issue}");
     }
 }
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -69,44 +69,49 @@
 
     /// Reads `[siblings]`; nothing if there is no such table, or a mistake in it, which is noted.
     pub fn read(root: &mut Section) -> Option<Site> {
-        if !root.has("siblings") {
+        if !root.has_key("siblings") {
             return None;
         }
         let mut section = root.section("siblings");
-        section.only(&["site", "listen", "nodes", "me", "common"]);
+        section.reject_unknown_keys(&["site", "listen", "nodes", "me", "common"]);
         for (key, mend) in [
             ("site", "name the site, the same at all its nodes"),
             ("listen", "give the address on which the others' datagrams come"),
             ("nodes", "list all nodes in one order, as in [\"10.0.0.1:7946\", \"10.0.0.2:7946\"]"),
             ("me", "give this node's place in the list, from 0"),
         ] {
-            if !section.has(key) {
-                section.missing(key, mend);
+            if !section.has_key(key) {
+                section.report_missing(key, mend);
             }
         }
-        let (name, listen) = (section.text("site").map(str::to_owned), section.address("listen"));
-        let texts = section.texts("nodes")?;
+        let (name, listen) = (section.string("site").map(str::to_owned), section.socket_address("listen"));
+        let texts = section.strings("nodes")?;
         let mut nodes = Vec::with_capacity(texts.len());
         for (place, text) in texts {
             match text.parse() {
                 Ok(node) => nodes.push(node),
-                Err(_) => section.note(
+                Err(_) => section.report_at(
                     place,
                     "nodes",
-                    format!("{text:?} is no address with a port"),
+                    format!("{text:?} is not an address with a port"),
                     "write it as 10.0.0.1:7946 or [fd00::1]:7946",
                 ),
             }
         }
-        let place = section.place("nodes");
+        let place = section.value_offset("nodes");
         if nodes.len() < 2 || nodes.len() > MOST {
-            section.note(place, "nodes", "too few or too many", "list 2 to 65535 nodes, this one among them");
+            section.report_at(
+                place,
+                "nodes",
+                "too few or too many",
+                "list 2 to 65535 nodes, this one among them",
+            );
         }
-        let me = section.number("me", 0..=nodes.len().saturating_sub(1));
+        let me = section.integer("me", 0..=nodes.len().saturating_sub(1));
         let common = Kinds::read(&mut section);
         let site = Site { name: name?, listen: listen?, nodes, me: me?, common };
         if let Some(twice) = site.twice() {
-            section.note(place, "nodes", format!("{twice} stands there twice"), "list each node once");
+            section.report_at(place, "nodes", format!("{twice} stands there twice"), "list each node once");
         }
         Some(site)
     }
--- a/crates/lilacquay/tests/appliance.rs
+++ b/crates/lilacquay/tests/appliance.rs
@@ -204,7 +204,7 @@
     let wrong = start();
     let screen = said(&wrong);
     assert!(!wrong.status.success() && screen.lines().count() <= 24, "{screen}");
-    for told in ["lisen", "take it out", "state", "effect", "write safe, keyed or unsafe"] {
+    for told in ["lisen", "remove it", "state", "effect", "write safe, keyed or unsafe"] {
         assert!(screen.contains(told), "{told}: {screen}");
     }
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -217,7 +217,7 @@
     std::fs::remove_dir_all(site.state()).unwrap();
     std::fs::write(site.state(), "a file").unwrap();
     let blocked = start();
-    assert!(!blocked.status.success() && said(&blocked).contains("mend `state`"), "{}", said(&blocked));
+    assert!(!blocked.status.success() && said(&blocked).contains("fix `state`"), "{}", said(&blocked));
 }
 
 #[test]
--- a/crates/lilacquay/tests/cli.rs
+++ b/crates/lilacquay/tests/cli.rs
@@ -76,15 +76,19 @@
         ),
         ("\"safe\"", "\"sure\"", "settings.Classes: unknown effect \"sure\"; write safe, keyed or unsafe"),
         ("\"Zone\":\"a\"", "\"Zone\":\"b\"", "settings.Zone: \"b\" is not among Dcs; name one of Dcs"),
-        ("\"OriginKind\":1", "\"OriginKind\":3", "settings.FamilyInfo.OriginKind: names no kind of Skus"),
-        ("\"HardLimit\":1000.0", "\"HardLimit\":1.0", "class lookup has no time beyond its Aim"),
-        ("\"sockets\":512", "\"sockets\":7", "limits.sockets: too low a limit; grant 48 at least"),
+        ("\"OriginKind\":1", "\"OriginKind\":3", "settings.FamilyInfo.OriginKind: is not an index into Skus"),
+        ("\"HardLimit\":1000.0", "\"HardLimit\":1.0", "class lookup has no HardLimit, or one below its Aim"),
+        ("\"sockets\":512", "\"sockets\":7", "limits.sockets: limit too low; set at least 48"),
         (
             "\"sockets\":512",
             "\"sockets\":\"7\"",
             "limits.sockets: invalid type: string \"7\", expected usize",
         ),
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"", "listen: \"here\" is no address with a port"),
+        (
+            "\"listen\":\"127.0.0.1:0\"",
+            "\"listen\":\"here\"",
+            "listen: \"here\" is not an address with a port",
+        ),
         ("{", "{\n{", "node.json:2"),
     ];
     for (from, to, told) in cases {
@@ -95,7 +99,7 @@
     }
     std::fs::write(&json, right.replace("\"seed\":\"1\"", "\"seed\":\"x\"").replace("\"safe\"", "\"sure\""))
         .unwrap();
-    assert!(text(&check(&options)).contains("2 to mend"));
+    assert!(text(&check(&options)).contains("2 to fix"));
     // And for the file that the options name for etcd.
     let etcd = folder.path().join("etcd.toml");
     std::fs::write(&options, "node = \"node.json\"\netcd = \"etcd.toml\"\n").unwrap();
@@ -105,7 +109,7 @@
     std::fs::write(&etcd, "endpoints = [\"https://127.0.0.1:2379\"]\n[tls]\nca = \"none.pem\"\n").unwrap();
     assert!(text(&check(&etcd)).contains("none.pem: cannot be read"));
     std::fs::write(&etcd, "endpoints = [\"127.0.0.1:2379\"]\n").unwrap();
-    assert!(text(&check(&options)).contains("etcd.toml:1: endpoints: \"127.0.0.1:2379\" is no address"));
+    assert!(text(&check(&options)).contains("etcd.toml:1: endpoints: \"127.0.0.1:2379\" is not an address"));
     // And for the one for memcached, whose classes the JSON has.
     let memcached = folder.path().join("memcached.toml");
     std::fs::write(&options, "node = \"node.json\"\nmemcached = \"memcached.toml\"\n").unwrap();
--- a/crates/lilacquay/tests/operation.rs
+++ b/crates/lilacquay/tests/operation.rs
@@ -237,7 +237,7 @@
     for (name, value, words) in [
         ("EDGE_PASSED_SOCKET", "nothing", "names no descriptor"),
         ("EDGE_PASSED_SOCKET", "999", "is not open"),
-        ("EDGE_ADMIN", "here", "is no address with a port"),
+        ("EDGE_ADMIN", "here", "is not an address with a port"),
         ("EDGE_ADMIN", "127.0.0.1:6", "admin is 127.0.0.1:6, as listen is"),
         ("EDGE_ADMIN", &taken_at, "cannot listen on"),
     ] {
