--- a/crates/lilacquay/src/check.rs
+++ b/crates/lilacquay/src/check.rs
@@ -13,8 +13,8 @@
 
 /// Prints each issue of a file; succeeds if there is none.
 pub fn run(file: &Path) -> ExitCode {
-    // The kind of file is told by its content, as the platform's file may have any name; no TOML file of ours
-    // begins with a brace.
+    // The kind of file is detected by its content, because the platform's file may have any name. A brace at the
+    // start marks its JSON: no options file in TOML begins with one.
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let issues = if text.trim_start().starts_with('{') {
         config::check_json(file, None)
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -182,7 +182,7 @@
     admin: Option<SocketAddr>,
     seed: u64,
     limits: Limits,
-    known: DiscoveryResponse,
+    initial_list: DiscoveryResponse,
     setup: Setup,
     siblings: Option<Site>,
 }
@@ -249,8 +249,8 @@
         let site_name = setup.names.all_classes().join(",");
         let siblings =
             Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site_name);
-        let (limits, known) = (file.limits, file.known);
-        Some(PlatformConfig { listen, discovery, admin, seed, limits, known, setup, siblings })
+        let (limits, initial_list) = (file.limits, file.known);
+        Some(PlatformConfig { listen, discovery, admin, seed, limits, initial_list, setup, siblings })
     }
 }
 
@@ -283,8 +283,8 @@
 
 /// Reports values that can be parsed but make no sense together.
 fn check_semantics(config: &PlatformConfig, text: &str, issues: &mut IssueCollector) {
-    if config.known.skipped > 0 {
-        let problem = format!("{} servers that cannot be read", config.known.skipped);
+    if config.initial_list.skipped > 0 {
+        let problem = format!("{} servers that cannot be read", config.initial_list.skipped);
         issues.report_at_offset(
             key_offset(text, "known"),
             "known.servers",
@@ -402,7 +402,7 @@
                 .and_then(|options| options.memory_mb)
                 .or(platform.limits.memory_mb)
                 .unwrap_or(DEFAULT_MEMORY_MB),
-            initial_list: platform.known,
+            initial_list: platform.initial_list,
             has_fixed_list,
             log: options.map(|options| options.log.clone()).unwrap_or_default(),
             setup: platform.setup,
--- a/crates/lilacquay/src/memcached.rs
+++ b/crates/lilacquay/src/memcached.rs
@@ -65,8 +65,8 @@
     listener: Option<NameRef>,
     user: Option<NameRef>,
     prefix: String,
-    read: Option<NameRef>,
-    write: Option<NameRef>,
+    read_class: Option<NameRef>,
+    write_class: Option<NameRef>,
     tenant: Option<NameRef>,
     client_timeout_ms: usize,
     repeats: RepeatMarker,
@@ -217,8 +217,8 @@
                 .map(|listener| listener.name),
             user: look_up(&rule.user, "user", &user, "name one of [[user]]").map(|user| user.name),
             prefix: rule.prefix.clone(),
-            read_class: look_up(&rule.read, "class", &class, in_settings),
-            write_class: look_up(&rule.write, "class", &class, in_settings),
+            read_class: look_up(&rule.read_class, "class", &class, in_settings),
+            write_class: look_up(&rule.write_class, "class", &class, in_settings),
             tenant: look_up(&rule.tenant, "tenant", &|name| names.tenant(name), in_settings),
             client_timeout_us: rule.client_timeout_ms as u64 * 1000,
             repeats: rule.repeats.clone(),
@@ -228,14 +228,14 @@
 
 fn read_user(mut user: Section, folder: &Path) -> Option<(String, PathBuf)> {
     user.reject_unknown_keys(&["name", "password_file"]);
-    let name = required(&mut user, "name", "name the user");
-    let file = required(&mut user, "password_file", "name the file with its password");
+    let name = required_string(&mut user, "name", "name the user");
+    let file = required_string(&mut user, "password_file", "name the file with its password");
     Some((name?, folder.join(file?)))
 }
 
 fn read_listener(mut listener: Section, has_users: bool) -> Option<RawListener> {
     listener.reject_unknown_keys(&["name", "address", "login"]);
-    let name = required(&mut listener, "name", "give it a name, which rows may name");
+    let name = required_string(&mut listener, "name", "give it a name, which rows may name");
     if !listener.has_key("address") {
         listener.report_missing("address", "write it as in address = \"127.0.0.1:11211\"");
     }
@@ -248,7 +248,7 @@
     Some(RawListener { name: name?, address: address?, requires_login })
 }
 
-fn required(section: &mut Section, key: &str, fix: &str) -> Option<String> {
+fn required_string(section: &mut Section, key: &str, fix: &str) -> Option<String> {
     if !section.has_key(key) {
         section.report_missing(key, fix);
     }
@@ -261,7 +261,7 @@
         Some(NameRef { text, field: row.field(key), offset: row.value_offset(key) })
     };
     let (listener, user) = (read_name("listener"), read_name("user"));
-    let (read, write, tenant) = (read_name("read"), read_name("write"), read_name("tenant"));
+    let (read_class, write_class, tenant) = (read_name("read"), read_name("write"), read_name("tenant"));
     let prefix = row.string("prefix").unwrap_or("").to_owned();
     let client_timeout_ms =
         row.integer("wait_ms", 1..=MAX_CLIENT_TIMEOUT_MS).unwrap_or(DEFAULT_CLIENT_TIMEOUT_MS);
@@ -282,7 +282,7 @@
             }
         },
     };
-    Some(RawRule { listener, user, prefix, read, write, tenant, client_timeout_ms, repeats })
+    Some(RawRule { listener, user, prefix, read_class, write_class, tenant, client_timeout_ms, repeats })
 }
 
 #[cfg(test)]
--- a/crates/lilacquay/src/quota.rs
+++ b/crates/lilacquay/src/quota.rs
@@ -16,7 +16,7 @@
 const DEFAULT_HALF_LIFE_MS: usize = 10_000;
 /// Longest duration that the file may set: one day.
 const MAX_DURATION_MS: usize = 86_400_000;
-/// Limits on the size of a plan.
+/// Most shares and most measures that the file may have.
 const MAX_SHARES: usize = 100_000;
 const MAX_MEASURES: usize = 64;
 /// Largest guarantee or ceiling that the file may set, in the measure's unit.
@@ -193,7 +193,7 @@
     Some(NameRef { text, field: section.field(key), offset: section.value_offset(key) })
 }
 
-fn required(section: &mut Section, key: &str, fix: &str) -> Option<NameRef> {
+fn required_name(section: &mut Section, key: &str, fix: &str) -> Option<NameRef> {
     if !section.has_key(key) {
         section.report_missing(key, fix);
     }
@@ -202,20 +202,20 @@
 
 fn read_measure(mut measure: Section) -> Option<RawMeasure> {
     measure.reject_unknown_keys(&["name", "of", "window_ms", "classes"]);
-    let name = required(&mut measure, "name", "give it a name, by which shares set bounds for it")?.text;
+    let name = required_name(&mut measure, "name", "give it a name, by which shares set bounds for it")?.text;
     if ["name", "parent", "tenant"].contains(&name.as_str()) {
         let offset = measure.value_offset("name");
         measure.report_at(offset, "name", format!("{name:?} is a key of shares"), "give it another name");
     }
-    let of = required(&mut measure, "of", "write requests, worth, bytes or in-flight")?;
-    let dimension = match &*of.text {
+    let measured = required_name(&mut measure, "of", "write requests, worth, bytes or in-flight")?;
+    let dimension = match &*measured.text {
         "requests" => Dimension::Requests,
         "worth" => Dimension::Worth,
         "bytes" => Dimension::Bytes,
         "in-flight" => Dimension::InFlight,
         other => {
             measure.report_at(
-                of.offset,
+                measured.offset,
                 "of",
                 format!("unknown {other:?}"),
                 "write requests, worth, bytes or in-flight",
@@ -245,7 +245,7 @@
 
 fn read_share(mut share: Section, measure_names: &[&str]) -> Option<RawShare> {
     share.reject_unknown_keys(&[&["name", "parent", "tenant"], measure_names].concat());
-    let name = required(&mut share, "name", "name the share");
+    let name = required_name(&mut share, "name", "name the share");
     let (parent, tenant) = (read_name(&mut share, "parent"), read_name(&mut share, "tenant"));
     let bounds_offsets =
         measure_names.iter().map(|name| ((*name).to_owned(), share.value_offset(name))).collect();
@@ -298,12 +298,12 @@
 }
 
 /// The shares in an order in which parents precede their children: for each its index in the file, and its parent's
-/// index in this order. `None` if they are no tree, which is reported.
+/// index in this order. `None` if they do not form a tree, which is reported.
 fn order_by_parent(shares: &[RawShare], issues: &mut IssueCollector) -> Option<Vec<(usize, Option<usize>)>> {
     let mut by_name: HashMap<&str, usize> = HashMap::new();
     let mut is_tree = true;
-    for (n, share) in shares.iter().enumerate() {
-        if by_name.insert(&share.name.text, n).is_some() {
+    for (index, share) in shares.iter().enumerate() {
+        if by_name.insert(&share.name.text, index).is_some() {
             let problem = format!("another share is called {:?}", share.name.text);
             issues.report_at_offset(
                 share.name.offset,
@@ -316,10 +316,10 @@
     }
     let mut children: Vec<Vec<usize>> = vec![Vec::new(); shares.len()];
     let mut roots = Vec::new();
-    for (n, share) in shares.iter().enumerate() {
+    for (index, share) in shares.iter().enumerate() {
         match share.parent.as_ref().map(|parent| (parent, by_name.get(parent.text.as_str()))) {
-            None => roots.push(n),
-            Some((_, Some(&parent))) => children[parent].push(n),
+            None => roots.push(index),
+            Some((_, Some(&parent))) => children[parent].push(index),
             Some((parent, None)) => {
                 let problem = format!("no share {:?}", parent.text);
                 issues.report_at_offset(parent.offset, &parent.field, problem, "name one of [[share]]");
@@ -345,7 +345,8 @@
         next += 1;
     }
     if is_tree && order.len() < shares.len() {
-        let in_cycle = shares.iter().enumerate().find(|(n, _)| order.iter().all(|(known, _)| known != n));
+        let in_cycle =
+            shares.iter().enumerate().find(|(index, _)| order.iter().all(|(reached, _)| reached != index));
         if let Some(parent) = in_cycle.and_then(|(_, share)| share.parent.as_ref()) {
             let fix = "name a parent that leads to the one share without one";
             issues.report_at_offset(parent.offset, &parent.field, "its parents form a cycle", fix);
@@ -367,7 +368,7 @@
         let (in_file, name) = (order[share].0, &measures[measure].name);
         let offsets = &shares[in_file].bounds_offsets;
         let offset = offsets.iter().find(|(known, _)| known == name).map_or(0, |(_, offset)| *offset);
-        // Bounds that the file does not set have no place: the issue is reported at the share's name.
+        // Bounds that the file does not set have offset 0; the issue is then reported at the share's name.
         (offset.max(shares[in_file].name.offset), format!("share[{in_file}].{name}"))
     };
     match error {
@@ -433,8 +434,8 @@
         let quota = read(text).unwrap();
         let dimensions: Vec<Dimension> =
             quota.plan.measures.iter().map(|measure| measure.dimension).collect();
-        for wanted in [Dimension::Requests, Dimension::Worth, Dimension::Bytes, Dimension::InFlight] {
-            assert!(dimensions.contains(&wanted), "{wanted:?}");
+        for expected in [Dimension::Requests, Dimension::Worth, Dimension::Bytes, Dimension::InFlight] {
+            assert!(dimensions.contains(&expected), "{expected:?}");
         }
         assert_eq!((quota.tenants.len(), quota.classes.len()), (2, 2));
         assert!(quota.plan.shares.iter().any(|share| share.parent.is_some_and(|parent| parent > 0)));
