--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -7,7 +7,7 @@
 use lilacquay_control::{Answer, Client, ClientError, ControlRequest, OrderReport, SiblingsReport};
 use lilacquay_observe::{BoxStatus, Event, Snapshot};
 
-use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaOrder, UndrainArgs};
+use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaCommand, UndrainArgs};
 use crate::replica;
 
 /// The node did not obey; nothing has changed.
@@ -86,8 +86,8 @@
 
 /// Shows a node's copy of what all hold in common, or compares two.
 pub fn replica(args: &ReplicaArgs) -> ExitCode {
-    match (&args.order, &args.state) {
-        (Some(ReplicaOrder::Diff { one, other }), _) => replica::diff(one, other),
+    match (&args.command, &args.state) {
+        (Some(ReplicaCommand::Diff { first, second }), _) => replica::diff(first, second),
         (None, Some(state)) => {
             code(ask(&ControlArgs { state: state.clone(), json: args.json }, ControlRequest::Replica))
         }
@@ -101,8 +101,8 @@
 }
 
 pub fn drain(args: DrainArgs) -> ExitCode {
-    let DrainArgs { server, control, time, lasting, force, wait, seen, wait_for } = args;
-    let seconds = time.map(|time| time.as_secs_f64().ceil() as u64);
+    let DrainArgs { server, control, duration, lasting, force, wait, seen, wait_for } = args;
+    let seconds = duration.map(|duration| duration.as_secs_f64().ceil() as u64);
     let verb = ControlRequest::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
     let obeyed = ask(&control, verb);
     match obeyed {
--- a/crates/lilacquay/src/load.rs
+++ b/crates/lilacquay/src/load.rs
@@ -18,7 +18,7 @@
 
 /// Runs a load; a success if no rule was broken and the node was reached.
 pub fn run(args: LoadArgs) -> ExitCode {
-    let mut load = Load::standard(args.to, args.time, args.seed);
+    let mut load = Load::standard(args.to, args.duration, args.seed);
     (load.rate, load.keys, load.skew) = (args.rate, args.keys, args.skew);
     if args.memcached {
         load.protocol = CacheProtocol::Memcached;
--- a/crates/lilacquay/src/logging.rs
+++ b/crates/lilacquay/src/logging.rs
@@ -134,7 +134,7 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut text = EventText::default();
         event.record(&mut text);
-        self.0.note(event.metadata().level().as_str(), text.message + &text.fields);
+        self.0.record(event.metadata().level().as_str(), text.message + &text.fields);
     }
 }
 
--- a/crates/lilacquay/src/main.rs
+++ b/crates/lilacquay/src/main.rs
@@ -33,7 +33,7 @@
 use clap::Parser;
 use cli::{ApplianceArgs, ApplianceCommand, Cli, Command, ConsoleArgs};
 use config::{Config, ConfigError, ConfigSource};
-use lilacquay_control::Verb;
+use lilacquay_control::ControlRequest;
 use lilacquay_core::stall;
 use node::Failure;
 use supervisor::Backoff;
@@ -53,12 +53,12 @@
         Some(Command::Status(args)) => control::status(&args),
         Some(Command::Console(args)) => run_console(args),
         Some(Command::Events(args)) => control::events(&args),
-        Some(Command::Reload(args)) => control::node(&args, Verb::Reload),
+        Some(Command::Reload(args)) => control::node(&args, ControlRequest::Reload),
         Some(Command::Level(args)) => control::level(args),
-        Some(Command::Leave(args)) => control::node(&args, Verb::Leave),
-        Some(Command::Join(args)) => control::node(&args, Verb::Join),
-        Some(Command::Stop(args)) => control::node(&args, Verb::Stop),
-        Some(Command::Diagnose(args)) => control::node(&args, Verb::Diagnose),
+        Some(Command::Leave(args)) => control::node(&args, ControlRequest::Leave),
+        Some(Command::Join(args)) => control::node(&args, ControlRequest::Join),
+        Some(Command::Stop(args)) => control::node(&args, ControlRequest::Stop),
+        Some(Command::Diagnose(args)) => control::node(&args, ControlRequest::Diagnose),
         Some(Command::Siblings(args)) => control::siblings(&args),
         Some(Command::Replica(args)) => control::replica(&args),
         Some(Command::Orders(args)) => control::orders(&args),
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -27,13 +27,13 @@
 use tracing::{info, warn};
 
 use crate::admin::Desk;
-use crate::config::{Config, Source};
-use crate::etcd::Etcd;
+use crate::config::{Config, ConfigSource};
+use crate::etcd::EtcdConfig;
 use crate::handover::{self, Place};
 use crate::lifecycle::Keeper;
 use crate::logging::Logging;
-use crate::memcached::Memcached;
-use crate::quota::Quota;
+use crate::memcached::MemcachedConfig;
+use crate::quota::QuotaConfig;
 use crate::replicated_state::KeptRecord;
 use crate::siblings::{self, Site, Ties};
 use crate::supervisor::keep;
@@ -70,13 +70,13 @@
 }
 
 /// Serves until SIGTERM or an operator's order, then answers what was taken.
-pub async fn run(config: Config, source: Source, logging: &Logging) -> Result<(), Failure> {
+pub async fn run(config: Config, source: ConfigSource, logging: &Logging) -> Result<(), Failure> {
     let mut stop = signal(SignalKind::terminate())?;
     // Guards against: an end on SIGHUP. From here to the process's end it has no other effect than a reload.
     let reload = signal(SignalKind::hangup())?;
-    let state = config.control.as_deref().map(StateDir::new).transpose().map_err(of_state)?;
+    let state = config.state_folder.as_deref().map(StateDir::new).transpose().map_err(of_state)?;
     let steered = state.as_ref().map(StateDir::load_orders).transpose().map_err(of_state)?;
-    let listener = match &config.passed {
+    let listener = match &config.inherited_socket {
         Some(passed) => TcpListener::from_std(passed.listener(config.listen)?)?,
         None => bind(config.listen)?,
     };
@@ -84,25 +84,26 @@
         Some(address) => Some(bind(address)?),
         None => None,
     };
-    let keeper = Keeper::new(Duration::from_micros(config.setup.longest_deadline), config.passed.is_some());
+    let keeper =
+        Keeper::new(Duration::from_micros(config.setup.longest_deadline), config.inherited_socket.is_some());
     let metrics = Metrics::new(config.setup.names.all_classes());
     // All of it ends with this function, so that a core that has failed leaves nothing behind.
     let mut parts = JoinSet::new();
     // Guards against: calls that wait for as long as the process before takes to hand over.
     if let Some(second) = second {
         info!("the second address is {}", second.local_addr()?);
-        let (keeper, metrics, prometheus) = (keeper.clone(), metrics.clone(), config.prometheus);
+        let (keeper, metrics, prometheus) = (keeper.clone(), metrics.clone(), config.prometheus_format);
         parts.spawn(Admin::new(second, Desk { keeper, metrics, prometheus, audit: state.clone() }).run());
     }
-    let (connections, memory) = (config.server_connections(), config.request_memory());
+    let (connections, memory) = (config.max_server_connections(), config.request_memory_bytes());
     let portion = ResourceShare::default();
-    let place = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
+    let place = config.inherited_socket.as_ref().and_then(|_| config.shared_folder.clone());
     let place = place.map(|folder| Place::new(folder, config.listen.port()));
     let (succession, received) = handover::begin(place, &portion).await;
     // What the process before goes by is newer than what the platform last knew.
     let (known, version) = match received.list {
         Some((list, version)) => (list, version),
-        None => (config.known.list.clone(), Some(config.known.version)),
+        None => (config.initial_list.list.clone(), Some(config.initial_list.version)),
     };
     let version = version.filter(|_| !known.servers.is_empty());
     let quotas = config.quota.as_ref().map(|quota| quota.admission(&config.setup.names));
@@ -128,11 +129,11 @@
         list_updates: in_common.then_some(to_lists),
     };
     let names = config.setup.names.clone();
-    let kinds = config.memcached.as_ref().map(|(_, ready)| ready.kinds.clone());
+    let kinds = config.memcached.as_ref().map(|(_, ready)| ready.server_kinds.clone());
     let servers = ServerConnector::new(kinds.unwrap_or_default());
     let (driver, Handles { requests, members, core: orders }) = Driver::new(options, servers);
     let gauges = driver.gauges();
-    let acceptor = Acceptor::new(requests, config.client_bounds(gauges.clone(), portion), keeper.bearing());
+    let acceptor = Acceptor::new(requests, config.client_limits(gauges.clone(), portion), keeper.bearing());
     let mut fronts = Vec::new();
     for listener in config.memcached.iter().flat_map(|(_, ready)| &ready.listeners) {
         fronts.push((bind(listener.address)?, listener));
@@ -152,9 +153,9 @@
         let host = NodeContext {
             events: logging.events.clone(),
             commands: to_node.clone(),
-            redacted_config: config.described(),
+            redacted_config: config.diagnostic_summary(),
             siblings: kin.is_some().then(|| to_siblings.clone()),
-            descriptor_limit: config.sockets,
+            descriptor_limit: config.max_descriptors,
         };
         let listen = {
             let (state, orders) = (state, orders.clone());
@@ -173,7 +174,7 @@
     }
     info!("listening on {}", listener.local_addr()?);
     if let Some(succession) = succession {
-        let (acceptor, gauges, most) = (acceptor.clone(), gauges.clone(), config.connections());
+        let (acceptor, gauges, most) = (acceptor.clone(), gauges.clone(), config.max_connections());
         let holds = move || ((acceptor.connection_count() + gauges.connections()) * 1000 / most) as u32;
         let copy = kin.is_some().then(|| to_siblings.clone());
         parts.spawn(succession.keep(orders.clone(), copy, holds, keeper.bearing()));
@@ -188,7 +189,7 @@
     let nonce = nonce(config.seed);
     for (bound, listener) in fronts {
         info!("memcached {:?} is listening on {}", listener.name, bound.local_addr()?);
-        let front = listener.front(gauges.clone(), nonce);
+        let front = listener.frontend(gauges.clone(), nonce);
         accepting.spawn(acceptor.clone().accept(bound, move || front.connection()));
     }
     let _ = keeper.tell(Event::Ready); // refused only where it is told to stop already
@@ -266,7 +267,7 @@
 
 impl Told<'_> {
     /// Carries out what is told, one after the other.
-    async fn follow(mut self, followed: Followed, mut reload: Signal, source: Source) {
+    async fn follow(mut self, followed: Followed, mut reload: Signal, source: ConfigSource) {
         loop {
             tokio::select! {
                 Some(()) = reload.recv() => {
@@ -300,8 +301,8 @@
 /// What a reload looks at: the sources of members, which follow it, and what stays as it was.
 struct Followed {
     discovery: Option<watch::Sender<SocketAddr>>,
-    etcd: Option<(Etcd, watch::Sender<Settings>)>,
-    memcached: Option<Memcached>,
+    etcd: Option<(EtcdConfig, watch::Sender<Settings>)>,
+    memcached: Option<MemcachedConfig>,
     /// Where another list of nodes is told.
     siblings: Option<watch::Sender<Site>>,
     /// Where other quotas are told, with the names that they are read by.
@@ -332,10 +333,10 @@
             (to, parts.spawn(keep("discovery", follow)))
         });
         let (discovery, rival) = discovery.unzip();
-        let fixed = config.fixed.then(|| members.clone());
+        let fixed = config.has_fixed_list.then(|| members.clone());
         let etcd = config.etcd.clone().map(|(etcd, settings)| {
             let (to, followed) = watch::channel(settings.clone());
-            let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.keep.clone(), config.seed);
+            let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.cache_folder.clone(), config.seed);
             let members = members.with_source("etcd");
             parts.spawn(keep("etcd", move || {
                 let (members, settings) = (members.clone(), followed.borrow().clone());
@@ -351,12 +352,12 @@
     }
 
     /// Goes by the configuration as it is now, as far as it may change while the node runs.
-    fn read_again(&self, source: &Source) -> CommandResult {
-        let new = Config::sources_anew(source).map_err(|error| {
+    fn read_again(&self, source: &ConfigSource) -> CommandResult {
+        let new = Config::read_reloadable(source).map_err(|error| {
             warn!("configuration kept as it was: {error}");
             format!("the configuration is kept as it was: {error}")
         })?;
-        self.list_changed(new.fixed);
+        self.list_changed(new.fixed_list);
         self.discovery_moved(new.discovery);
         self.etcd_moved(new.etcd);
         self.quotas_changed(new.quota);
@@ -401,7 +402,7 @@
         }
     }
 
-    fn quotas_changed(&self, new: Option<Quota>) {
+    fn quotas_changed(&self, new: Option<QuotaConfig>) {
         match (&self.quotas, new) {
             (Some((orders, names)), Some(new)) => orders.set_quotas(new.admission(names)),
             (None, None) => {}
@@ -409,10 +410,10 @@
         }
     }
 
-    fn etcd_moved(&self, new: Option<(Etcd, Settings)>) {
+    fn etcd_moved(&self, new: Option<(EtcdConfig, Settings)>) {
         match (&self.etcd, new) {
             (Some((old, to)), Some((new, settings))) => {
-                if (&new.prefix, &new.keep) != (&old.prefix, &old.keep) {
+                if (&new.prefix, &new.cache_folder) != (&old.prefix, &old.cache_folder) {
                     warn!("etcd's prefix and keep change only with a restart; kept as they were");
                 }
                 info!("etcd is at {}", settings.endpoints.join(", "));
