--- a/crates/syscall-faults/src/script.rs
+++ b/crates/syscall-faults/src/script.rs
@@ -1,15 +1,16 @@
-//! Which calls fail, and how: rules of the form `CALL:FAULT:EVERY:MOST`.
+//! Parses and applies fault-injection rules of the form `CALL:FAULT:EVERY:MOST`.
 //!
-//! `CALL` is `accept`, `socket`, `connect`, `receive`, `send` or `clock`; `FAULT` is an error's name, `short` for calls that
-//! carry bytes, or a step in seconds for the wall clock. Each `EVERY`th call meets the fault, and `MOST` of them at most,
-//! or all if that is 0.
+//! `CALL` is `accept`, `socket`, `connect`, `receive`, `send` or `clock`. `FAULT` is the name of an error such as
+//! `EINTR`, `short` for a short transfer (`receive` and `send` only; without effect on `sendmsg`), or, for `clock`, the
+//! seconds to add to the wall clock. The fault is injected into every `EVERY`th call, at most `MOST` times, or without
+//! limit if `MOST` is 0.
 
 use std::ffi::c_int;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A call that can fail.
+/// A system call, or group of calls, into which faults can be injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`.
@@ -22,91 +23,96 @@
     Receive,
     /// `send`, `sendmsg` and `writev`.
     Send,
-    /// `clock_gettime` of the wall clock.
+    /// `clock_gettime` for the wall clock, `CLOCK_REALTIME`.
     WallClock,
 }
 
-/// What a call meets.
+/// A fault to inject into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error and does nothing.
+    /// The call has no effect and fails with this `errno`.
     Errno(c_int),
-    /// It carries a few bytes only.
-    Short,
-    /// The clock tells so many seconds more.
-    Step(i64),
+    /// The call transfers only a few bytes.
+    ShortTransfer,
+    /// The number of seconds added to the time that the clock reports.
+    ClockStep(i64),
 }
 
-/// A rule that can't be read.
+/// The text of a rule that could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BadRule(String);
+pub struct InvalidRule(String);
 
-impl fmt::Display for BadRule {
+impl fmt::Display for InvalidRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} is no rule; write CALL:FAULT:EVERY:MOST", self.0)
+        write!(f, "invalid rule {:?}; expected CALL:FAULT:EVERY:MOST", self.0)
     }
 }
 
-impl std::error::Error for BadRule {}
+impl std::error::Error for InvalidRule {}
 
 #[derive(Debug)]
 struct Rule {
     call: Call,
     fault: Fault,
-    every: usize,
-    most: usize,
-    met: AtomicUsize,
+    /// The fault is injected into each call whose number is a multiple of this; greater than 0.
+    interval: usize,
+    /// Maximum number of faults injected; 0 for no limit.
+    max_injections: usize,
+    /// Number of matching calls so far, with and without a fault.
+    calls: AtomicUsize,
 }
 
-/// The rules of a process, with how often each call was met.
+/// The rules of a process, each with the number of matching calls so far.
 #[derive(Debug)]
 pub struct Script(Vec<Rule>);
 
 impl Script {
-    /// Whether a rule is about such calls.
-    pub fn names(&self, call: Call) -> bool {
+    /// Whether any rule applies to this call.
+    pub fn has_rule_for(&self, call: Call) -> bool {
         self.0.iter().any(|rule| rule.call == call)
     }
 
-    /// Counts a call; tells the fault that it meets, and the number of its rule.
-    pub fn next(&self, call: Call) -> Option<(usize, Fault)> {
+    /// Counts a call in every rule that applies to it. Returns the index of the first rule that injects a fault, and the
+    /// fault.
+    pub fn next_fault(&self, call: Call) -> Option<(usize, Fault)> {
         let rules = self.0.iter().enumerate().filter(|(_, rule)| rule.call == call);
-        rules.map(|(number, rule)| rule.next().map(|fault| (number, fault))).fold(None, Option::or)
+        rules.map(|(index, rule)| rule.next_fault().map(|fault| (index, fault))).fold(None, Option::or)
     }
 }
 
 impl Rule {
-    fn next(&self) -> Option<Fault> {
-        let met = self.met.fetch_add(1, Ordering::Relaxed) + 1;
-        let due = met.is_multiple_of(self.every) && (self.most == 0 || met / self.every <= self.most);
+    fn next_fault(&self) -> Option<Fault> {
+        let calls = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
+        let due = calls.is_multiple_of(self.interval)
+            && (self.max_injections == 0 || calls / self.interval <= self.max_injections);
         due.then_some(self.fault)
     }
 }
 
 impl FromStr for Script {
-    type Err = BadRule;
+    type Err = InvalidRule;
 
-    fn from_str(text: &str) -> Result<Script, BadRule> {
+    fn from_str(text: &str) -> Result<Script, InvalidRule> {
         text.split_whitespace().map(str::parse).collect::<Result<_, _>>().map(Script)
     }
 }
 
 impl FromStr for Rule {
-    type Err = BadRule;
+    type Err = InvalidRule;
 
-    fn from_str(text: &str) -> Result<Rule, BadRule> {
-        let bad = || BadRule(text.to_owned());
+    fn from_str(text: &str) -> Result<Rule, InvalidRule> {
+        let invalid = || InvalidRule(text.to_owned());
         let parts: Vec<&str> = text.split(':').collect();
-        let &[call, fault, every, most] = parts.as_slice() else { return Err(bad()) };
-        let call = call_of(call).ok_or_else(bad)?;
-        let fault = fault_of(call, fault).ok_or_else(bad)?;
-        let every = every.parse().ok().filter(|&every| every > 0).ok_or_else(bad)?;
-        let most = most.parse().map_err(|_| bad())?;
-        Ok(Rule { call, fault, every, most, met: AtomicUsize::new(0) })
+        let &[call, fault, interval, max_injections] = parts.as_slice() else { return Err(invalid()) };
+        let call = parse_call(call).ok_or_else(invalid)?;
+        let fault = parse_fault(call, fault).ok_or_else(invalid)?;
+        let interval = interval.parse().ok().filter(|&interval| interval > 0).ok_or_else(invalid)?;
+        let max_injections = max_injections.parse().map_err(|_| invalid())?;
+        Ok(Rule { call, fault, interval, max_injections, calls: AtomicUsize::new(0) })
     }
 }
 
-fn call_of(name: &str) -> Option<Call> {
+fn parse_call(name: &str) -> Option<Call> {
     Some(match name {
         "accept" => Call::Accept,
         "socket" => Call::Socket,
@@ -118,13 +124,13 @@
     })
 }
 
-fn fault_of(call: Call, name: &str) -> Option<Fault> {
+fn parse_fault(call: Call, name: &str) -> Option<Fault> {
     if call == Call::WallClock {
-        return name.parse().ok().map(Fault::Step);
+        return name.parse().ok().map(Fault::ClockStep);
     }
-    let carries = matches!(call, Call::Receive | Call::Send);
+    let is_transfer = matches!(call, Call::Receive | Call::Send);
     Some(match name {
-        "short" if carries => Fault::Short,
+        "short" if is_transfer => Fault::ShortTransfer,
         "ECONNABORTED" => Fault::Errno(libc::ECONNABORTED),
         "EADDRNOTAVAIL" => Fault::Errno(libc::EADDRNOTAVAIL),
         "EHOSTUNREACH" => Fault::Errno(libc::EHOSTUNREACH),
