--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -211,8 +211,7 @@
     /// the last.
     async fn stream_snapshots(&self, lines: &mut Lines, interval: Duration, mut after: u64) {
         let Ok(_permit) = self.streams.try_acquire() else {
-            let answer =
-                error_answer(format!("{MAX_STREAMS} clients are streaming already; close a console first"));
+            let answer = error_answer(format!("{MAX_STREAMS} look already; close a console first"));
             send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
@@ -248,8 +247,7 @@
     /// Sends events until the client disconnects or sends anything.
     async fn follow_events(&self, lines: &mut Lines, mut after: u64) {
         let Ok(_permit) = self.streams.try_acquire() else {
-            let answer =
-                error_answer(format!("{MAX_STREAMS} clients are streaming already; close a console first"));
+            let answer = error_answer(format!("{MAX_STREAMS} look already; close a console first"));
             send(lines, to_line(&answer), CLIENT_TIMEOUT).await;
             return;
         };
@@ -480,11 +478,11 @@
                 "this node speaks version {VERSION}, not {v}; use its own program"
             )));
         }
-        None => return Err(error_answer("no request; write a line of JSON with \"v\" and \"ask\"".into())),
+        None => return Err(error_answer("no question; write a line of JSON with \"v\" and \"ask\"".into())),
     }
     serde_json::from_str::<RequestEnvelope>(line)
         .map(|envelope| envelope.request)
-        .map_err(|error| error_answer(format!("invalid request: {error}")))
+        .map_err(|error| error_answer(format!("no question: {error}")))
 }
 
 fn server_name(request: &ControlRequest) -> &str {
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -174,25 +174,17 @@
         let unclassified = outcome_counters("");
         let classes = classes.into_iter().map(|name| (name.clone(), outcome_counters(&name))).collect();
         let (attempts, in_progress, known, skipped): (Counter, Gauge, Gauge, Gauge) = Default::default();
-        registry.register("requests", "Requests by class and outcome", requests);
-        registry.register("upstream_tries", "Attempts written completely to servers", attempts.clone());
+        registry.register("requests", "Requests by class and end", requests);
+        registry.register("upstream_tries", "Attempts written whole to servers", attempts.clone());
         let withheld = Counter::default();
-        registry.register("withheld", "Attempts that were decided on but could not begin", withheld.clone());
+        registry.register("withheld", "Attempts that were decided and could not begin", withheld.clone());
         let violations_by_rule = Family::<RuleLabels, Counter>::default();
         let counter = |rule: Rule| violations_by_rule.get_or_create_owned(&RuleLabels { rule: rule.name() });
         let violations = ViolationCounters(Arc::new(Rule::ALL.map(counter)));
-        registry.register(
-            "violations",
-            "ViolationCounters of protocol rules that the node observed itself",
-            violations_by_rule.clone(),
-        );
-        registry.register("in_progress", "Requests in progress", in_progress.clone());
+        registry.register("violations", "Rules that the node itself saw broken", violations_by_rule.clone());
+        registry.register("in_progress", "Requests taken and not ended", in_progress.clone());
         registry.register("known_cache_servers", "Caches in the list", known.clone());
-        registry.register(
-            "skipped_cache_servers",
-            "Caches in the list that are currently avoided",
-            skipped.clone(),
-        );
+        registry.register("skipped_cache_servers", "Listed caches that are avoided now", skipped.clone());
         let (siblings, replica, registry) = (OnceLock::new(), OnceLock::new(), Mutex::new(registry));
         Metrics(Arc::new(Inner {
             classes,
@@ -252,7 +244,7 @@
     /// Sets the numbers of other nodes that are alive, gone and in an unknown state. These metrics are exported from
     /// the first call on.
     pub fn set_sibling_counts(&self, counts: [usize; 3]) {
-        self.set_gauges(&self.0.siblings, SIBLING_GAUGES, "Other nodes, as seen by this node", counts);
+        self.set_gauges(&self.0.siblings, SIBLING_GAUGES, "Other nodes, as this one sees them", counts);
     }
 
     /// Sets the number of replicated records, the number of conflicting orders, and whether this node is behind (1 or
@@ -261,7 +253,7 @@
         self.set_gauges(
             &self.0.replica,
             REPLICA_GAUGES,
-            "The replicated store, as seen by this node",
+            "What all nodes hold in common, as this one has it",
             counts,
         );
     }
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -151,7 +151,7 @@
             .collect();
         match (in_flight.is_empty(), wait_reason) {
             (false, _) => format!("at {}", in_flight.join(" and at ")),
-            (true, TraceWaitReason::ConcurrencyLimit) => "the concurrency limit is reached".into(),
+            (true, TraceWaitReason::ConcurrencyLimit) => "no place: as much is out as may be".into(),
             (true, TraceWaitReason::SharedFetch) => "another request fetches its key".into(),
             (true, TraceWaitReason::RetryBackoff) => "pauses before its next try".into(),
             (true, TraceWaitReason::Undecided) => "is being decided".into(),
@@ -195,12 +195,12 @@
     match outcome {
         AttemptOutcome::Served => "served",
         AttemptOutcome::Miss => "holds no value for the key",
-        AttemptOutcome::Refused => "refused it",
+        AttemptOutcome::Refused => "turned it away",
         AttemptOutcome::Error => "answered with an error",
         AttemptOutcome::TimedOut => "no answer in time",
         AttemptOutcome::NoConnection => "no connection",
         AttemptOutcome::ConnectionLost => "the connection broke",
-        AttemptOutcome::Canceled => "canceled",
-        AttemptOutcome::NotSent => "not sent: the concurrency limit is reached, or it is out of service",
+        AttemptOutcome::Canceled => "called off",
+        AttemptOutcome::NotSent => "not sent: no place, or it serves no more",
     }
 }
