--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -236,7 +236,8 @@
         });
         let (seed, setup) = (seed.ok()?, setup.ok()?);
         let site = setup.names.all_classes().join(",");
-        let siblings = Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site);
+        let siblings =
+            Site::from_platform_settings(setup.peers_allowed, peer_listen, peers, setup.node_index, site);
         let (limits, known) = (file.limits, file.known);
         Some(Read { listen, discovery, admin, seed, limits, known, setup, siblings })
     }
--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -25,7 +25,7 @@
 }
 
 /// Gives an order on the node itself.
-pub fn node(args: &ControlArgs, verb: Verb) -> ExitCode {
+pub fn node_command(args: &ControlArgs, verb: Verb) -> ExitCode {
     code(ask(args, verb))
 }
 
--- a/crates/lilacquay/src/main.rs
+++ b/crates/lilacquay/src/main.rs
@@ -53,12 +53,12 @@
         Some(Command::Status(args)) => control::status(&args),
         Some(Command::Console(args)) => console(args),
         Some(Command::Events(args)) => control::events(&args),
-        Some(Command::Reload(args)) => control::node(&args, Verb::Reload),
+        Some(Command::Reload(args)) => control::node_command(&args, Verb::Reload),
         Some(Command::Level(args)) => control::level(args),
-        Some(Command::Leave(args)) => control::node(&args, Verb::Leave),
-        Some(Command::Join(args)) => control::node(&args, Verb::Join),
-        Some(Command::Stop(args)) => control::node(&args, Verb::Stop),
-        Some(Command::Diagnose(args)) => control::node(&args, Verb::Diagnose),
+        Some(Command::Leave(args)) => control::node_command(&args, Verb::Leave),
+        Some(Command::Join(args)) => control::node_command(&args, Verb::Join),
+        Some(Command::Stop(args)) => control::node_command(&args, Verb::Stop),
+        Some(Command::Diagnose(args)) => control::node_command(&args, Verb::Diagnose),
         Some(Command::Siblings(args)) => control::siblings(&args),
         Some(Command::Replica(args)) => control::replica(&args),
         Some(Command::Orders(args)) => control::orders(&args),
@@ -126,7 +126,7 @@
             };
             match ended {
                 Err(Failure::Core(what)) => {
-                    let pause = backoff.failed(start.elapsed());
+                    let pause = backoff.delay_after_failure(start.elapsed());
                     error!(
                         pause_ms = pause.as_millis() as u64,
                         "the node has failed and is started again: {what}"
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -107,7 +107,7 @@
     let version = version.filter(|_| !known.servers.is_empty());
     let quotas = config.quota.as_ref().map(|quota| quota.admission(&config.setup.names));
     let (to_lists, lists) = mpsc::unbounded_channel();
-    let in_common = config.siblings.as_ref().is_some_and(|site| site.common.any());
+    let in_common = config.siblings.as_ref().is_some_and(|site| site.replicated_kinds.any());
     // Orders in common that lasted are told to the others again, and what the process before held is held on.
     let lasted = steered.iter().flatten().filter_map(KeptRecord::of);
     let kept = lasted.chain(received.copy.iter().filter_map(KeptRecord::handed)).collect();
--- a/crates/lilacquay/src/options.rs
+++ b/crates/lilacquay/src/options.rs
@@ -190,7 +190,7 @@
         assert!(options.admin.is_some() && !options.prometheus);
         assert!(options.siblings.is_some_and(|site| site.nodes.len() == 3 && site.me == 0));
         let example = Options::read(&file.with_file_name("siblings.toml")).unwrap();
-        assert!(example.siblings.is_some_and(|site| site.nodes.len() == 3 && site.common.evidence));
+        assert!(example.siblings.is_some_and(|site| site.nodes.len() == 3 && site.replicated_kinds.evidence));
     }
 
     #[test]
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -49,12 +49,12 @@
     /// This node's number.
     pub me: usize,
     /// What they hold in common.
-    pub common: Kinds,
+    pub replicated_kinds: Kinds,
 }
 
 impl Site {
     /// What the platform tells; nothing where nodes may not speak to one another, or there is nobody to speak to.
-    pub fn of_platform(
+    pub fn from_platform_settings(
         allowed: bool,
         listen: Option<SocketAddr>,
         nodes: Vec<SocketAddr>,
@@ -62,7 +62,7 @@
         name: String,
     ) -> Option<Site> {
         let (listen, me) = (listen.filter(|_| allowed)?, me?);
-        let site = Site { name, listen, nodes, me, common: Kinds::PLATFORM };
+        let site = Site { name, listen, nodes, me, replicated_kinds: Kinds::PLATFORM };
         let good = site.nodes.len() > 1 && site.nodes.len() <= MOST && me < site.nodes.len();
         (good && site.twice().is_none()).then_some(site)
     }
@@ -103,8 +103,8 @@
             section.note(place, "nodes", "too few or too many", "list 2 to 65535 nodes, this one among them");
         }
         let me = section.number("me", 0..=nodes.len().saturating_sub(1));
-        let common = Kinds::read(&mut section);
-        let site = Site { name: name?, listen: listen?, nodes, me: me?, common };
+        let replicated_kinds = Kinds::read(&mut section);
+        let site = Site { name: name?, listen: listen?, nodes, me: me?, replicated_kinds };
         if let Some(twice) = site.twice() {
             section.note(place, "nodes", format!("{twice} stands there twice"), "list each node once");
         }
@@ -188,7 +188,7 @@
         };
         let by_address = site.nodes.iter().copied().zip(0..).collect();
         let siblings = Membership::new(setup, clock.now(), wall());
-        let common = site.common.any().then(|| {
+        let common = site.replicated_kinds.any().then(|| {
             let setup = lilacquay_replica::Setup {
                 own_index: site.me,
                 node_count: site.nodes.len(),
@@ -197,7 +197,7 @@
                 incarnation: siblings.incarnation(),
             };
             let (orders, commands) = (ties.orders.clone(), ties.commands.clone());
-            let mut common = Common::new(setup, site.common, clock.now(), orders, commands);
+            let mut common = Common::new(setup, site.replicated_kinds, clock.now(), orders, commands);
             common.restore(clock.now(), std::mem::take(&mut ties.kept));
             common
         });
--- a/crates/lilacquay/src/supervisor.rs
+++ b/crates/lilacquay/src/supervisor.rs
@@ -21,7 +21,7 @@
 
 impl Backoff {
     /// A run has failed after so long; tells the pause before the next.
-    pub fn failed(&mut self, ran: Duration) -> Duration {
+    pub fn delay_after_failure(&mut self, ran: Duration) -> Duration {
         if ran >= WELL {
             self.failures = 0;
         }
@@ -37,7 +37,7 @@
     loop {
         let start = Instant::now();
         let ended = AbortOnDropHandle::new(tokio::spawn(part())).await;
-        let pause = backoff.failed(start.elapsed());
+        let pause = backoff.delay_after_failure(start.elapsed());
         match ended {
             Err(failed) if failed.is_panic() => {
                 error!(
@@ -65,10 +65,11 @@
     #[test]
     fn pauses_double_to_the_longest_and_begin_anew_after_a_long_run() {
         let mut backoff = Backoff::default();
-        let pauses: Vec<u128> = (0..12).map(|_| backoff.failed(Duration::ZERO).as_millis()).collect();
+        let pauses: Vec<u128> =
+            (0..12).map(|_| backoff.delay_after_failure(Duration::ZERO).as_millis()).collect();
         assert_eq!(pauses[..10], [100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800, 25_600, 30_000]);
-        assert_eq!(backoff.failed(WELL), FIRST);
-        assert_eq!(backoff.failed(WELL - Duration::from_millis(1)), FIRST * 2);
+        assert_eq!(backoff.delay_after_failure(WELL), FIRST);
+        assert_eq!(backoff.delay_after_failure(WELL - Duration::from_millis(1)), FIRST * 2);
     }
 
     #[tokio::test(start_paused = true)]
