--- a/crates/lilacquay/src/admin.rs
+++ b/crates/lilacquay/src/admin.rs
@@ -1,4 +1,4 @@
-//! What the second address answers: the node's life and its figures.
+//! Answers calls on the admin address (the second address, of the table `[admin]`): health, metrics, and orders to leave or join service.
 
 use lilacquay_admin::CallHandler;
 use lilacquay_admin::call::{Answer, Call};
@@ -7,40 +7,40 @@
 use lilacquay_metrics::Book;
 use tracing::{info, warn};
 
-use crate::lifecycle::Keeper;
+use crate::lifecycle::NodeLifecycle;
 
-/// All that a call needs is in memory: none waits for the core.
-pub struct Desk {
-    pub keeper: Keeper,
-    pub book: Book,
-    /// Whether figures are told in Prometheus' text.
+/// Answers calls on the admin address. All that a call needs is in memory, so that none waits for the core.
+pub struct AdminHandler {
+    pub lifecycle: NodeLifecycle,
+    pub metrics: Book,
+    /// Whether metrics are written in the Prometheus text format.
     pub prometheus: bool,
-    /// Where orders are recorded, if the node has a state folder.
-    pub audit: Option<Folder>,
+    /// The folder of the audit log, if the node has a state folder.
+    pub audit_folder: Option<Folder>,
 }
 
-impl CallHandler for Desk {
+impl CallHandler for AdminHandler {
     fn handle(&self, call: Call) -> Answer {
         match call {
-            Call::Health if self.keeper.bearing().borrow().healthy => Answer::Ack,
-            Call::Health => Answer::Nak(format!("the node is {}", self.keeper.state())),
-            Call::Dump if self.prometheus => Answer::Metrics(self.book.prometheus()),
-            Call::Dump => Answer::Metrics(self.book.lines()),
-            Call::Leave => self.order(call, Verb::Leave, Event::Leave),
-            Call::Join => self.order(call, Verb::Join, Event::Join),
+            Call::Health if self.lifecycle.service_mode().borrow().healthy => Answer::Ack,
+            Call::Health => Answer::Nak(format!("the node is {}", self.lifecycle.state())),
+            Call::Dump if self.prometheus => Answer::Metrics(self.metrics.prometheus()),
+            Call::Dump => Answer::Metrics(self.metrics.lines()),
+            Call::Leave => self.carry_out(call, Verb::Leave, Event::Leave),
+            Call::Join => self.carry_out(call, Verb::Join, Event::Join),
         }
     }
 }
 
-impl Desk {
-    fn order(&self, call: Call, verb: Verb, event: Event) -> Answer {
-        let told = self.keeper.tell(event);
-        let outcome = told.map_or_else(|why| why.to_string(), |()| "obeyed".into());
+impl AdminHandler {
+    fn carry_out(&self, call: Call, verb: Verb, event: Event) -> Answer {
+        let result = self.lifecycle.handle_event(event);
+        let outcome = result.map_or_else(|why| why.to_string(), |()| "obeyed".into());
         info!("{} on the second address: {outcome}", call.keyword());
         let record = |folder: &Folder| folder.audit(&verb, &outcome);
-        if let Some(Err(error)) = self.audit.as_ref().map(record) {
-            warn!("an order is not recorded: {error}; make room in the state folder");
+        if let Some(Err(error)) = self.audit_folder.as_ref().map(record) {
+            warn!("an order could not be written to the audit log: {error}; free space in the state folder");
         }
-        told.map_or_else(|_| Answer::Nak(outcome), |()| Answer::Ack)
+        result.map_or_else(|_| Answer::Nak(outcome), |()| Answer::Ack)
     }
 }
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -1,8 +1,10 @@
-//! The I/O of a hand-over: a socket and a lock in the folder that the processes of a node share, through which the one
-//! that runs and the one that is started beside it meet. Who may use what, the [`ResourceSplit`] decides.
+//! The I/O of a handover between two processes of a node, through a Unix socket and a lock file in the folder that they
+//! share. A process that starts takes over the state of its predecessor and hands it on to its successor later. How much
+//! of the shared resources each may use is decided by [`ResourceSplit`].
 //!
-//! The lock tells whether any other process of the node lives: each holds it shared, and only one that is alone gets
-//! it whole. The kernel lets go of it whatever way a process ends. The socket is of the process that has no elder.
+//! The lock tells whether another process of the node is alive: each holds it shared, and only a process that is alone
+//! gets it exclusively. The kernel releases it however a process ends. A process listens on the socket once it has no
+//! living predecessor.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -25,95 +27,96 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout, timeout_at};
 use tracing::{info, warn};
 
-/// An elder that has not told all after so long does not answer.
-const ANSWER: Duration = Duration::from_secs(1);
-/// One that must wait for its turn asks again after this ...
-const AGAIN: Duration = Duration::from_millis(50);
-/// ... and no longer than this: the platform waits 6 s for a yes.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// How often it is looked at what is held, and who has died.
-const LOOK: Duration = Duration::from_millis(50);
-/// Where it can't be listened, it is tried again after so long.
-const NEXT_LISTEN: Duration = Duration::from_secs(10);
-/// The forms of the parts.
-const LIST: u32 = 1;
-const LEARNED: u32 = 1;
-const COPY: u32 = 1;
+/// A predecessor that has not sent its complete state within this time counts as unresponsive. Also bounds the write of one
+/// message, the wait for the first message of a successor, and each query of this process's own state.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a process that was told to wait, or found no listener, asks again.
+const TAKEOVER_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long a process goes on asking for a takeover. The platform waits 6 s for it to report that it is ready.
+const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Interval between checks of the resources in use and of the other processes' deaths.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay before another attempt to listen after a failed one.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// Format versions of the parts of the state that is handed over.
+const LIST_VERSION: u32 = 1;
+const LEARNED_VERSION: u32 = 1;
+const COPY_VERSION: u32 = 1;
 
-/// Where the processes of a node meet.
+/// Paths of the handover socket and of the lock file.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct HandoverPaths {
     socket: PathBuf,
     lock: PathBuf,
 }
 
-impl Place {
-    /// For a node that listens at this port, in a folder that all its processes share.
-    pub fn new(folder: PathBuf, port: u16) -> Place {
-        let file = |ending: &str| folder.join(format!("lilacquay-{port}.{ending}"));
-        Place { socket: file("next"), lock: file("lock") }
+impl HandoverPaths {
+    /// The paths for a node that listens on `port`, in a folder that all its processes share.
+    pub fn new(folder: PathBuf, port: u16) -> HandoverPaths {
+        let file = |extension: &str| folder.join(format!("lilacquay-{port}.{extension}"));
+        HandoverPaths { socket: file("next"), lock: file("lock") }
     }
 
-    fn lock(&self) -> io::Result<File> {
+    fn open_lock_file(&self) -> io::Result<File> {
         OpenOptions::new().create(true).truncate(false).write(true).open(&self.lock)
     }
 }
 
-/// What came from the process before.
+/// The state received from the predecessor.
 #[derive(Debug, Default)]
 pub struct Received {
-    /// The list, and the version from which its source goes on.
+    /// The server list, and the version from which its source continues.
     pub list: Option<(ServerList, Option<u64>)>,
-    /// What was learned.
+    /// What the predecessor has learned about the servers.
     pub learned: Option<Learned>,
-    /// What it held in common with other nodes: records as text, and how long each lives yet, in microseconds.
-    pub copy: Vec<(String, Option<u64>)>,
+    /// The predecessor's replicated records: each encoded as text, with the remaining lifetime in microseconds.
+    pub replicated_records: Vec<(String, Option<u64>)>,
 }
 
-/// Who is asked for what the process holds in common with other nodes.
-pub type Holder = Arc<mpsc::Sender<SiblingsAsk>>;
+/// Sends requests to the siblings task, which holds the replicated records.
+pub type SiblingsSender = Arc<mpsc::Sender<SiblingsAsk>>;
 
-/// A process's side of the tie.
-pub struct Succession {
-    place: Place,
-    tie: ResourceSplit,
-    portion: ResourceShare,
-    /// Held as long as the process lives.
-    lock: File,
-    elder: Option<Peer>,
-    heir: Option<Peer>,
+/// One process's side of the handovers with its predecessor and its successor.
+pub struct HandoverSession {
+    paths: HandoverPaths,
+    resource_split: ResourceSplit,
+    resource_share: ResourceShare,
+    /// Kept open, and so locked, as long as the process lives.
+    lock_file: File,
+    predecessor: Option<Peer>,
+    successor: Option<Peer>,
     listener: Option<UnixListener>,
-    /// When it may be tried to listen, after it has failed.
-    listens_at: Instant,
+    /// Earliest time of the next attempt to listen.
+    next_listen_attempt_at: Instant,
 }
 
-/// The other end of a tie.
+/// The connection with the predecessor or the successor.
 struct Peer {
     stream: UnixStream,
     pid: i32,
     buffer: BytesMut,
-    /// Its connection has ended, which is no proof that it is dead.
-    ended: bool,
+    /// Its connection has ended, which does not prove that the process is dead.
+    disconnected: bool,
 }
 
 impl Peer {
     fn new(stream: UnixStream) -> io::Result<Peer> {
         let pid = stream.peer_cred()?.pid().ok_or(io::ErrorKind::Unsupported)?;
-        Ok(Peer { stream, pid, buffer: BytesMut::new(), ended: false })
+        Ok(Peer { stream, pid, buffer: BytesMut::new(), disconnected: false })
     }
 
-    async fn say(&mut self, message: &Message) -> io::Result<()> {
-        let mut text = BytesMut::new();
-        messages::encode(message, &mut text);
-        timeout(ANSWER, self.stream.write_all(&text)).await?
+    async fn send(&mut self, message: &Message) -> io::Result<()> {
+        let mut encoded = BytesMut::new();
+        messages::encode(message, &mut encoded);
+        timeout(ANSWER_TIMEOUT, self.stream.write_all(&encoded)).await?
     }
 
-    /// The next message; what is declined is passed over, and said.
-    async fn hear(&mut self) -> io::Result<Message> {
+    /// Receives the next message; parts that are declined are skipped and logged.
+    async fn receive(&mut self) -> io::Result<Message> {
         loop {
             match messages::decode(&mut self.buffer) {
                 Ok(Some(Decoded::Message(message))) => return Ok(message),
-                Ok(Some(Decoded::Declined(why))) => warn!("a part of the hand-over is declined: {why}"),
+                Ok(Some(Decoded::Declined(why))) => warn!("a part of the handover is declined: {why}"),
                 Ok(None) => {
                     if self.stream.read_buf(&mut self.buffer).await? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Whether the process has ended, also if nobody has waited for it yet.
+    /// Whether the process has ended. A zombie, for which its parent has not waited yet, counts as dead.
     fn is_dead(&self) -> bool {
         let Ok(stat) = std::fs::read_to_string(format!("/proc/{}/stat", self.pid)) else { return true };
         let state = stat.rsplit(')').next().and_then(|rest| rest.trim_start().chars().next());
@@ -132,35 +135,45 @@
     }
 }
 
-impl Succession {
-    /// Meets the process before, if there is one, and takes what it hands over.
+impl HandoverSession {
+    /// Connects to the predecessor, if there is one, and receives the state that it hands over.
     ///
     /// # Errors
-    /// If the folder can't be used. Then nothing passes, and nobody can be met.
-    pub async fn begin(place: Place, portion: ResourceShare) -> io::Result<(Succession, Received)> {
-        let lock = place.lock()?;
-        let (tie, elder, heir, listener) = Default::default();
-        let listens_at = Instant::now();
-        let mut this = Succession { place, tie, portion, lock, elder, heir, listener, listens_at };
-        let (until, mut received) = (Instant::now() + PATIENCE, Received::default());
+    /// If the folder can't be used. No handover, now or later, is possible then.
+    pub async fn begin(
+        paths: HandoverPaths,
+        resource_share: ResourceShare,
+    ) -> io::Result<(HandoverSession, Received)> {
+        let lock_file = paths.open_lock_file()?;
+        let mut this = HandoverSession {
+            paths,
+            resource_split: ResourceSplit::default(),
+            resource_share,
+            lock_file,
+            predecessor: None,
+            successor: None,
+            listener: None,
+            next_listen_attempt_at: Instant::now(),
+        };
+        let (deadline, mut received) = (Instant::now() + TAKEOVER_TIMEOUT, Received::default());
         loop {
             if this.is_alone() {
-                this.on(Event::NoPredecessor).await;
+                this.handle_event(Event::NoPredecessor).await;
                 break;
             }
-            let asked = timeout(ANSWER, this.ask(&mut received)).await;
-            match asked {
+            let result = timeout(ANSWER_TIMEOUT, this.request_takeover(&mut received)).await;
+            match result {
                 Ok(Ok(true)) => break,
-                // Told to wait, or nobody listens yet.
-                Ok(Ok(false) | Err(_)) if this.elder.is_none() && Instant::now() < until => {
-                    sleep(AGAIN).await
+                // Told to wait, or no process listens yet.
+                Ok(Ok(false) | Err(_)) if this.predecessor.is_none() && Instant::now() < deadline => {
+                    sleep(TAKEOVER_RETRY_DELAY).await
                 }
                 _ => {
                     warn!(
-                        "another process of this node lives and hands nothing over: served with what is kept for that"
+                        "another process of this node is alive but hands nothing over; serving with the reserved share of resources"
                     );
-                    this.elder.iter_mut().for_each(|elder| elder.ended = true); // its death is looked for
-                    this.on(Event::PredecessorUnresponsive).await;
+                    this.predecessor.iter_mut().for_each(|predecessor| predecessor.disconnected = true); // so that its death is checked
+                    this.handle_event(Event::PredecessorUnresponsive).await;
                     break;
                 }
             }
@@ -168,30 +181,30 @@
         Ok((this, received))
     }
 
-    /// Whether no other process of the node lives; from then on others see that this one does.
+    /// Whether no other process of the node is alive. Leaves the shared lock in place, by which others see this process.
     fn is_alone(&self) -> bool {
-        let alone = flock(&self.lock, FlockOperation::NonBlockingLockExclusive).is_ok();
-        // Refused only while another looks as well; it is looked at again.
-        let shown = flock(&self.lock, FlockOperation::NonBlockingLockShared).is_ok();
-        alone && shown
+        let alone = flock(&self.lock_file, FlockOperation::NonBlockingLockExclusive).is_ok();
+        // Refused only while another process is checking at the same time; the check is repeated later.
+        let lock_is_shared = flock(&self.lock_file, FlockOperation::NonBlockingLockShared).is_ok();
+        alone && lock_is_shared
     }
 
-    /// Asks whoever listens, and takes what that tells. False if it is told to wait.
-    async fn ask(&mut self, received: &mut Received) -> io::Result<bool> {
-        let mut peer = Peer::new(UnixStream::connect(&self.place.socket).await?)?;
+    /// Asks the listening process for a takeover and receives its state. False if told to wait.
+    async fn request_takeover(&mut self, received: &mut Received) -> io::Result<bool> {
+        let mut peer = Peer::new(UnixStream::connect(&self.paths.socket).await?)?;
         let build = env!("CARGO_PKG_VERSION").to_owned();
-        peer.say(&Message::TakeoverRequest { pid: std::process::id(), build }).await?;
-        let Message::Accepted { build, .. } = peer.hear().await? else { return Ok(false) };
+        peer.send(&Message::TakeoverRequest { pid: std::process::id(), build }).await?;
+        let Message::Accepted { build, .. } = peer.receive().await? else { return Ok(false) };
         info!("process {} of build {build} hands over", peer.pid);
-        // From here on it has an heir, whatever becomes of the words between the two.
-        self.elder = Some(peer);
-        self.on(Event::PredecessorAccepted).await;
+        // From here on the other process has a successor, whatever happens to the messages between the two.
+        self.predecessor = Some(peer);
+        self.handle_event(Event::PredecessorAccepted).await;
         loop {
-            match hear(&mut self.elder).await? {
-                Message::StatePart { name, version, body } => received.take(&name, version, body),
-                Message::Grant(all) => self.on(Event::Granted(all)).await,
-                // With nothing granted it could serve nobody: the elder lets go of something first.
-                Message::StateComplete if self.tie.limit() > 0 => return Ok(true),
+            match receive(&mut self.predecessor).await? {
+                Message::StatePart { name, version, body } => received.accept_part(&name, version, body),
+                Message::Grant(share) => self.handle_event(Event::Granted(share)).await,
+                // With no share granted this process could serve nobody: it waits until the predecessor has released one.
+                Message::StateComplete if self.resource_split.limit() > 0 => return Ok(true),
                 Message::StateComplete
                 | Message::Wait
                 | Message::Accepted { .. }
@@ -200,187 +213,206 @@
         }
     }
 
-    async fn on(&mut self, event: Event) {
-        for action in self.tie.on_event(event) {
-            if let (Action::Grant(all), Some(heir)) = (action, &mut self.heir) {
-                // One that is gone is found dead later; its part comes back then.
-                let _ = heir.say(&Message::Grant(all)).await;
+    /// Passes an event to the resource split, sends the grants that follow and updates this process's share.
+    async fn handle_event(&mut self, event: Event) {
+        for action in self.resource_split.on_event(event) {
+            if let (Action::Grant(share), Some(successor)) = (action, &mut self.successor) {
+                // The death of a successor that is gone is noticed later; its share returns then.
+                let _ = successor.send(&Message::Grant(share)).await;
             }
         }
-        self.portion.set(self.tie.limit(), self.tie.has_live_peer());
+        self.resource_share.set(self.resource_split.limit(), self.resource_split.has_live_peer());
     }
 
-    /// Keeps the tie for as long as the process runs; ends only with it. `holds` tells what it holds, in thousandths.
-    pub async fn keep(
+    /// Runs for as long as the process: exchanges grants with the other processes, notices their deaths and accepts a
+    /// successor. `thousandths_in_use` returns this process's use of the shared resources, in thousandths.
+    pub async fn run(
         mut self,
-        orders: CoreHandle,
-        copy: Option<Holder>,
-        holds: impl Fn() -> u32 + Send,
-        mut bearing: watch::Receiver<ServiceMode>,
+        core: CoreHandle,
+        siblings: Option<SiblingsSender>,
+        thousandths_in_use: impl Fn() -> u32 + Send,
+        mut service_mode: watch::Receiver<ServiceMode>,
     ) {
-        let (mut stopping, mut looks) = (false, interval(LOOK));
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let (mut stopping, mut checks) = (false, interval(CHECK_INTERVAL));
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let listens = self.listener.is_some() || stopping || Instant::now() < self.listens_at;
-            if self.tie.predecessor() == PredecessorState::Absent && !listens {
+            let must_not_listen =
+                self.listener.is_some() || stopping || Instant::now() < self.next_listen_attempt_at;
+            if self.resource_split.predecessor() == PredecessorState::Absent && !must_not_listen {
                 self.listen();
             }
             tokio::select! {
-                _ = looks.tick() => {
-                    self.on(Event::InUse(holds())).await;
-                    self.look().await;
+                _ = checks.tick() => {
+                    self.handle_event(Event::InUse(thousandths_in_use())).await;
+                    self.check_for_deaths().await;
                 }
-                Ok(stream) = accept(&self.listener) => self.asked(stream, &orders, copy.as_ref()).await,
-                message = hear(&mut self.elder) => match message {
-                    Ok(Message::Grant(all)) => self.on(Event::Granted(all)).await,
+                Ok(stream) = accept(&self.listener) => self.handle_takeover_request(stream, &core, siblings.as_ref()).await,
+                message = receive(&mut self.predecessor) => match message {
+                    Ok(Message::Grant(share)) => self.handle_event(Event::Granted(share)).await,
                     Ok(_) => {}
-                    Err(_) => if let Some(elder) = &mut self.elder {
-                        elder.ended = true;
+                    Err(_) => if let Some(predecessor) = &mut self.predecessor {
+                        predecessor.disconnected = true;
                     }
                 },
-                _ = hear(&mut self.heir) => if let Some(heir) = &mut self.heir {
-                    heir.ended = true; // it has nothing more to say
+                _ = receive(&mut self.successor) => if let Some(successor) = &mut self.successor {
+                    successor.disconnected = true; // a successor sends nothing after its request
                 },
-                Ok(()) = bearing.changed() => {
-                    let now = *bearing.borrow();
-                    // Life says of a process that finishes that it takes nobody, while the pair does.
-                    if !stopping && !now.accepts_connections {
+                Ok(()) = service_mode.changed() => {
+                    let current = *service_mode.borrow();
+                    // A process that shuts down stops accepting connections, while its successor still accepts them.
+                    if !stopping && !current.accepts_connections {
                         stopping = true;
-                        self.on(Event::Stop).await;
+                        self.handle_event(Event::Stop).await;
                     }
                 }
             }
         }
     }
 
-    /// Looks for the dead. Also one whose elder never answered learns here that it is alone.
-    async fn look(&mut self) {
-        if self.heir.as_ref().is_some_and(|heir| heir.ended && heir.is_dead()) {
-            info!("the process that was to follow has ended");
-            self.heir = None;
-            self.on(Event::SuccessorDied).await;
+    /// Checks whether the predecessor or the successor has died. A process whose predecessor never answered also finds
+    /// out here that it is alone.
+    async fn check_for_deaths(&mut self) {
+        if self.successor.as_ref().is_some_and(|successor| successor.disconnected && successor.is_dead()) {
+            info!("the successor process has ended");
+            self.successor = None;
+            self.handle_event(Event::SuccessorDied).await;
         }
-        if self.elder.as_ref().is_some_and(|elder| elder.ended && elder.is_dead()) {
-            info!("the process before has ended: all is this one's");
-            self.elder = None;
-            self.on(Event::NoPredecessor).await;
+        if self
+            .predecessor
+            .as_ref()
+            .is_some_and(|predecessor| predecessor.disconnected && predecessor.is_dead())
+        {
+            info!("the predecessor process has ended; all resources are available to this process");
+            self.predecessor = None;
+            self.handle_event(Event::NoPredecessor).await;
         }
-        if self.tie.predecessor() == PredecessorState::Unresponsive && self.is_alone() {
-            self.on(Event::NoPredecessor).await;
+        if self.resource_split.predecessor() == PredecessorState::Unresponsive && self.is_alone() {
+            self.handle_event(Event::NoPredecessor).await;
         }
     }
 
-    /// Takes the place where the next process asks; what is left there is of the dead.
+    /// Listens on the handover socket for a successor. A socket file left by a dead process is replaced.
     fn listen(&mut self) {
-        let fresh = self.place.socket.with_extension("new");
-        let _ = std::fs::remove_file(&fresh); // may not be there
-        let bound = UnixListener::bind(&fresh);
-        let listener = bound.and_then(|listener| {
-            std::fs::rename(&fresh, &self.place.socket)?;
+        let new_socket = self.paths.socket.with_extension("new");
+        let _ = std::fs::remove_file(&new_socket); // may not be there
+        let bind_result = UnixListener::bind(&new_socket);
+        let listener = bind_result.and_then(|listener| {
+            std::fs::rename(&new_socket, &self.paths.socket)?;
             Ok(listener)
         });
         match listener {
             Ok(listener) => self.listener = Some(listener),
             Err(error) => {
-                self.listens_at = Instant::now() + NEXT_LISTEN;
-                warn!("no process can take over from this one: {error}; make {fresh:?} writable");
+                self.next_listen_attempt_at = Instant::now() + LISTEN_RETRY_DELAY;
+                warn!("no process can take over from this one: {error}; make {new_socket:?} writable");
             }
         }
     }
 
-    /// Somebody asks to follow.
-    async fn asked(&mut self, stream: UnixStream, orders: &CoreHandle, copy: Option<&Holder>) {
+    /// Answers a process that asks to become the successor.
+    async fn handle_takeover_request(
+        &mut self,
+        stream: UnixStream,
+        core: &CoreHandle,
+        siblings: Option<&SiblingsSender>,
+    ) {
         let Ok(mut peer) = Peer::new(stream) else { return };
-        match timeout(ANSWER, peer.hear()).await {
+        match timeout(ANSWER_TIMEOUT, peer.receive()).await {
             Ok(Ok(Message::TakeoverRequest { build, .. })) => {
-                info!("process {} of build {build} asks to follow", peer.pid)
+                info!("process {} of build {build} requests a takeover", peer.pid)
             }
-            _ => return, // one that says nothing of use
+            _ => return, // not a takeover request
         }
-        let actions = self.tie.on_event(Event::SuccessorRequests);
+        let actions = self.resource_split.on_event(Event::SuccessorRequests);
         if !actions.contains(&Action::AcceptSuccessor) {
-            let _ = peer.say(&Message::Wait).await; // it asks again, or has gone
+            let _ = peer.send(&Message::Wait).await; // it asks again, or has ended
             return;
         }
-        let told = self.hand_over(&mut peer, &actions, orders, copy).await;
-        if let Err(error) = told {
-            warn!("handing over: {error}");
+        let result = self.hand_over(&mut peer, &actions, core, siblings).await;
+        if let Err(error) = result {
+            warn!("handing over to the successor failed: {error}");
         }
-        self.heir = Some(peer); // whatever it has understood: what it was granted comes back once it is dead
-        self.portion.set(self.tie.limit(), self.tie.has_live_peer());
+        self.successor = Some(peer); // whatever it has received: its granted share returns once it is dead
+        self.resource_share.set(self.resource_split.limit(), self.resource_split.has_live_peer());
     }
 
     async fn hand_over(
         &self,
-        heir: &mut Peer,
+        successor: &mut Peer,
         actions: &[Action],
-        orders: &CoreHandle,
-        copy: Option<&Holder>,
+        core: &CoreHandle,
+        siblings: Option<&SiblingsSender>,
     ) -> io::Result<()> {
         let build = env!("CARGO_PKG_VERSION").to_owned();
-        heir.say(&Message::Accepted { pid: std::process::id(), build }).await?;
+        successor.send(&Message::Accepted { pid: std::process::id(), build }).await?;
         for action in actions {
-            if let Action::Grant(all) = action {
-                heir.say(&Message::Grant(*all)).await?;
+            if let Action::Grant(share) = action {
+                successor.send(&Message::Grant(*share)).await?;
             }
         }
-        if let Ok(Ok(heritage)) = timeout(ANSWER, orders.handover_state()).await {
-            for (name, version, body) in parts(&heritage) {
-                heir.say(&Message::StatePart { name: name.into(), version, body }).await?;
+        if let Ok(Ok(state)) = timeout(ANSWER_TIMEOUT, core.handover_state()).await {
+            for (name, version, body) in state_parts(&state) {
+                successor.send(&Message::StatePart { name: name.into(), version, body }).await?;
             }
         }
-        if let Some(copy) = copy
-            && let Ok(Some(records)) = timeout(ANSWER, held(copy)).await
+        if let Some(siblings) = siblings
+            && let Ok(Some(records)) = timeout(ANSWER_TIMEOUT, replicated_records(siblings)).await
         {
-            let body = serde_json::to_value(records).unwrap_or_default(); // text and numbers alone
-            heir.say(&Message::StatePart { name: "copy".into(), version: COPY, body }).await?;
+            let body = serde_json::to_value(records).unwrap_or_default(); // cannot fail: only text and numbers
+            successor.send(&Message::StatePart { name: "copy".into(), version: COPY_VERSION, body }).await?;
         }
-        heir.say(&Message::StateComplete).await
+        successor.send(&Message::StateComplete).await
     }
 }
 
 impl Received {
-    fn take(&mut self, name: &str, version: u32, body: Value) {
-        let taken = match name {
-            "list" => messages::decode_part::<DiscoveryResponse>(version, LIST, body.clone()).map(|told| {
-                let known = body["version"].as_u64();
-                self.list = Some((ServerList { full: true, ..told.list }, known));
-            }),
-            "copy" => messages::decode_part(version, COPY, body).map(|copy| self.copy = copy),
-            "learned" => {
-                messages::decode_part(version, LEARNED, body).map(|learned| self.learned = Some(learned))
-            }
-            _ => Err("not known here".into()),
+    fn accept_part(&mut self, name: &str, version: u32, body: Value) {
+        let result = match name {
+            "list" => messages::decode_part::<DiscoveryResponse>(version, LIST_VERSION, body.clone()).map(
+                |response| {
+                    let version = body["version"].as_u64();
+                    self.list = Some((ServerList { full: true, ..response.list }, version));
+                },
+            ),
+            "copy" => messages::decode_part(version, COPY_VERSION, body)
+                .map(|records| self.replicated_records = records),
+            "learned" => messages::decode_part(version, LEARNED_VERSION, body)
+                .map(|learned| self.learned = Some(learned)),
+            _ => Err("unknown part".into()),
         };
-        if let Err(why) = taken {
-            warn!("{name:?} of the hand-over is declined: {why}");
+        if let Err(why) = result {
+            warn!("part {name:?} of the handover is declined: {why}");
         }
     }
 }
 
-fn parts(heritage: &HandoverState) -> [(&'static str, u32, Value); 2] {
-    let servers = heritage.list.servers.iter().map(|server| {
-        let state = match server.state {
+/// The parts of the core's state, each with its name and format version.
+fn state_parts(state: &HandoverState) -> [(&'static str, u32, Value); 2] {
+    let servers = state.list.servers.iter().map(|server| {
+        let server_state = match server.state {
             ServerState::Serving => "SERVING",
             ServerState::Draining => "DRAINING",
             ServerState::Deleted => "DELETED",
         };
         json!({
             "id": server.id, "addr": server.addr, "zone": server.zone, "kind": server.kind, "cell": server.cell,
-            "state": state, "weight": server.weight, "started_ms": server.started_ms,
+            "state": server_state, "weight": server.weight, "started_ms": server.started_ms,
         })
     });
     let servers: Vec<Value> = servers.collect();
-    let list = json!({ "version": heritage.version, "full": true, "servers": servers });
-    // A part that can't be worded is none, and declined.
-    [("list", LIST, list), ("learned", LEARNED, serde_json::to_value(&heritage.learned).unwrap_or_default())]
+    let list = json!({ "version": state.version, "full": true, "servers": servers });
+    // A part that can't be serialized becomes null, which the successor declines.
+    [
+        ("list", LIST_VERSION, list),
+        ("learned", LEARNED_VERSION, serde_json::to_value(&state.learned).unwrap_or_default()),
+    ]
 }
 
-/// What the process holds in common with other nodes.
-async fn held(copy: &Holder) -> Option<Vec<(String, Option<u64>)>> {
-    let (answer, told) = oneshot::channel();
-    copy.send(SiblingsAsk::Records(answer)).await.ok()?;
-    told.await.ok()
+/// The records that the process replicates with other nodes; `None` if the siblings task has ended.
+async fn replicated_records(siblings: &SiblingsSender) -> Option<Vec<(String, Option<u64>)>> {
+    let (answer, records) = oneshot::channel();
+    siblings.send(SiblingsAsk::Records(answer)).await.ok()?;
+    records.await.ok()
 }
 
 async fn accept(listener: &Option<UnixListener>) -> io::Result<UnixStream> {
@@ -390,22 +422,25 @@
     }
 }
 
-async fn hear(peer: &mut Option<Peer>) -> io::Result<Message> {
+async fn receive(peer: &mut Option<Peer>) -> io::Result<Message> {
     match peer {
-        Some(peer) if !peer.ended => peer.hear().await,
+        Some(peer) if !peer.disconnected => peer.receive().await,
         _ => std::future::pending().await,
     }
 }
 
-/// Meets the process before, within a bound on the whole of it; without a folder there is nobody to meet.
-pub async fn begin(place: Option<Place>, portion: &ResourceShare) -> (Option<Succession>, Received) {
-    let Some(place) = place else { return Default::default() };
-    let began =
-        timeout_at(Instant::now() + PATIENCE + ANSWER, Succession::begin(place, portion.clone())).await;
-    match began {
-        Ok(Ok((succession, received))) => (Some(succession), received),
+/// Takes over from the predecessor within an overall time limit. Without paths no handover is possible.
+pub async fn begin(
+    paths: Option<HandoverPaths>,
+    resource_share: &ResourceShare,
+) -> (Option<HandoverSession>, Received) {
+    let Some(paths) = paths else { return Default::default() };
+    let deadline = Instant::now() + TAKEOVER_TIMEOUT + ANSWER_TIMEOUT;
+    let result = timeout_at(deadline, HandoverSession::begin(paths, resource_share.clone())).await;
+    match result {
+        Ok(Ok((session, received))) => (Some(session), received),
         Ok(Err(error)) => {
-            warn!("nothing is handed over: {error}; have TMPDIR name a folder that all processes may write");
+            warn!("nothing is handed over: {error}; set TMPDIR to a folder that all processes may write");
             Default::default()
         }
         Err(_) => Default::default(),
@@ -417,12 +452,12 @@
     use super::*;
 
     #[test]
-    fn a_copy_is_taken_and_one_of_another_form_is_declined_alone() {
+    fn replicated_records_are_accepted_and_only_those_of_another_format_are_declined() {
         let mut received = Received::default();
-        received.take("copy", COPY, json!([["4c52", 5], ["4c53", null]]));
-        assert_eq!(received.copy, [("4c52".to_owned(), Some(5)), ("4c53".to_owned(), None)]);
-        received.take("copy", COPY + 1, json!([]));
-        received.take("copy", COPY, json!({ "no": "copy" }));
-        assert_eq!(received.copy.len(), 2);
+        received.accept_part("copy", COPY_VERSION, json!([["4c52", 5], ["4c53", null]]));
+        assert_eq!(received.replicated_records, [("4c52".to_owned(), Some(5)), ("4c53".to_owned(), None)]);
+        received.accept_part("copy", COPY_VERSION + 1, json!([]));
+        received.accept_part("copy", COPY_VERSION, json!({ "no": "copy" }));
+        assert_eq!(received.replicated_records.len(), 2);
     }
 }
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -1,4 +1,5 @@
-//! The node on real sockets: puts the core, its front, its upstreams and its source of members together.
+//! Runs one node on real sockets: starts the core, the listeners of the protocols, the upstream connector, the membership
+//! sources and the optional tasks (admin, control, siblings, handover), and ends them in order.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,31 +27,32 @@
 use tokio_util::task::AbortOnDropHandle;
 use tracing::{info, warn};
 
-use crate::admin::Desk;
+use crate::admin::AdminHandler;
 use crate::config::{Config, Source};
 use crate::etcd::Etcd;
-use crate::handover::{self, Place};
-use crate::lifecycle::Keeper;
+use crate::handover::{self, HandoverPaths};
+use crate::lifecycle::NodeLifecycle;
 use crate::logging::Logging;
 use crate::memcached::Memcached;
 use crate::quota::Quota;
-use crate::replicated_state::KeptRecord;
-use crate::siblings::{self, Site, Ties};
-use crate::supervisor::keep;
+use crate::replicated_state::SavedRecord;
+use crate::siblings::{self, SiblingsTask, Site};
+use crate::supervisor::supervise;
 
-/// A core that has failed has answered all as failed; its connections have so long to say so.
-const LAST_WRITES: Duration = Duration::from_millis(600);
-/// The time between a process's own end and the earliest kill is 0.1 s; a process that still owes answers then writes them.
-const LAST_MOMENT: Duration = Duration::from_millis(60);
-/// Orders on the node that wait to be carried out.
-const COMMANDS: usize = 16;
+/// How long client connections may still write after a core failure: the core has answered all open requests as failed.
+const WRITE_TIME_AFTER_CORE_FAILURE: Duration = Duration::from_millis(600);
+/// How long a process that still owes answers may write them after the shutdown deadline. The time between that deadline
+/// and the earliest kill is 0.1 s.
+const WRITE_TIME_AFTER_DEADLINE: Duration = Duration::from_millis(60);
+/// Capacity of the queue of operators' commands that are waiting to be carried out.
+const COMMAND_QUEUE_CAPACITY: usize = 16;
 
-/// Why a node has ended that nobody told to.
+/// Why a node has ended without being told to.
 #[derive(Debug)]
 pub enum Failure {
     /// It could not start.
     Start(io::Error),
-    /// Its core has failed. What it had taken was answered as failed.
+    /// Its core has failed. The requests that it had accepted were answered as failed.
     Core(String),
 }
 
@@ -58,7 +60,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Failure::Start(error) => error.fmt(f),
-            Failure::Core(what) => write!(f, "the core has failed: {what}"),
+            Failure::Core(reason) => write!(f, "the core has failed: {reason}"),
         }
     }
 }
@@ -69,100 +71,125 @@
     }
 }
 
-/// Serves until SIGTERM or an operator's order, then answers what was taken.
+/// Serves until SIGTERM or an operator's order to stop, then answers the requests already accepted.
+///
+/// # Errors
+/// If the node cannot start, or its core or a listener fails.
 pub async fn run(config: Config, source: Source, logging: &Logging) -> Result<(), Failure> {
     let mut stop = signal(SignalKind::terminate())?;
-    // Guards against: an end on SIGHUP. From here to the process's end it has no other effect than a reload.
+    // Without a handler, SIGHUP would end the process. From here to the process's end its only effect is a reload.
     let reload = signal(SignalKind::hangup())?;
-    let state = config.control.as_deref().map(Folder::new).transpose().map_err(of_state)?;
-    let steered = state.as_ref().map(Folder::orders).transpose().map_err(of_state)?;
+    let state_folder = config.control.as_deref().map(Folder::new).transpose().map_err(state_folder_error)?;
+    let persisted_orders =
+        state_folder.as_ref().map(Folder::orders).transpose().map_err(state_folder_error)?;
     let listener = match &config.passed {
         Some(passed) => TcpListener::from_std(passed.listener(config.listen)?)?,
         None => bind(config.listen)?,
     };
-    let second = match config.admin {
+    let admin_listener = match config.admin {
         Some(address) => Some(bind(address)?),
         None => None,
     };
-    let keeper = Keeper::new(Duration::from_micros(config.setup.longest_deadline), config.passed.is_some());
-    let book = Book::new(config.setup.names.all_classes());
-    // All of it ends with this function, so that a core that has failed leaves nothing behind.
-    let mut parts = JoinSet::new();
-    // Guards against: calls that wait for as long as the process before takes to hand over.
-    if let Some(second) = second {
-        info!("the second address is {}", second.local_addr()?);
-        let (keeper, book, prometheus) = (keeper.clone(), book.clone(), config.prometheus);
-        parts.spawn(Admin::new(second, Desk { keeper, book, prometheus, audit: state.clone() }).run());
+    let lifecycle =
+        NodeLifecycle::new(Duration::from_micros(config.setup.longest_deadline), config.passed.is_some());
+    let metrics = Book::new(config.setup.names.all_classes());
+    // All tasks end with this function, so that none is left running after a core failure.
+    let mut tasks = JoinSet::new();
+    // Started before the handover, so that admin calls don't wait for as long as the predecessor takes to hand over.
+    if let Some(admin_listener) = admin_listener {
+        info!("the second address is {}", admin_listener.local_addr()?);
+        let handler = AdminHandler {
+            lifecycle: lifecycle.clone(),
+            metrics: metrics.clone(),
+            prometheus: config.prometheus,
+            audit_folder: state_folder.clone(),
+        };
+        tasks.spawn(Admin::new(admin_listener, handler).run());
     }
-    let (connections, memory) = (config.server_connections(), config.request_memory());
-    let portion = ResourceShare::default();
-    let place = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
-    let place = place.map(|folder| Place::new(folder, config.listen.port()));
-    let (succession, received) = handover::begin(place, &portion).await;
-    // What the process before goes by is newer than what the platform last knew.
-    let (known, version) = match received.list {
+    let (max_connections, request_memory_bytes) = (config.server_connections(), config.request_memory());
+    let resource_share = ResourceShare::default();
+    let shared_folder = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
+    let handover_paths = shared_folder.map(|folder| HandoverPaths::new(folder, config.listen.port()));
+    let (handover_session, received) = handover::begin(handover_paths, &resource_share).await;
+    // The predecessor's list is newer than the one that the platform passed at the start.
+    let (initial_list, version) = match received.list {
         Some((list, version)) => (list, version),
         None => (config.known.list.clone(), Some(config.known.version)),
     };
-    let version = version.filter(|_| !known.servers.is_empty());
+    let version = version.filter(|_| !initial_list.servers.is_empty());
     let quotas = config.quota.as_ref().map(|quota| quota.admission(&config.setup.names));
-    let (to_lists, lists) = mpsc::unbounded_channel();
-    let in_common = config.siblings.as_ref().is_some_and(|site| site.replicated_kinds.any());
-    // Orders in common that lasted are told to the others again, and what the process before held is held on.
-    let lasted = steered.iter().flatten().filter_map(KeptRecord::of);
-    let kept = lasted.chain(received.copy.iter().filter_map(KeptRecord::handed)).collect();
-    // Where other nodes may have a server left out, the list is steered, whether or not operators do it here.
-    let steered = steered.or(in_common.then(Vec::new));
+    let (list_updates_sender, list_updates) = mpsc::unbounded_channel();
+    let replicates = config.siblings.as_ref().is_some_and(|site| site.replicated_kinds.any());
+    // Persisted replicated orders are published to the other nodes again, and the predecessor's records are kept.
+    let own_records = persisted_orders.iter().flatten().filter_map(SavedRecord::from_persistent_order);
+    let handed_over = received.replicated_records.iter().filter_map(SavedRecord::from_handover);
+    let saved_records = own_records.chain(handed_over).collect();
+    // Where other nodes can have a server excluded, overrides are on, whether or not operators give orders here.
+    let persisted_orders = persisted_orders.or(replicates.then(Vec::new));
     let options = Options {
         setup: config.setup.clone(),
         seed: config.seed,
-        initial_list: known,
-        max_connections: connections,
-        request_memory_bytes: memory,
+        initial_list,
+        max_connections,
+        request_memory_bytes,
         quotas,
-        metrics: book,
+        metrics,
         list_version: version,
         learned: received.learned,
-        resource_share: portion.clone(),
-        persisted_orders: steered,
-        list_updates: in_common.then_some(to_lists),
+        resource_share: resource_share.clone(),
+        persisted_orders,
+        list_updates: replicates.then_some(list_updates_sender),
     };
     let names = config.setup.names.clone();
-    let kinds = config.memcached.as_ref().map(|(_, ready)| ready.kinds.clone());
-    let servers = ServerConnector::new(kinds.unwrap_or_default());
-    let (driver, Handles { requests, members, core: orders }) = Driver::new(options, servers);
+    let kinds = config.memcached.as_ref().map(|(_, memcached)| memcached.kinds.clone());
+    let connector = ServerConnector::new(kinds.unwrap_or_default());
+    let (driver, Handles { requests, members, core }) = Driver::new(options, connector);
     let gauges = driver.gauges();
-    let acceptor = Acceptor::new(requests, config.client_bounds(gauges.clone(), portion), keeper.bearing());
-    let mut fronts = Vec::new();
-    for listener in config.memcached.iter().flat_map(|(_, ready)| &ready.listeners) {
-        fronts.push((bind(listener.address)?, listener));
+    let acceptor = Acceptor::new(
+        requests,
+        config.client_bounds(gauges.clone(), resource_share),
+        lifecycle.service_mode(),
+    );
+    let mut memcached_listeners = Vec::new();
+    for listener in config.memcached.iter().flat_map(|(_, memcached)| &memcached.listeners) {
+        memcached_listeners.push((bind(listener.address)?, listener));
     }
     let mut driver = AbortOnDropHandle::new(tokio::spawn(driver.run()));
-    let (to_node, commands) = mpsc::channel(COMMANDS);
-    let nodes = watch::Sender::new(config.setup.settings.nodes);
-    let (to_siblings, asks) = siblings::asks();
-    let kin = config.siblings.clone().map(|site| {
-        let (to, site) = watch::channel(site);
-        let (orders, nodes, keeper) = (orders.clone(), nodes.clone(), keeper.clone());
-        let (commands, own, seed) = (to_node.clone(), LocalServerList::default(), config.seed);
-        parts.spawn(Ties { orders, nodes, keeper, asks, site, seed, lists, commands, kept, own }.run());
-        to
+    let (command_sender, commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    let node_count = watch::Sender::new(config.setup.settings.nodes);
+    let (siblings_requests, request_receiver) = siblings::request_channel();
+    let site_sender = config.siblings.clone().map(|site| {
+        let (site_sender, site) = watch::channel(site);
+        let task = SiblingsTask {
+            core: core.clone(),
+            node_count: node_count.clone(),
+            lifecycle: lifecycle.clone(),
+            requests: request_receiver,
+            site,
+            seed: config.seed,
+            list_updates,
+            commands: command_sender.clone(),
+            saved_records,
+            own_list: LocalServerList::default(),
+        };
+        tasks.spawn(task.run());
+        site_sender
     });
-    if let Some(state) = state {
+    if let Some(state_folder) = state_folder {
         let host = Host {
             events: logging.events.clone(),
-            commands: to_node.clone(),
+            commands: command_sender.clone(),
             described: config.described(),
-            siblings: kin.is_some().then(|| to_siblings.clone()),
+            siblings: site_sender.is_some().then(|| siblings_requests.clone()),
             descriptor_limit: config.sockets,
         };
         let listen = {
-            let (state, orders) = (state, orders.clone());
-            move || Control::listen(state.clone(), orders.clone(), host.clone())
+            let core = core.clone();
+            move || Control::listen(state_folder.clone(), core.clone(), host.clone())
         };
-        let mut first = Some(listen().map_err(of_state)?);
-        parts.spawn(keep("control", move || {
-            let control = first.take().map_or_else(&listen, Ok);
+        let mut first_listener = Some(listen().map_err(state_folder_error)?);
+        tasks.spawn(supervise("control", move || {
+            let control = first_listener.take().map_or_else(&listen, Ok);
             async move {
                 match control {
                     Ok(control) => control.run().await,
@@ -172,74 +199,79 @@
         }));
     }
     info!("listening on {}", listener.local_addr()?);
-    if let Some(succession) = succession {
-        let (acceptor, gauges, most) = (acceptor.clone(), gauges.clone(), config.connections());
-        let holds = move || ((acceptor.connection_count() + gauges.connections()) * 1000 / most) as u32;
-        let copy = kin.is_some().then(|| to_siblings.clone());
-        parts.spawn(succession.keep(orders.clone(), copy, holds, keeper.bearing()));
+    if let Some(handover_session) = handover_session {
+        let (acceptor, gauges, max_connections) = (acceptor.clone(), gauges.clone(), config.connections());
+        let thousandths_in_use =
+            move || ((acceptor.connection_count() + gauges.connections()) * 1000 / max_connections) as u32;
+        let siblings_requests = site_sender.is_some().then(|| siblings_requests.clone());
+        let service_mode = lifecycle.service_mode();
+        tasks.spawn(handover_session.run(core.clone(), siblings_requests, thousandths_in_use, service_mode));
     }
-    let to_core = orders.clone();
-    let followed = Followed::start(members, orders, version, &config, nodes.subscribe(), kin, &mut parts);
-    let told = Told { commands, keeper: keeper.clone(), logging };
-    let told = told.follow(followed, reload, source);
-    tokio::pin!(told);
-    let mut accepting = JoinSet::new();
-    accepting.spawn(acceptor.clone().accept(listener, move || RespProtocol::new(names.clone())));
+    let core_handle = core.clone();
+    let reloadable =
+        Reloadable::start(members, core, version, &config, node_count.subscribe(), site_sender, &mut tasks);
+    let commands = CommandLoop { commands, lifecycle: lifecycle.clone(), logging };
+    let commands = commands.run(reloadable, reload, source);
+    tokio::pin!(commands);
+    let mut listener_tasks = JoinSet::new();
+    listener_tasks.spawn(acceptor.clone().accept(listener, move || RespProtocol::new(names.clone())));
     let nonce = nonce(config.seed);
-    for (bound, listener) in fronts {
-        info!("memcached {:?} is listening on {}", listener.name, bound.local_addr()?);
-        let front = listener.front(gauges.clone(), nonce);
-        accepting.spawn(acceptor.clone().accept(bound, move || front.connection()));
+    for (socket, listener) in memcached_listeners {
+        info!("memcached {:?} is listening on {}", listener.name, socket.local_addr()?);
+        let protocol = listener.front(gauges.clone(), nonce);
+        listener_tasks.spawn(acceptor.clone().accept(socket, move || protocol.connection()));
     }
-    let _ = keeper.tell(Event::Ready); // refused only where it is told to stop already
-    let mut bearing = keeper.bearing();
-    let mut told_end = false;
+    let _ = lifecycle.handle_event(Event::Ready); // refused only if the node has been told to stop already
+    let mut service_mode = lifecycle.service_mode();
+    let mut core_has_deadline = false;
     let ended = loop {
-        if let Some(at) = keeper.ends().filter(|_| !told_end) {
-            to_core.shut_down_at(at);
-            told_end = true;
+        if let Some(deadline) = lifecycle.shutdown_deadline().filter(|_| !core_has_deadline) {
+            core_handle.shut_down_at(deadline);
+            core_has_deadline = true;
         }
-        // Whoever is accepted by then is counted before the acceptor can be seen to be empty.
-        let taking = bearing.borrow_and_update().accepts_connections;
+        // Read before the check for emptiness: every connection accepted until now is counted by then.
+        let accepts_connections = service_mode.borrow_and_update().accepts_connections;
         tokio::select! {
-            _ = stop.recv() => keeper.stop(),
-            () = &mut told => {}
-            () = keeper.follow() => break Ok(()),
+            _ = stop.recv() => lifecycle.shut_down(),
+            () = &mut commands => {}
+            () = lifecycle.run_until_ended() => break Ok(()),
             ended = &mut driver => break Err(format!("{ended:?}")),
-            Some(ended) = accepting.join_next() => if keeper.bearing().borrow().accepts_connections {
+            Some(ended) = listener_tasks.join_next() => if lifecycle.service_mode().borrow().accepts_connections {
                 break Err(format!("a listener ended: {ended:?}"));
             },
-            Ok(()) = bearing.changed() => {}
-            () = acceptor.wait_until_empty(), if !taking && accepting.is_empty() => {
-                let _ = keeper.tell(Event::ConnectionsClosed); // never refused
+            Ok(()) = service_mode.changed() => {}
+            () = acceptor.wait_until_empty(), if !accepts_connections && listener_tasks.is_empty() => {
+                let _ = lifecycle.handle_event(Event::ConnectionsClosed); // never refused
             }
         }
     };
-    if let Err(what) = ended {
-        let _ = keeper.tell(Event::Failed); // never refused
-        accepting.shutdown().await;
-        let _ = timeout_at(Instant::now() + LAST_WRITES, acceptor.wait_until_empty()).await; // what is owed fails with the core
-        return Err(Failure::Core(what));
+    if let Err(reason) = ended {
+        let _ = lifecycle.handle_event(Event::Failed); // never refused
+        listener_tasks.shutdown().await;
+        let _ = timeout_at(Instant::now() + WRITE_TIME_AFTER_CORE_FAILURE, acceptor.wait_until_empty()).await; // open requests fail with the core
+        return Err(Failure::Core(reason));
     }
-    // A process that was held up may come here before the core has given its last answers.
-    to_core.shut_down_at(Instant::now());
-    let _ = timeout_at(Instant::now() + LAST_MOMENT, acceptor.wait_until_empty()).await; // killed soon after
+    // A process that was paused may get here before the core has given its last answers.
+    core_handle.shut_down_at(Instant::now());
+    let _ = timeout_at(Instant::now() + WRITE_TIME_AFTER_DEADLINE, acceptor.wait_until_empty()).await; // it is killed soon after
     Ok(())
 }
 
-/// What is wrong with the state folder.
-fn of_state(error: io::Error) -> io::Error {
-    let mend = "name a folder that this node alone may write, in [control]";
-    io::Error::new(error.kind(), format!("the state folder can't be used: {error}; {mend}"))
+/// Adds to an error of the state folder what is wrong and how to correct it.
+fn state_folder_error(error: io::Error) -> io::Error {
+    let remedy = "name a folder that this node alone may write, in [control]";
+    io::Error::new(error.kind(), format!("the state folder can't be used: {error}; {remedy}"))
 }
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    let error = |e: io::Error| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}"));
-    listen(address).map_err(error)
+    let with_address =
+        |error: io::Error| io::Error::new(error.kind(), format!("cannot listen on {address}: {error}"));
+    listen(address).map_err(with_address)
 }
 
-/// Guards against: a crowd that finds the runtime's backlog of 128 full while the node is held up. The kernel drops such
-/// connections and tries again after a second, of which the node knows nothing.
+/// Opens a listening socket with a larger backlog than the runtime's 128. A burst of connections that arrives while the
+/// node is paused would fill a backlog of 128; the kernel drops further connections, and the client's kernel retries only
+/// after a second, which the node does not see.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -250,46 +282,47 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// A number that no other process has, as good as surely: another node's seed is another, and so is the time of
-/// another start.
+/// A number that is almost surely unique to this process: other nodes have other seeds, and a restart has another start
+/// time.
 fn nonce(seed: u64) -> u64 {
-    let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    fastrand::Rng::with_seed(seed ^ start).u64(..)
+    let start_ns = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+    fastrand::Rng::with_seed(seed ^ start_ns).u64(..)
 }
 
-/// What a node is told while it runs: signals, and operators' orders.
-struct Told<'a> {
+/// Carries out SIGHUP and operators' commands while the node runs.
+struct CommandLoop<'a> {
     commands: mpsc::Receiver<Command>,
-    keeper: Keeper,
+    lifecycle: NodeLifecycle,
     logging: &'a Logging,
 }
 
-impl Told<'_> {
-    /// Carries out what is told, one after the other.
-    async fn follow(mut self, followed: Followed, mut reload: Signal, source: Source) {
+impl CommandLoop<'_> {
+    /// Carries out commands one at a time; never returns.
+    async fn run(mut self, reloadable: Reloadable, mut reload: Signal, source: Source) {
         loop {
             tokio::select! {
                 Some(()) = reload.recv() => {
-                    let _ = followed.read_again(&source); // it has said what it came to
+                    let _ = reloadable.reload(&source); // it has logged its outcome
                 }
                 Some(command) = self.commands.recv() => match command {
-                    Command::Reload(answer) => drop(answer.send(followed.read_again(&source))),
+                    Command::Reload(answer) => drop(answer.send(reloadable.reload(&source))),
                     Command::Level(level, answer) => {
-                        let set = self.logging.set_level(&level);
-                        let _ = answer.send(set.map(|()| format!("logs from {level} on")));
+                        let result = self.logging.set_level(&level);
+                        let _ = answer.send(result.map(|()| format!("logs from {level} on")));
                     }
-                    Command::Service(joins, answer) => {
-                        let (event, what) = match joins {
+                    Command::Service(join, answer) => {
+                        let (event, message) = match join {
                             true => (Event::Join, "the node is in service"),
-                            false => (Event::Leave, "the node leaves service and runs on"),
+                            false => (Event::Leave, "the node leaves service and keeps running"),
                         };
-                        let told = self.keeper.tell(event);
-                        let _ = answer.send(told.map(|()| what.into()).map_err(|why| why.to_string()));
+                        let result = self.lifecycle.handle_event(event);
+                        let _ =
+                            answer.send(result.map(|()| message.into()).map_err(|refusal| refusal.to_string()));
                     }
                     Command::Stop(answer) => {
-                        let what = "the node drains: it answers what it has taken, and ends";
-                        let _ = answer.send(Ok(what.into()));
-                        self.keeper.stop();
+                        let message = "the node is draining: it answers the requests it has accepted, then ends";
+                        let _ = answer.send(Ok(message.into()));
+                        self.lifecycle.shut_down();
                     }
                 },
             }
@@ -297,99 +330,101 @@
     }
 }
 
-/// What a reload looks at: the sources of members, which follow it, and what stays as it was.
-struct Followed {
+/// The parts of the configuration that a reload updates, with the channels that carry new values, and those that need a
+/// restart, whose changes are only warned about.
+struct Reloadable {
     discovery: Option<watch::Sender<SocketAddr>>,
     etcd: Option<(Etcd, watch::Sender<Settings>)>,
     memcached: Option<Memcached>,
-    /// Where another list of nodes is told.
+    /// Carries a new list of nodes to the siblings task.
     siblings: Option<watch::Sender<Site>>,
-    /// Where other quotas are told, with the names that they are read by.
+    /// The core, which receives new quotas, and the names that they are parsed with.
     quotas: Option<(CoreHandle, Arc<Names>)>,
-    /// Where the list is told, if the configuration has all of it.
-    fixed: Option<MembershipHandle>,
+    /// Receives the server list, if the configuration holds all of it.
+    fixed_list: Option<MembershipHandle>,
 }
 
-impl Followed {
-    /// Starts the sources. Where there are two, etcd goes before discovery: its first list ends that.
+impl Reloadable {
+    /// Starts the membership sources. Where there are two, etcd has precedence: its first list ends discovery.
     ///
-    /// `known`: the version of the list that the core has.
+    /// `known_version`: the version of the list that the core has.
     fn start(
         members: MembershipHandle,
-        orders: CoreHandle,
-        known: Option<u64>,
+        core: CoreHandle,
+        known_version: Option<u64>,
         config: &Config,
-        nodes: watch::Receiver<usize>,
+        node_count: watch::Receiver<usize>,
         siblings: Option<watch::Sender<Site>>,
-        parts: &mut JoinSet<()>,
-    ) -> Followed {
-        let discovery = config.discovery.map(|at| {
-            let (to, address) = watch::channel(at);
+        tasks: &mut JoinSet<()>,
+    ) -> Reloadable {
+        let discovery = config.discovery.map(|initial_address| {
+            let (address_sender, address) = watch::channel(initial_address);
             let members = members.clone().with_source("discovery");
-            let follow = move || {
-                discovery::DiscoveryWatcher::new(members.clone(), known, nodes.clone()).run(address.clone())
+            let watch_discovery = move || {
+                discovery::DiscoveryWatcher::new(members.clone(), known_version, node_count.clone())
+                    .run(address.clone())
             };
-            (to, parts.spawn(keep("discovery", follow)))
+            (address_sender, tasks.spawn(supervise("discovery", watch_discovery)))
         });
-        let (discovery, rival) = discovery.unzip();
-        let fixed = config.fixed.then(|| members.clone());
+        let (discovery, discovery_task) = discovery.unzip();
+        let fixed_list = config.fixed.then(|| members.clone());
         let etcd = config.etcd.clone().map(|(etcd, settings)| {
-            let (to, followed) = watch::channel(settings.clone());
+            let (settings_sender, current_settings) = watch::channel(settings.clone());
             let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.keep.clone(), config.seed);
             let members = members.with_source("etcd");
-            parts.spawn(keep("etcd", move || {
-                let (members, settings) = (members.clone(), followed.borrow().clone());
-                let (folder, rival) = (folder.clone(), rival.clone());
-                etcd::source::Source::new(members, settings, &prefix, seed, folder, rival)
-                    .run(followed.clone())
+            tasks.spawn(supervise("etcd", move || {
+                let (members, settings) = (members.clone(), current_settings.borrow().clone());
+                let (folder, discovery_task) = (folder.clone(), discovery_task.clone());
+                etcd::source::Source::new(members, settings, &prefix, seed, folder, discovery_task)
+                    .run(current_settings.clone())
             }));
-            (etcd, to)
+            (etcd, settings_sender)
         });
         let memcached = config.memcached.as_ref().map(|(file, _)| file.clone());
-        let quotas = config.quota.as_ref().map(|_| (orders, config.setup.names.clone()));
-        Followed { discovery, etcd, memcached, siblings, quotas, fixed }
+        let quotas = config.quota.as_ref().map(|_| (core, config.setup.names.clone()));
+        Reloadable { discovery, etcd, memcached, siblings, quotas, fixed_list }
     }
 
-    /// Goes by the configuration as it is now, as far as it may change while the node runs.
-    fn read_again(&self, source: &Source) -> Outcome {
+    /// Reads the configuration again and applies the parts of it that may change while the node runs.
+    fn reload(&self, source: &Source) -> Outcome {
         let new = Config::sources_anew(source).map_err(|error| {
-            warn!("configuration kept as it was: {error}");
+            warn!("configuration not reloaded, kept as it was: {error}");
             format!("the configuration is kept as it was: {error}")
         })?;
-        self.list_changed(new.fixed);
-        self.discovery_moved(new.discovery);
-        self.etcd_moved(new.etcd);
-        self.quotas_changed(new.quota);
-        self.siblings_changed(new.siblings);
+        self.update_fixed_list(new.fixed);
+        self.update_discovery(new.discovery);
+        self.update_etcd(new.etcd);
+        self.update_quotas(new.quota);
+        self.update_siblings(new.siblings);
         if new.memcached != self.memcached {
-            warn!("memcached's options change only with a restart; kept as they were");
+            warn!("the memcached options change only with a restart; kept as they were");
         }
         Ok("the configuration is read again: sources of members, boxes of a fixed list, quotas".into())
     }
 
-    fn list_changed(&self, new: Option<ServerList>) {
-        match (&self.fixed, new) {
-            (Some(members), Some(list)) => _ = members.update_list(list), // nobody goes by it once the core has ended
+    fn update_fixed_list(&self, new: Option<ServerList>) {
+        match (&self.fixed_list, new) {
+            (Some(members), Some(list)) => _ = members.update_list(list), // ignored once the core has ended
             (None, None) => {}
-            _ => warn!("a source of members comes or goes only with a restart; kept as it was"),
+            _ => warn!("a fixed server list can be added or removed only by a restart; kept as it was"),
         }
     }
 
-    fn discovery_moved(&self, new: Option<SocketAddr>) {
+    fn update_discovery(&self, new: Option<SocketAddr>) {
         match (&self.discovery, new) {
-            (Some(to), Some(new)) => {
+            (Some(address_sender), Some(new)) => {
                 info!("discovery is at {new}");
-                let _ = to.send(new); // nobody follows it once the node ends, or etcd has taken over
+                let _ = address_sender.send(new); // there is no receiver once the node ends or etcd has taken over
             }
             (None, None) => {}
-            _ => warn!("discovery comes or goes only with a restart; kept as it was"),
+            _ => warn!("discovery can be added or removed only by a restart; kept as it was"),
         }
     }
 
-    fn siblings_changed(&self, new: Option<Site>) {
+    fn update_siblings(&self, new: Option<Site>) {
         match (&self.siblings, new) {
-            (Some(to), Some(new)) => {
-                _ = to.send_if_modified(|site| {
+            (Some(site_sender), Some(new)) => {
+                _ = site_sender.send_if_modified(|site| {
                     *site != new && {
                         *site = new;
                         true
@@ -397,29 +432,29 @@
                 })
             }
             (None, None) => {}
-            _ => warn!("siblings come or go only with a restart; kept as they were"),
+            _ => warn!("siblings can be added or removed only by a restart; kept as they were"),
         }
     }
 
-    fn quotas_changed(&self, new: Option<Quota>) {
+    fn update_quotas(&self, new: Option<Quota>) {
         match (&self.quotas, new) {
-            (Some((orders, names)), Some(new)) => orders.set_quotas(new.admission(names)),
+            (Some((core, names)), Some(new)) => core.set_quotas(new.admission(names)),
             (None, None) => {}
-            _ => warn!("quotas come or go only with a restart; kept as they were"),
+            _ => warn!("quotas can be added or removed only by a restart; kept as they were"),
         }
     }
 
-    fn etcd_moved(&self, new: Option<(Etcd, Settings)>) {
+    fn update_etcd(&self, new: Option<(Etcd, Settings)>) {
         match (&self.etcd, new) {
-            (Some((old, to)), Some((new, settings))) => {
+            (Some((old, settings_sender)), Some((new, settings))) => {
                 if (&new.prefix, &new.keep) != (&old.prefix, &old.keep) {
-                    warn!("etcd's prefix and keep change only with a restart; kept as they were");
+                    warn!("etcd's prefix and `keep` change only with a restart; kept as they were");
                 }
                 info!("etcd is at {}", settings.endpoints.join(", "));
-                let _ = to.send(settings); // nobody follows it once the node ends
+                let _ = settings_sender.send(settings); // there is no receiver once the node ends
             }
             (None, None) => {}
-            _ => warn!("etcd comes or goes only with a restart; kept as it was"),
+            _ => warn!("etcd can be added or removed only by a restart; kept as it was"),
         }
     }
 }
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -1,5 +1,6 @@
-//! What the nodes hold in common, at this node: what it says of its own, and what it goes by of the others'. All that is
-//! decided of it, the package `replica` decides.
+//! The state replicated between the nodes of a site, as this node uses it: publishes its own orders, server list and
+//! observations of slow servers, and applies those of the others to the core. Merging and synchronisation are decided in
+//! the package `replica`. Times are in microseconds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -8,7 +9,7 @@
 use lilacquay_control::{Command, CommonOrder, CopyNow, HeldBy, KindNow, OrderHeld, PeerCopy, RecordNow};
 use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
 use lilacquay_observe::CommonNow;
-use lilacquay_overrides::{Order as Asked, OrderEffect, OrderRequest, PersistentOrder};
+use lilacquay_overrides::{Order as RequestedOrder, OrderEffect, OrderRequest, PersistentOrder};
 use lilacquay_replica::endpoint_reports::{self, LocalServerList, ServerEntry, WithdrawnServer};
 use lilacquay_replica::orders::{Action, EffectiveOrder, Order, TOMBSTONE_RETENTION_US};
 use lilacquay_replica::{OutgoingDatagram, Replica, Setup, SyncState, evidence, kind};
@@ -17,47 +18,49 @@
 
 use crate::section::Section;
 
-/// An order is answered once all that are here hold it, after so long at the latest; ...
-const ANSWERED: Micros = 500_000;
-/// ... and if a number is asked for, after so long.
-const WAITED: Micros = 3_000_000;
-/// How often what this node has seen of servers is asked for.
-const SEEN: Micros = 1_000_000;
-/// How often it is reckoned what others have seen.
-const BELIEVED: Micros = 250_000;
-/// Records that are told one by one.
-const TOLD: usize = 2_000;
-/// The levels of the log, by their numbers.
-const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
-
-/// Which kinds a node writes and goes by. Records of others it keeps and passes on all the same.
+/// How long an order waits until all reachable nodes hold it before it is answered.
+const ORDER_ANSWER_TIMEOUT_US: Micros = 500_000;
+/// The same for an order that asks for a number of nodes.
+const ORDER_WAIT_TIMEOUT_US: Micros = 3_000_000;
+/// Interval at which the core is asked for the slowness that this node has observed of servers.
+const OBSERVATION_INTERVAL_US: Micros = 1_000_000;
+/// Minimum interval between evaluations of the slowness that other nodes have observed.
+const EVIDENCE_INTERVAL_US: Micros = 250_000;
+/// Upper bound on the records that are listed or handed over one by one.
+const MAX_LISTED_RECORDS: usize = 2_000;
+/// Log levels, indexed by their number in records.
+const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
+
+/// The kinds of records that a node publishes and applies. It stores and forwards records of the other kinds as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Kinds {
     pub orders: bool,
-    pub words: bool,
+    /// Reports on servers from the nodes' own lists; `words` in the configuration.
+    pub endpoint_reports: bool,
+    /// Observations of slow servers.
     pub evidence: bool,
 }
 
 impl Kinds {
-    /// On the platform, where the settings let nodes speak to one another: nobody gives orders there, and word of boxes
-    /// gained nothing on the bench.
-    pub const PLATFORM: Kinds = Kinds { orders: false, words: false, evidence: false };
+    /// On the platform, where the settings let nodes communicate: nobody gives orders there, and reports on servers gained
+    /// nothing in the benchmark.
+    pub const PLATFORM: Kinds = Kinds { orders: false, endpoint_reports: false, evidence: false };
     const NAMES: &[&str] = &["orders", "words", "evidence"];
 
-    /// Reads `common`; orders and words if there is none.
+    /// Reads the key `common`; orders and reports on servers if it is missing.
     pub fn read(section: &mut Section) -> Kinds {
         if !section.has("common") {
-            return Kinds { orders: true, words: true, evidence: false };
+            return Kinds { orders: true, endpoint_reports: true, evidence: false };
         }
         let mut kinds = Kinds::default();
-        for (place, name) in section.texts("common").unwrap_or_default() {
+        for (position, name) in section.texts("common").unwrap_or_default() {
             match name {
                 "orders" => kinds.orders = true,
-                "words" => kinds.words = true,
+                "words" => kinds.endpoint_reports = true,
                 "evidence" => kinds.evidence = true,
                 other => {
-                    let mend = format!("name some of {}", Kinds::NAMES.join(", "));
-                    section.note(place, "common", format!("{other:?} is no such kind"), &mend);
+                    let remedy = format!("name some of {}", Kinds::NAMES.join(", "));
+                    section.note(position, "common", format!("{other:?} is no such kind"), &remedy);
                 }
             }
         }
@@ -65,20 +68,20 @@
     }
 
     pub fn any(&self) -> bool {
-        self.orders || self.words || self.evidence
+        self.orders || self.endpoint_reports || self.evidence
     }
 
-    fn has(&self, of: u8) -> bool {
-        match of {
+    fn includes(&self, record_kind: u8) -> bool {
+        match record_kind {
             kind::ORDER => self.orders,
-            kind::ENDPOINT_REPORT => self.words,
+            kind::ENDPOINT_REPORT => self.endpoint_reports,
             kind::EVIDENCE => self.evidence,
             _ => false,
         }
     }
 }
 
-fn name_of(kind: u8) -> String {
+fn kind_name(kind: u8) -> String {
     match kind {
         kind::ORDER => "order".into(),
         kind::ENDPOINT_REPORT => "word".into(),
@@ -87,35 +90,37 @@
     }
 }
 
-/// A record in common, as it is kept over a restart, another list of nodes, or a hand-over.
+/// A replicated record that is kept across a restart, a change of the list of nodes, or a handover.
 #[derive(Debug, Clone)]
-pub struct KeptRecord {
+pub struct SavedRecord {
     record: Record,
-    left: Option<Micros>,
+    remaining: Option<Micros>,
 }
 
-impl KeptRecord {
-    /// Of an order that lasted, if it is one in common.
-    pub fn of(kept: &PersistentOrder) -> Option<KeptRecord> {
-        let record = of_mark(kept.mark.as_deref()?)?;
-        Some(KeptRecord { record, left: kept.remaining.map(|left| left + TOMBSTONE_RETENTION_US) })
+impl SavedRecord {
+    /// The record of a persistent order, if it is a replicated one.
+    pub fn from_persistent_order(order: &PersistentOrder) -> Option<SavedRecord> {
+        let record = decode_record(order.mark.as_deref()?)?;
+        let remaining = order.remaining.map(|remaining| remaining + TOMBSTONE_RETENTION_US);
+        Some(SavedRecord { record, remaining })
     }
 
-    /// Of what a process before has handed over.
-    pub fn handed((mark, left): &(String, Option<Micros>)) -> Option<KeptRecord> {
-        Some(KeptRecord { record: of_mark(mark)?, left: *left })
+    /// A record that the predecessor process has handed over: its text and remaining lifetime.
+    pub fn from_handover((text, remaining): &(String, Option<Micros>)) -> Option<SavedRecord> {
+        Some(SavedRecord { record: decode_record(text)?, remaining: *remaining })
     }
 }
 
-/// A record as text.
-fn mark(record: &Record) -> String {
-    let mut said = Said::default();
-    said.add(Part::Record(Sent { record: record.clone(), left: None, asks: false }));
-    put(0, &said).iter().map(|byte| format!("{byte:02x}")).collect()
+/// Encodes a record as hexadecimal text.
+fn encode_record(record: &Record) -> String {
+    let mut message = Said::default();
+    message.add(Part::Record(Sent { record: record.clone(), left: None, asks: false }));
+    put(0, &message).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn of_mark(text: &str) -> Option<Record> {
-    let byte = |at: usize| u8::from_str_radix(text.get(at..at + 2)?, 16).ok();
+/// Decodes a record from the text of [`encode_record`]; `None` if it is not valid.
+fn decode_record(text: &str) -> Option<Record> {
+    let byte = |offset: usize| u8::from_str_radix(text.get(offset..offset + 2)?, 16).ok();
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
     match read(0, &bytes?).ok()?.parts.pop()? {
         Part::Record(sent) => Some(sent.record),
@@ -123,8 +128,8 @@
     }
 }
 
-/// Goes by a list of the node's own source; tells what it has taken away.
-pub fn list(own: &mut LocalServerList, told: ListUpdate) -> Vec<WithdrawnServer> {
+/// Applies an update from the node's own membership source; returns the servers that it withdraws.
+pub fn apply_list_update(own_list: &mut LocalServerList, update: ListUpdate) -> Vec<WithdrawnServer> {
     let listed = |entry: lilacquay_core::ServerEntry| {
         let listed = ServerEntry {
             serves: entry.state == ServerState::Serving,
@@ -132,333 +137,373 @@
         };
         (entry.id, (entry.state != ServerState::Deleted).then_some(listed))
     };
-    own.apply_update(told.list.full, told.version, told.list.servers.into_iter().map(listed))
+    own_list.apply_update(update.list.full, update.version, update.list.servers.into_iter().map(listed))
 }
 
-/// Whoever waits for an order to be held.
-struct Waiting {
+/// An order whose sender waits until enough nodes hold it.
+struct PendingOrder {
     id: u64,
     subject: Vec<u8>,
-    wanted: Option<usize>,
-    since: Micros,
-    until: Micros,
+    /// Number of nodes that must hold the order; all reachable ones if `None`.
+    required_holders: Option<usize>,
+    issued_at: Micros,
+    deadline: Micros,
     answer: oneshot::Sender<Option<HeldBy>>,
 }
 
-/// What is held in common.
-pub struct Common {
+/// The replica with what this node derives from it.
+pub struct ReplicatedState {
     replica: Replica,
     setup: Setup,
     kinds: Kinds,
     core: CoreHandle,
     commands: mpsc::Sender<Command>,
-    waiting: Vec<Waiting>,
-    here: usize,
-    stage: Option<SyncState>,
-    level: Option<u8>,
+    pending_orders: Vec<PendingOrder>,
+    reachable_peers: usize,
+    /// The synchronisation state at the last call of `apply_changes`.
+    sync_state: Option<SyncState>,
+    /// Number of the log level that is applied here.
+    log_level: Option<u8>,
+    /// Subjects whose orders are in conflict.
     conflicts: BTreeSet<Vec<u8>>,
-    left_out: BTreeSet<String>,
-    believed: BTreeMap<String, f64>,
-    /// Kinds that have changed, and whether the node's own list has.
-    changed: BTreeSet<u8>,
-    seen: Option<oneshot::Receiver<BTreeMap<String, f64>>>,
-    seen_at: Micros,
-    believed_at: Micros,
-    told: Option<CommonNow>,
+    /// Servers excluded because of other nodes' reports.
+    excluded_servers: BTreeSet<String>,
+    /// Corroborated slowness by server, as other nodes have observed it.
+    peer_slowness: BTreeMap<String, f64>,
+    /// Kinds of records to apply anew: their records have changed, or for reports, the node's own list has.
+    changed_kinds: BTreeSet<u8>,
+    /// The core's answer to the last request for its observations.
+    observations: Option<oneshot::Receiver<BTreeMap<String, f64>>>,
+    observations_requested_at: Micros,
+    evidence_applied_at: Micros,
+    last_statistics: Option<CommonNow>,
 }
 
-impl Common {
+impl ReplicatedState {
     pub fn new(
         setup: Setup,
         kinds: Kinds,
         now: Micros,
         core: CoreHandle,
         commands: mpsc::Sender<Command>,
-    ) -> Common {
-        Common {
+    ) -> ReplicatedState {
+        ReplicatedState {
             replica: Replica::new(setup.clone(), now),
             setup,
             kinds,
             core,
             commands,
-            waiting: Vec::new(),
-            here: 0,
-            stage: None,
-            level: None,
+            pending_orders: Vec::new(),
+            reachable_peers: 0,
+            sync_state: None,
+            log_level: None,
             conflicts: BTreeSet::new(),
-            left_out: BTreeSet::new(),
-            believed: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            seen: None,
-            seen_at: now,
-            believed_at: now,
-            told: None,
+            excluded_servers: BTreeSet::new(),
+            peer_slowness: BTreeMap::new(),
+            changed_kinds: BTreeSet::new(),
+            observations: None,
+            observations_requested_at: now,
+            evidence_applied_at: now,
+            last_statistics: None,
         }
     }
 
-    /// All records, for the process that follows.
-    pub fn handed(&self, now: Micros) -> Vec<(String, Option<Micros>)> {
-        let left = |until: Micros| until.saturating_sub(now);
-        let told = |held: &lilacquay_replica::StoredRecord| (mark(&held.record), held.expires_at.map(left));
-        self.replica.records().take(TOLD).map(|(_, _, held)| told(held)).collect()
+    /// All records, up to a bound, for the successor process: each as text, with its remaining lifetime.
+    pub fn records_to_hand_over(&self, now: Micros) -> Vec<(String, Option<Micros>)> {
+        let remaining = |expires_at: Micros| expires_at.saturating_sub(now);
+        let encoded = |stored: &lilacquay_replica::StoredRecord| {
+            (encode_record(&stored.record), stored.expires_at.map(remaining))
+        };
+        self.replica.records().take(MAX_LISTED_RECORDS).map(|(_, _, stored)| encoded(stored)).collect()
     }
 
-    /// Takes back what was kept.
-    pub fn restore(&mut self, now: Micros, kept: Vec<KeptRecord>) {
-        for KeptRecord { record, left } in kept {
-            self.replica.restore(now, record, left);
+    /// Puts saved records into the replica again.
+    pub fn restore(&mut self, now: Micros, records: Vec<SavedRecord>) {
+        for SavedRecord { record, remaining } in records {
+            self.replica.restore(now, record, remaining);
         }
     }
 
-    /// The orders, to be kept over another list of nodes.
-    pub fn kept(&self, now: Micros) -> Vec<KeptRecord> {
-        let kept = |held: &lilacquay_replica::StoredRecord| KeptRecord {
-            record: held.record.clone(),
-            left: held.expires_at.map(|until| until.saturating_sub(now)),
+    /// The orders, to be kept across a change of the list of nodes.
+    pub fn orders_to_save(&self, now: Micros) -> Vec<SavedRecord> {
+        let saved = |stored: &lilacquay_replica::StoredRecord| SavedRecord {
+            record: stored.record.clone(),
+            remaining: stored.expires_at.map(|expires_at| expires_at.saturating_sub(now)),
         };
-        self.replica.records_of_kind(kind::ORDER).map(kept).collect()
+        self.replica.records_of_kind(kind::ORDER).map(saved).collect()
     }
 
-    pub fn due(&self) -> Micros {
+    /// When [`ReplicatedState::tick`] is due next.
+    pub fn next_tick_at(&self) -> Micros {
         self.replica.next_tick_at()
     }
 
-    pub fn heard(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
+    /// Handles a datagram from another node; returns the datagrams to send.
+    pub fn handle_datagram(&mut self, now: Micros, from: usize, datagram: &[u8]) -> Vec<OutgoingDatagram> {
         let out = self.replica.handle_datagram(now, from, datagram);
-        self.answer_waiting(now);
+        self.answer_pending_orders(now);
         out
     }
 
+    /// Handles the timers that are due; returns the datagrams to send.
     pub fn tick(&mut self, now: Micros) -> Vec<OutgoingDatagram> {
         if self.kinds.evidence {
-            self.see(now);
+            self.publish_observations(now);
         }
         let out = self.replica.tick(now);
-        self.answer_waiting(now);
+        self.answer_pending_orders(now);
         out
     }
 
-    /// Says what this node has seen of servers, and asks the core for the next look.
-    fn see(&mut self, now: Micros) {
-        if let Some(Ok(seen)) = self.seen.as_mut().map(oneshot::Receiver::try_recv) {
-            let seen =
-                seen.into_iter().map(|(server, slowness)| evidence::SlownessObservation { server, slowness });
-            evidence::publish(&mut self.replica, now, self.setup.own_index as u16, seen.collect());
-            self.seen = None;
+    /// Publishes the slowness that this node has observed, and asks the core for the next observations.
+    fn publish_observations(&mut self, now: Micros) {
+        if let Some(Ok(observed)) = self.observations.as_mut().map(oneshot::Receiver::try_recv) {
+            let observations = observed
+                .into_iter()
+                .map(|(server, slowness)| evidence::SlownessObservation { server, slowness });
+            evidence::publish(&mut self.replica, now, self.setup.own_index as u16, observations.collect());
+            self.observations = None;
         }
-        if now >= self.seen_at + SEEN {
-            (self.seen, self.seen_at) = (Some(self.core.observed_slowness()), now);
+        if now >= self.observations_requested_at + OBSERVATION_INTERVAL_US {
+            self.observations = Some(self.core.observed_slowness());
+            self.observations_requested_at = now;
         }
     }
 
-    /// Who is here; `back`: this node was cut off, or paused for longer than a lease.
-    pub fn set_here(&mut self, now: Micros, here: Vec<usize>, back: bool) {
-        self.here = here.len();
-        self.replica.set_reachable(here);
-        if back {
+    /// Sets the reachable nodes. `has_returned`: this node was cut off, or paused for longer than a lease.
+    pub fn set_reachable(&mut self, now: Micros, reachable: Vec<usize>, has_returned: bool) {
+        self.reachable_peers = reachable.len();
+        self.replica.set_reachable(reachable);
+        if has_returned {
             self.replica.mark_behind(now);
         }
     }
 
-    /// The node's own list has changed.
-    pub fn list(&mut self, now: Micros, own: &LocalServerList, ended: &[WithdrawnServer]) {
-        if self.kinds.words {
-            endpoint_reports::publish(&mut self.replica, now, own, ended);
-            self.changed.insert(kind::ENDPOINT_REPORT);
+    /// Publishes reports on servers after a change of the node's own list.
+    pub fn publish_list(&mut self, now: Micros, own_list: &LocalServerList, withdrawn: &[WithdrawnServer]) {
+        if self.kinds.endpoint_reports {
+            endpoint_reports::publish(&mut self.replica, now, own_list, withdrawn);
+            self.changed_kinds.insert(kind::ENDPOINT_REPORT);
         }
     }
 
-    /// Has all nodes hold an order.
-    pub fn order(
+    /// Publishes an order to all nodes, and answers once enough of them hold it or the wait has timed out. Answers `None` if
+    /// the order is not replicated.
+    pub fn publish_order(
         &mut self,
         now: Micros,
         order: &CommonOrder,
-        wanted: Option<usize>,
+        required_holders: Option<usize>,
         answer: oneshot::Sender<Option<HeldBy>>,
     ) {
-        let (subject, action, life) = match order {
+        let (subject, action, lifetime) = match order {
             CommonOrder::Server(OrderRequest { server, order, .. }) => match order {
-                Asked::Drain => (server.as_bytes(), Action::Drain, None),
-                Asked::Exclude(time) => (server.as_bytes(), Action::LeaveOut, Some(*time)),
-                Asked::Undrain => (server.as_bytes(), Action::Undrain, None),
+                RequestedOrder::Drain => (server.as_bytes(), Action::Drain, None),
+                RequestedOrder::Exclude(duration) => (server.as_bytes(), Action::LeaveOut, Some(*duration)),
+                RequestedOrder::Undrain => (server.as_bytes(), Action::Undrain, None),
             },
             CommonOrder::Level(level) => {
-                let level = LEVELS.iter().position(|name| name == level).unwrap_or(2);
+                let level = LOG_LEVELS.iter().position(|name| name == level).unwrap_or(2);
                 (&b""[..], Action::LogLevel(level as u8), None)
             }
         };
-        let stands = self.replica.effective_orders(now).any(|(standing, _)| standing.subject == subject);
-        if !self.kinds.orders || action == Action::Undrain && !stands {
-            let _ = answer.send(None); // who asked may have left
+        let has_order = self.replica.effective_orders(now).any(|(effective, _)| effective.subject == subject);
+        if !self.kinds.orders || action == Action::Undrain && !has_order {
+            let _ = answer.send(None); // the receiver may have been dropped
             return;
         }
         if let Action::LogLevel(level) = action {
-            self.level = Some(level); // it is obeyed here already
+            self.log_level = Some(level); // it is in effect here already
         }
-        let at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs() as u32;
-        match self.replica.issue_order(now, subject, action, life, at) {
+        let issued_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs() as u32;
+        match self.replica.issue_order(now, subject, action, lifetime, issued_at) {
             Ok(id) => {
-                let until = now + if wanted.is_some() { WAITED } else { ANSWERED };
-                let subject = subject.into();
-                self.waiting.push(Waiting { id, subject, wanted, since: now, until, answer });
+                let timeout =
+                    if required_holders.is_some() { ORDER_WAIT_TIMEOUT_US } else { ORDER_ANSWER_TIMEOUT_US };
+                self.pending_orders.push(PendingOrder {
+                    id,
+                    subject: subject.into(),
+                    required_holders,
+                    issued_at: now,
+                    deadline: now + timeout,
+                    answer,
+                });
             }
             Err(_) => {
                 warn!(
-                    "common: too many orders are held, or the name is too long: this one is held here alone"
+                    "common: too many orders are held, or the name is too long; this order applies at this node only"
                 );
-                let _ = answer.send(None); // who asked may have left
+                let _ = answer.send(None); // the receiver may have been dropped
             }
         }
     }
 
-    fn answer_waiting(&mut self, now: Micros) {
-        let of = self.here + 1;
-        let held = |waiting: &Waiting| self.replica.holder_count(waiting.id);
-        let (done, waiting) = std::mem::take(&mut self.waiting)
+    /// Answers the orders that enough nodes hold, and those whose wait has timed out.
+    fn answer_pending_orders(&mut self, now: Micros) {
+        let node_count = self.reachable_peers + 1;
+        let has_enough_holders = |order: &PendingOrder| {
+            self.replica.holder_count(order.id) >= order.required_holders.unwrap_or(node_count)
+        };
+        let (done, pending) = std::mem::take(&mut self.pending_orders)
             .into_iter()
-            .partition(|waiting| now >= waiting.until || held(waiting) >= waiting.wanted.unwrap_or(of));
-        self.waiting = waiting;
-        for Waiting { id, subject, since, answer, .. } in done {
-            let standing =
-                self.replica.effective_orders(now).find(|(standing, _)| standing.subject == subject);
-            let conflict = standing.is_some_and(|(standing, _)| standing.is_conflict());
-            let after_ms = (now - since) / 1_000;
+            .partition(|order| now >= order.deadline || has_enough_holders(order));
+        self.pending_orders = pending;
+        for PendingOrder { id, subject, issued_at, answer, .. } in done {
+            let effective =
+                self.replica.effective_orders(now).find(|(effective, _)| effective.subject == subject);
+            let conflict = effective.is_some_and(|(effective, _)| effective.is_conflict());
+            let after_ms = (now - issued_at) / 1_000;
             let nodes = self.replica.holder_count(id);
-            let _ = answer.send(Some(HeldBy { nodes, of: of.max(nodes), after_ms, conflict })); // who asked may have left
+            let _ = answer.send(Some(HeldBy { nodes, of: node_count.max(nodes), after_ms, conflict })); // the receiver may have been dropped
         }
     }
 
-    /// Tells the rest of the node what it goes by, where that has changed.
-    pub fn tell(&mut self, now: Micros, own: &LocalServerList) {
-        self.changed.extend(self.replica.take_changed_kinds());
-        let stage = self.replica.sync_state();
-        if self.stage != Some(stage) {
-            match (stage, self.stage) {
+    /// Applies changes of the replicated state to the rest of the node.
+    pub fn apply_changes(&mut self, now: Micros, own_list: &LocalServerList) {
+        self.changed_kinds.extend(self.replica.take_changed_kinds());
+        let sync_state = self.replica.sync_state();
+        if self.sync_state != Some(sync_state) {
+            match (sync_state, self.sync_state) {
                 (SyncState::UpToDate(_), Some(SyncState::Behind(since))) => {
                     info!(
                         ms = (now - since) / 1_000,
                         records = self.replica.len(),
-                        "common: this node is level"
+                        "common: this node is up to date"
                     )
                 }
                 (SyncState::Behind(_), Some(_)) => {
-                    info!("common: this node was away; it asks what it has missed")
+                    info!("common: this node was away; it requests the records that it has missed")
                 }
                 _ => {}
             }
-            self.stage = Some(stage);
-            self.changed.insert(kind::ORDER);
+            self.sync_state = Some(sync_state);
+            self.changed_kinds.insert(kind::ORDER);
         }
-        let changed = std::mem::take(&mut self.changed);
-        for of in changed {
-            match of {
-                kind::ORDER if self.kinds.orders => self.tell_orders(now),
-                kind::ENDPOINT_REPORT if self.kinds.words => self.tell_words(own),
-                kind::EVIDENCE if now < self.believed_at + BELIEVED => _ = self.changed.insert(of),
-                kind::EVIDENCE if self.kinds.evidence => self.tell_evidence(now),
+        let changed_kinds = std::mem::take(&mut self.changed_kinds);
+        for record_kind in changed_kinds {
+            match record_kind {
+                kind::ORDER if self.kinds.orders => self.apply_orders(now),
+                kind::ENDPOINT_REPORT if self.kinds.endpoint_reports => self.apply_endpoint_reports(own_list),
+                kind::EVIDENCE if now < self.evidence_applied_at + EVIDENCE_INTERVAL_US => {
+                    self.changed_kinds.insert(record_kind);
+                }
+                kind::EVIDENCE if self.kinds.evidence => self.apply_evidence(now),
                 _ => {}
             }
         }
-        let seen = CommonNow {
-            behind: matches!(stage, SyncState::Behind(_)),
+        let statistics = CommonNow {
+            behind: matches!(sync_state, SyncState::Behind(_)),
             records: self.replica.len(),
             conflicts: self.conflicts.len(),
-            left_out: self.left_out.len(),
+            left_out: self.excluded_servers.len(),
         };
-        if self.told != Some(seen) {
-            self.core.apply_replicated(ReplicatedUpdate::Statistics(seen));
-            self.told = Some(seen);
+        if self.last_statistics != Some(statistics) {
+            self.core.apply_replicated(ReplicatedUpdate::Statistics(statistics));
+            self.last_statistics = Some(statistics);
         }
     }
 
-    fn tell_orders(&mut self, now: Micros) {
-        let (mut orders, mut conflicts, mut level) = (Vec::new(), BTreeSet::new(), None);
-        for (standing, left) in self.replica.effective_orders(now) {
-            if standing.is_conflict() {
-                conflicts.insert(standing.subject.to_vec());
+    /// Applies the orders in effect to the core and the log level, and warns about new conflicts.
+    fn apply_orders(&mut self, now: Micros) {
+        let (mut orders, mut conflicts, mut log_level) = (Vec::new(), BTreeSet::new(), None);
+        for (effective, remaining) in self.replica.effective_orders(now) {
+            if effective.is_conflict() {
+                conflicts.insert(effective.subject.to_vec());
             }
-            if let Action::LogLevel(number) = standing.order.action {
-                level = Some(number);
+            if let Action::LogLevel(number) = effective.order.action {
+                log_level = Some(number);
             }
-            let Some(hold) = hold(standing.order, now, left) else { continue };
-            let Ok(server) = String::from_utf8(standing.subject.to_vec()) else { continue };
-            let Some(held) = self.replica.record(standing.id) else { continue };
-            orders.push(lilacquay_overrides::SharedOrder { server, effect: hold, mark: mark(&held.record) });
+            let Some(effect) = order_effect(effective.order, now, remaining) else { continue };
+            let Ok(server) = String::from_utf8(effective.subject.to_vec()) else { continue };
+            let Some(stored) = self.replica.record(effective.id) else { continue };
+            orders.push(lilacquay_overrides::SharedOrder {
+                server,
+                effect,
+                mark: encode_record(&stored.record),
+            });
         }
         for subject in conflicts.difference(&self.conflicts) {
             warn!(
                 server = String::from_utf8_lossy(subject).as_ref(),
-                "common: orders that had not seen each other contradict; the drain stands until somebody orders anew"
+                "common: orders issued concurrently contradict each other; the drain applies until a new order is given"
             );
         }
         self.conflicts = conflicts;
-        let whole = matches!(self.replica.sync_state(), SyncState::UpToDate(_));
-        self.core.apply_replicated(ReplicatedUpdate::Orders { complete: whole, orders });
-        if let Some(number) = level.filter(|_| level != self.level) {
-            self.level = level;
-            let name = LEVELS[usize::from(number).min(LEVELS.len() - 1)];
-            info!("common: all nodes log from {name} on, by an order given at another");
-            let _ = self.commands.try_send(Command::Level(name.into(), oneshot::channel().0)); // nobody waits
+        let complete = matches!(self.replica.sync_state(), SyncState::UpToDate(_));
+        self.core.apply_replicated(ReplicatedUpdate::Orders { complete, orders });
+        if let Some(number) = log_level.filter(|_| log_level != self.log_level) {
+            self.log_level = log_level;
+            let name = LOG_LEVELS[usize::from(number).min(LOG_LEVELS.len() - 1)];
+            info!("common: all nodes log from {name} on, by an order given at another node");
+            let _ = self.commands.try_send(Command::Level(name.into(), oneshot::channel().0)); // the outcome is not awaited
         }
     }
 
-    fn tell_words(&mut self, own: &LocalServerList) {
-        let left_out = endpoint_reports::excluded_servers(&self.replica, self.setup.own_index as u16, own);
-        if left_out == self.left_out {
+    /// Excludes the servers that other nodes report as draining or gone.
+    fn apply_endpoint_reports(&mut self, own_list: &LocalServerList) {
+        let excluded =
+            endpoint_reports::excluded_servers(&self.replica, self.setup.own_index as u16, own_list);
+        if excluded == self.excluded_servers {
             return;
         }
-        for server in left_out.difference(&self.left_out) {
-            info!(server, "common: other nodes' lists say that it drains or is gone; it is left out here");
+        for server in excluded.difference(&self.excluded_servers) {
+            info!(
+                server,
+                "common: other nodes' lists show the server as draining or gone; it is excluded here"
+            );
         }
-        self.core.apply_replicated(ReplicatedUpdate::RemovedByPeers(left_out.clone()));
-        self.left_out = left_out;
+        self.core.apply_replicated(ReplicatedUpdate::RemovedByPeers(excluded.clone()));
+        self.excluded_servers = excluded;
     }
 
-    /// Told again while it is believed: the core forgets it otherwise.
-    fn tell_evidence(&mut self, now: Micros) {
-        let believed = evidence::corroborated(&self.replica, self.setup.own_index as u16);
-        if !believed.is_empty() || !self.believed.is_empty() {
-            self.core.apply_replicated(ReplicatedUpdate::PeerSlowness(believed.clone()));
+    /// Gives the core the corroborated slowness. Repeated while there is any, because the core forgets it otherwise.
+    fn apply_evidence(&mut self, now: Micros) {
+        let slowness = evidence::corroborated(&self.replica, self.setup.own_index as u16);
+        if !slowness.is_empty() || !self.peer_slowness.is_empty() {
+            self.core.apply_replicated(ReplicatedUpdate::PeerSlowness(slowness.clone()));
         }
-        (self.believed, self.believed_at) = (believed, now);
+        (self.peer_slowness, self.evidence_applied_at) = (slowness, now);
     }
 
-    /// What is held, in words.
-    pub fn look(&self, now: Micros) -> CopyNow {
-        let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
+    /// The replicated state for operators.
+    pub fn status(&self, now: Micros) -> CopyNow {
+        let seconds_since = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
         let (stage, since) = match self.replica.sync_state() {
             SyncState::Behind(since) => ("behind", since),
             SyncState::UpToDate(since) => ("level", since),
         };
         let (root, counts) = (self.replica.root(), self.replica.counters());
-        let mut numbers: BTreeMap<u8, usize> =
-            [kind::ORDER, kind::ENDPOINT_REPORT, kind::EVIDENCE].map(|of| (of, 0)).into();
-        for (_, _, held) in self.replica.records() {
-            *numbers.entry(held.record.kind).or_default() += 1;
+        let mut record_counts: BTreeMap<u8, usize> =
+            [kind::ORDER, kind::ENDPOINT_REPORT, kind::EVIDENCE].map(|kind| (kind, 0)).into();
+        for (_, _, stored) in self.replica.records() {
+            *record_counts.entry(stored.record.kind).or_default() += 1;
         }
-        let of_kind =
-            |(of, records): (u8, usize)| KindNow { kind: name_of(of), records, on: self.kinds.has(of) };
-        let record = |(id, sum, held): (u64, u32, &lilacquay_replica::StoredRecord)| RecordNow {
+        let kind_status = |(kind, records): (u8, usize)| KindNow {
+            kind: kind_name(kind),
+            records,
+            on: self.kinds.includes(kind),
+        };
+        let record = |(id, sum, stored): (u64, u32, &lilacquay_replica::StoredRecord)| RecordNow {
             id,
-            kind: name_of(held.record.kind),
-            origin: held.record.origin.into(),
-            version: (held.record.version.incarnation, held.record.version.counter),
+            kind: kind_name(stored.record.kind),
+            origin: stored.record.origin.into(),
+            version: (stored.record.version.incarnation, stored.record.version.counter),
             sum,
         };
         CopyNow {
             me: self.setup.own_index,
             nodes: self.setup.node_count,
             stage: stage.into(),
-            since_s: ago(since),
+            since_s: seconds_since(since),
             root: format!("{root:08x}"),
-            kinds: numbers.into_iter().map(of_kind).collect(),
+            kinds: record_counts.into_iter().map(kind_status).collect(),
             orders: self
                 .replica
                 .effective_orders(now)
-                .map(|(standing, left)| told(&standing, left))
+                .map(|(effective, remaining)| order_status(&effective, remaining))
                 .collect(),
-            left_out: self.left_out.iter().cloned().collect(),
-            believed: self.believed.clone().into_iter().collect(),
+            left_out: self.excluded_servers.iter().cloned().collect(),
+            believed: self.peer_slowness.clone().into_iter().collect(),
             peers: self
                 .replica
                 .peers()
@@ -467,7 +512,7 @@
                     node,
                     same: peer.root == root,
                     behind: peer.behind,
-                    ago_s: ago(peer.reported_at),
+                    ago_s: seconds_since(peer.reported_at),
                 })
                 .collect(),
             dropped: counts.dropped,
@@ -475,30 +520,31 @@
             sent_bytes: counts.sent_bytes,
             read: counts.accepted,
             unread: counts.invalid,
-            records: self.replica.records().take(TOLD).map(record).collect(),
+            records: self.replica.records().take(MAX_LISTED_RECORDS).map(record).collect(),
         }
     }
 }
 
-/// How an order holds its server, if it does.
-fn hold(order: &Order, now: Micros, left: Option<Micros>) -> Option<OrderEffect> {
+/// The effect of an order on its server, if it has one.
+fn order_effect(order: &Order, now: Micros, remaining: Option<Micros>) -> Option<OrderEffect> {
     match order.action {
-        _ if order.is_tombstone(left) => None,
+        _ if order.is_tombstone(remaining) => None,
         Action::Drain => Some(OrderEffect::Drain),
         Action::LeaveOut => {
-            Some(OrderEffect::ExcludedUntil(now + left?.saturating_sub(TOMBSTONE_RETENTION_US)))
+            Some(OrderEffect::ExcludedUntil(now + remaining?.saturating_sub(TOMBSTONE_RETENTION_US)))
         }
         Action::Undrain | Action::LogLevel(_) => None,
     }
 }
 
-/// An order, in words.
-fn told(standing: &EffectiveOrder, left: Option<Micros>) -> OrderHeld {
-    let EffectiveOrder { subject, order, concurrent: beside, .. } = standing;
-    let tombstone = order.is_tombstone(left);
-    let lasts =
-        left.filter(|_| !tombstone).map(|left| left.saturating_sub(TOMBSTONE_RETENTION_US) as f64 / 1e6);
-    let word = |order: &&Order| {
+/// An order as shown to operators.
+fn order_status(effective: &EffectiveOrder, remaining: Option<Micros>) -> OrderHeld {
+    let EffectiveOrder { subject, order, concurrent, .. } = effective;
+    let tombstone = order.is_tombstone(remaining);
+    let seconds_left = remaining
+        .filter(|_| !tombstone)
+        .map(|remaining| remaining.saturating_sub(TOMBSTONE_RETENTION_US) as f64 / 1e6);
+    let description = |order: &&Order| {
         format!("{} by node {} at {}", order.action.name(), order.dot.origin, order.issued_at_unix_s)
     };
     OrderHeld {
@@ -506,10 +552,10 @@
         action: order.action.name(),
         node: order.dot.origin.into(),
         at: order.issued_at_unix_s,
-        seconds_left: lasts,
+        seconds_left,
         tombstone,
-        beside: beside.iter().map(word).collect(),
-        conflict: standing.is_conflict(),
+        beside: concurrent.iter().map(description).collect(),
+        conflict: effective.is_conflict(),
     }
 }
 
@@ -520,12 +566,12 @@
     use super::*;
 
     #[test]
-    fn a_record_goes_through_its_mark_and_what_is_none_is_nothing() {
+    fn a_record_round_trips_through_its_text_and_invalid_text_is_rejected() {
         let version = Version { incarnation: 7 << 40, counter: 3 };
         let record = Record { kind: 1, origin: 9, name: vec![1; 10], version, value: vec![2; 140] };
-        assert_eq!(of_mark(&mark(&record)), Some(record));
-        for bad in ["", "zz", "4c", "é", &"00".repeat(300)] {
-            assert_eq!(of_mark(bad), None, "{bad}");
+        assert_eq!(decode_record(&encode_record(&record)), Some(record));
+        for invalid in ["", "zz", "4c", "é", &"00".repeat(300)] {
+            assert_eq!(decode_record(invalid), None, "{invalid}");
         }
     }
 }
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -1,5 +1,7 @@
-//! The other nodes: datagrams to and from them, and what that comes to for this node. All that is decided of it, the
-//! package `siblings` decides.
+//! Runs the protocol between the nodes of a site (the siblings) on a UDP socket: passes datagrams and timers to
+//! [`Membership`] and [`ReplicatedState`], and their results (share of resources, number of nodes, log lines, status) to
+//! the rest of the node. The protocol's decisions are made in the packages `siblings` and `replica`. Times are in
+//! microseconds.
 
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -11,7 +13,7 @@
 use lilacquay_codec::siblings::{LONGEST, site};
 use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
 use lilacquay_core::{Clock, CoreHandle, ListUpdate, MembershipSummary, Micros};
-use lilacquay_lifecycle::State as Life;
+use lilacquay_lifecycle::State as LifecycleState;
 use lilacquay_replica::endpoint_reports::LocalServerList;
 use lilacquay_siblings::{
     Membership, MembershipEvent, NodeState, OutgoingDatagram, Parameters, PeerStatus, Setup, StateReason,
@@ -22,38 +24,39 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{error, info, warn};
 
-use crate::lifecycle::Keeper;
-use crate::replicated_state::{self, Common, KeptRecord, Kinds};
+use crate::lifecycle::NodeLifecycle;
+use crate::replicated_state::{self, Kinds, ReplicatedState, SavedRecord};
 use crate::section::Section;
 
-/// Datagrams that are read before others have their turn.
-const TURN: usize = 32;
-/// Changes that are logged one by one; of more, the count.
-const NAMED: usize = 12;
-/// A part that holds for longer is told as one that holds for so long.
-const LONG: Duration = Duration::from_secs(86_400);
-/// The wait before another try to listen.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Most nodes of a list: their numbers are 16 bits on the way.
-const MOST: usize = 65_535;
+/// Datagrams that are read in a row before other events are handled.
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
+/// State changes that are logged one by one; of more at once, only the count is logged.
+const MAX_LOGGED_CHANGES: usize = 12;
+/// Upper bound on the validity of a resource share that the core is given.
+const MAX_SHARE_VALIDITY: Duration = Duration::from_secs(86_400);
+/// Delay before another attempt to listen after a failed one.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Upper bound on the nodes of a site: node numbers are 16 bits in datagrams.
+const MAX_NODES: usize = 65_535;
 
-/// Who the siblings are.
+/// Configuration of the siblings: the nodes of the site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Site {
-    /// Its name: nodes of other sites are not listened to.
+    /// Name of the site: datagrams of nodes of other sites are ignored.
     pub name: String,
-    /// Where this node listens.
+    /// Address on which this node receives datagrams.
     pub listen: SocketAddr,
-    /// All nodes in the order of their numbers, as this one reaches them, its own among them.
+    /// Addresses of all nodes, as this one reaches them, in the order of their numbers; this node's is among them.
     pub nodes: Vec<SocketAddr>,
     /// This node's number.
     pub me: usize,
-    /// What they hold in common.
+    /// The kinds of records that this node publishes and applies.
     pub replicated_kinds: Kinds,
 }
 
 impl Site {
-    /// What the platform tells; nothing where nodes may not speak to one another, or there is nobody to speak to.
+    /// The site as the platform configures it; `None` if nodes may not communicate, there are fewer than two or more than
+    /// 65 535 of them, or the configuration is not consistent.
     pub fn from_platform_settings(
         allowed: bool,
         listen: Option<SocketAddr>,
@@ -63,268 +66,295 @@
     ) -> Option<Site> {
         let (listen, me) = (listen.filter(|_| allowed)?, me?);
         let site = Site { name, listen, nodes, me, replicated_kinds: Kinds::PLATFORM };
-        let good = site.nodes.len() > 1 && site.nodes.len() <= MOST && me < site.nodes.len();
-        (good && site.twice().is_none()).then_some(site)
+        let is_valid = site.nodes.len() > 1 && site.nodes.len() <= MAX_NODES && me < site.nodes.len();
+        (is_valid && site.duplicate_node().is_none()).then_some(site)
     }
 
-    /// Reads `[siblings]`; nothing if there is no such table, or a mistake in it, which is noted.
+    /// Reads the table `[siblings]`; `None` if it is missing or has a mistake, which is noted in `root`.
     pub fn read(root: &mut Section) -> Option<Site> {
         if !root.has("siblings") {
             return None;
         }
         let mut section = root.section("siblings");
         section.only(&["site", "listen", "nodes", "me", "common"]);
-        for (key, mend) in [
+        for (key, remedy) in [
             ("site", "name the site, the same at all its nodes"),
-            ("listen", "give the address on which the others' datagrams come"),
+            ("listen", "give the address on which datagrams of the other nodes arrive"),
             ("nodes", "list all nodes in one order, as in [\"10.0.0.1:7946\", \"10.0.0.2:7946\"]"),
             ("me", "give this node's place in the list, from 0"),
         ] {
             if !section.has(key) {
-                section.missing(key, mend);
+                section.missing(key, remedy);
             }
         }
         let (name, listen) = (section.text("site").map(str::to_owned), section.address("listen"));
         let texts = section.texts("nodes")?;
         let mut nodes = Vec::with_capacity(texts.len());
-        for (place, text) in texts {
+        for (position, text) in texts {
             match text.parse() {
                 Ok(node) => nodes.push(node),
                 Err(_) => section.note(
-                    place,
+                    position,
                     "nodes",
                     format!("{text:?} is no address with a port"),
                     "write it as 10.0.0.1:7946 or [fd00::1]:7946",
                 ),
             }
         }
-        let place = section.place("nodes");
-        if nodes.len() < 2 || nodes.len() > MOST {
-            section.note(place, "nodes", "too few or too many", "list 2 to 65535 nodes, this one among them");
+        let position = section.place("nodes");
+        if nodes.len() < 2 || nodes.len() > MAX_NODES {
+            section.note(
+                position,
+                "nodes",
+                "too few or too many",
+                "list 2 to 65535 nodes, this one among them",
+            );
         }
         let me = section.number("me", 0..=nodes.len().saturating_sub(1));
         let replicated_kinds = Kinds::read(&mut section);
         let site = Site { name: name?, listen: listen?, nodes, me: me?, replicated_kinds };
-        if let Some(twice) = site.twice() {
-            section.note(place, "nodes", format!("{twice} stands there twice"), "list each node once");
+        if let Some(duplicate) = site.duplicate_node() {
+            section.note(position, "nodes", format!("{duplicate} is listed twice"), "list each node once");
         }
         Some(site)
     }
 
-    fn twice(&self) -> Option<SocketAddr> {
+    /// A node that the list holds twice.
+    fn duplicate_node(&self) -> Option<SocketAddr> {
         let mut seen = HashSet::new();
         self.nodes.iter().copied().find(|node| !seen.insert(*node))
     }
 }
 
-/// Whoever asks what the node sees, or has all nodes hold an order.
-pub type Asks = mpsc::Receiver<SiblingsAsk>;
+/// Receives queries about the other nodes, and orders that all nodes are to apply.
+pub type RequestReceiver = mpsc::Receiver<SiblingsAsk>;
 
-/// What a node tells its siblings' task, and is told by it.
-pub struct Ties {
-    /// Who goes by the part and the numbers.
-    pub orders: CoreHandle,
-    /// Who goes by the number of nodes that may be using something.
-    pub nodes: watch::Sender<usize>,
-    pub keeper: Keeper,
-    pub asks: Asks,
-    /// The site, as the configuration has it now.
+/// The task that communicates with the other nodes, with its channels to the rest of the node.
+pub struct SiblingsTask {
+    /// Receives the resource share, the counts of nodes and the replicated state.
+    pub core: CoreHandle,
+    /// Publishes the number of nodes that may be using shared resources.
+    pub node_count: watch::Sender<usize>,
+    pub lifecycle: NodeLifecycle,
+    pub requests: RequestReceiver,
+    /// The site of the current configuration.
     pub site: watch::Receiver<Site>,
     pub seed: u64,
-    /// The lists that the node's own source tells.
-    pub lists: mpsc::UnboundedReceiver<ListUpdate>,
-    /// Who carries out orders on the node itself.
+    /// Updates of the server list from the node's own membership source.
+    pub list_updates: mpsc::UnboundedReceiver<ListUpdate>,
+    /// Carries commands to the node's command loop.
     pub commands: mpsc::Sender<Command>,
-    /// What is held in common from before: over a restart, another list of nodes, a hand-over.
-    pub kept: Vec<KeptRecord>,
-    /// What the node's own list says.
-    pub own: LocalServerList,
+    /// Replicated records kept across a restart, a change of the list of nodes, or a handover.
+    pub saved_records: Vec<SavedRecord>,
+    /// The server list of the node's own membership source.
+    pub own_list: LocalServerList,
 }
 
-impl Ties {
-    /// Runs until the node ends. A list that has changed begins anew, with nobody known.
+impl SiblingsTask {
+    /// Runs until the node ends. After a change of the list of nodes it starts over, with no node known.
     pub async fn run(mut self) {
         loop {
             let site = self.site.borrow_and_update().clone();
             match UdpSocket::bind(site.listen).await {
                 Ok(socket) => {
                     info!("siblings: node {} of {} listens on {}", site.me, site.nodes.len(), site.listen);
-                    Kin::new(site, socket, &mut self).run(&mut self).await;
+                    Session::new(site, socket, &mut self).run(&mut self).await;
                 }
                 Err(error) => {
-                    warn!("siblings: cannot listen on {}: {error}; tried again in a second", site.listen);
-                    tokio::time::sleep(PAUSE).await;
+                    warn!("siblings: cannot listen on {}: {error}; retrying in a second", site.listen);
+                    tokio::time::sleep(LISTEN_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// The siblings of one list.
-struct Kin {
+/// The protocol state for one list of nodes.
+struct Session {
     socket: UdpSocket,
     site: Site,
-    by_address: HashMap<SocketAddr, usize>,
+    node_by_address: HashMap<SocketAddr, usize>,
     clock: Clock,
-    siblings: Membership,
-    /// Datagrams from addresses that are no node's.
-    unlisted: u64,
-    told: Option<MembershipSummary>,
-    /// What is held in common, if anything is.
-    common: Option<Common>,
-    /// Whether enough of the others confirmed this node at the last look.
-    confirmed: bool,
+    membership: Membership,
+    /// Number of datagrams from addresses that belong to no node.
+    unlisted_datagrams: u64,
+    /// The summary that the core was given last.
+    last_summary: Option<MembershipSummary>,
+    /// The replicated state, if any kind of record is replicated.
+    replicated: Option<ReplicatedState>,
+    /// Whether enough of the other nodes confirmed this node at the last check.
+    was_confirmed: bool,
 }
 
-impl Kin {
-    fn new(site: Site, socket: UdpSocket, ties: &mut Ties) -> Kin {
+impl Session {
+    fn new(site: Site, socket: UdpSocket, task: &mut SiblingsTask) -> Session {
         let clock = Clock::new();
         let setup = Setup {
             own_index: site.me,
             node_count: site.nodes.len(),
             site_id: self::site(&site.name, site.nodes.len()),
-            seed: ties.seed ^ wall(),
+            seed: task.seed ^ unix_time_us(),
             parameters: Parameters::default(),
         };
-        let by_address = site.nodes.iter().copied().zip(0..).collect();
-        let siblings = Membership::new(setup, clock.now(), wall());
-        let common = site.replicated_kinds.any().then(|| {
+        let node_by_address = site.nodes.iter().copied().zip(0..).collect();
+        let membership = Membership::new(setup, clock.now(), unix_time_us());
+        let replicated = site.replicated_kinds.any().then(|| {
             let setup = lilacquay_replica::Setup {
                 own_index: site.me,
                 node_count: site.nodes.len(),
                 site_id: self::site(&site.name, site.nodes.len()),
-                seed: ties.seed ^ wall() ^ 1,
-                incarnation: siblings.incarnation(),
+                seed: task.seed ^ unix_time_us() ^ 1,
+                incarnation: membership.incarnation(),
             };
-            let (orders, commands) = (ties.orders.clone(), ties.commands.clone());
-            let mut common = Common::new(setup, site.replicated_kinds, clock.now(), orders, commands);
-            common.restore(clock.now(), std::mem::take(&mut ties.kept));
-            common
+            let (core, commands) = (task.core.clone(), task.commands.clone());
+            let mut replicated =
+                ReplicatedState::new(setup, site.replicated_kinds, clock.now(), core, commands);
+            replicated.restore(clock.now(), std::mem::take(&mut task.saved_records));
+            replicated
         });
-        Kin { socket, site, by_address, clock, siblings, unlisted: 0, told: None, common, confirmed: false }
+        Session {
+            socket,
+            site,
+            node_by_address,
+            clock,
+            membership,
+            unlisted_datagrams: 0,
+            last_summary: None,
+            replicated,
+            was_confirmed: false,
+        }
     }
 
     /// Runs until the list changes.
-    async fn run(mut self, ties: &mut Ties) {
-        let mut bearing = ties.keeper.bearing();
+    async fn run(mut self, task: &mut SiblingsTask) {
+        let mut service_mode = task.lifecycle.service_mode();
         let (mut datagram, mut leaving) = ([0; LONGEST + 1], false);
         loop {
-            let due = self.common.as_ref().map_or(Micros::MAX, Common::due).min(self.siblings.next_tick_at());
+            let replication_tick_at =
+                self.replicated.as_ref().map_or(Micros::MAX, ReplicatedState::next_tick_at);
+            let next_tick_at = replication_tick_at.min(self.membership.next_tick_at());
             let out = tokio::select! {
                 biased;
-                () = sleep_until(self.clock.instant(due)) => self.tick(),
-                Some(ask) = ties.asks.recv() => {
-                    self.asked(ask);
+                () = sleep_until(self.clock.instant(next_tick_at)) => self.tick(),
+                Some(request) = task.requests.recv() => {
+                    self.handle_request(request);
                     Vec::new()
                 }
-                Some(told) = ties.lists.recv() => {
-                    let ended = replicated_state::list(&mut ties.own, told);
-                    if let Some(common) = &mut self.common {
-                        common.list(self.clock.now(), &ties.own, &ended);
+                Some(update) = task.list_updates.recv() => {
+                    let withdrawn = replicated_state::apply_list_update(&mut task.own_list, update);
+                    if let Some(replicated) = &mut self.replicated {
+                        replicated.publish_list(self.clock.now(), &task.own_list, &withdrawn);
                     }
                     Vec::new()
                 }
-                Ok(()) = bearing.changed() => match ties.keeper.state() {
-                    Life::ShuttingDown { address_shared: false, .. } if !leaving => {
+                Ok(()) = service_mode.changed() => match task.lifecycle.state() {
+                    LifecycleState::ShuttingDown { address_shared: false, .. } if !leaving => {
                         leaving = true;
-                        self.siblings.leave(self.clock.now())
+                        self.membership.leave(self.clock.now())
                     }
                     _ => continue,
                 },
-                Ok(()) = ties.site.changed() => {
-                    if *ties.site.borrow() == self.site {
+                Ok(()) = task.site.changed() => {
+                    if *task.site.borrow() == self.site {
                         continue;
                     }
                     let now = self.clock.now();
-                    let last = self.siblings.leave(now);
-                    info!("siblings: the list of nodes has changed; it begins anew");
-                    ties.kept = self.common.as_ref().map_or(Vec::new(), |common| common.kept(now));
-                    return self.send(last).await;
+                    let leave_datagrams = self.membership.leave(now);
+                    info!("siblings: the list of nodes has changed; starting over");
+                    task.saved_records = self.replicated.as_ref().map_or(Vec::new(), |replicated| replicated.orders_to_save(now));
+                    return self.send(leave_datagrams).await;
                 }
-                // Last: datagrams without end hold up none of the above.
-                come = self.socket.recv_from(&mut datagram) => {
+                // Last, so that a flood of datagrams delays none of the branches above.
+                received = self.socket.recv_from(&mut datagram) => {
                     let mut out = Vec::new();
-                    let mut come = come;
-                    for _ in 0..TURN {
-                        let Ok((length, from)) = come else { break };
-                        out.extend(self.heard(from, &datagram[..length]));
-                        come = self.socket.try_recv_from(&mut datagram);
+                    let mut received = received;
+                    for _ in 0..MAX_DATAGRAMS_PER_TURN {
+                        let Ok((length, from)) = received else { break };
+                        out.extend(self.handle_datagram(from, &datagram[..length]));
+                        received = self.socket.try_recv_from(&mut datagram);
                     }
                     out
                 }
             };
             self.send(out).await;
-            self.log();
-            self.tell(ties);
-            if let Some(common) = &mut self.common {
-                common.tell(self.clock.now(), &ties.own);
+            self.log_events();
+            self.publish_summary(task);
+            if let Some(replicated) = &mut self.replicated {
+                replicated.apply_changes(self.clock.now(), &task.own_list);
             }
             yield_now().await;
         }
     }
 
-    /// Time has passed.
+    /// Handles the timers that are due.
     fn tick(&mut self) -> Vec<OutgoingDatagram> {
         let (now, mut out) = (self.clock.now(), Vec::new());
-        if now >= self.siblings.next_tick_at() {
-            out.extend(self.siblings.tick(now, wall()));
-            self.mind_common(now);
+        if now >= self.membership.next_tick_at() {
+            out.extend(self.membership.tick(now, unix_time_us()));
+            self.update_reachable_nodes(now);
         }
-        if let Some(common) = self.common.as_mut().filter(|common| now >= common.due()) {
-            out.extend(common.tick(now).into_iter().map(worded));
+        if let Some(replicated) =
+            self.replicated.as_mut().filter(|replicated| now >= replicated.next_tick_at())
+        {
+            out.extend(replicated.tick(now).into_iter().map(to_outgoing));
         }
         out
     }
 
-    /// Tells the copy who is here, and whether this node was away.
-    fn mind_common(&mut self, now: Micros) {
-        let Some(common) = &mut self.common else { return };
-        let confirmed = self.siblings.is_confirmed(now);
-        // One that too few confirm is cut off; one that is superseded is to be silent.
-        let fellows = self.siblings.peers(now);
-        let heard = |fellow: &&PeerStatus| fellow.state == NodeState::Here;
-        let here = match self.siblings.is_superseded() {
+    /// Passes the reachable nodes to the replicated state, and whether this node was cut off until now.
+    fn update_reachable_nodes(&mut self, now: Micros) {
+        let Some(replicated) = &mut self.replicated else { return };
+        let is_confirmed = self.membership.is_confirmed(now);
+        // A node that too few confirm counts as cut off; one that is superseded must stay silent.
+        let peers = self.membership.peers(now);
+        let is_here = |peer: &&PeerStatus| peer.state == NodeState::Here;
+        let reachable = match self.membership.is_superseded() {
             true => Vec::new(),
-            false => fellows.iter().filter(heard).map(|fellow| fellow.node).collect(),
+            false => peers.iter().filter(is_here).map(|peer| peer.node).collect(),
         };
-        common.set_here(now, here, confirmed && !self.confirmed);
-        self.confirmed = confirmed;
+        replicated.set_reachable(now, reachable, is_confirmed && !self.was_confirmed);
+        self.was_confirmed = is_confirmed;
     }
 
-    /// Answers whoever asks.
-    fn asked(&mut self, ask: SiblingsAsk) {
+    /// Answers a query, or publishes an order.
+    fn handle_request(&mut self, request: SiblingsAsk) {
         let now = self.clock.now();
-        // Who asked may have left, at each.
-        match ask {
-            SiblingsAsk::Sight(answer) => drop(answer.send(self.sight())),
+        // The receiver of each answer may have been dropped.
+        match request {
+            SiblingsAsk::Sight(answer) => drop(answer.send(self.status())),
             SiblingsAsk::Copy(answer) => {
-                drop(answer.send(self.common.as_ref().map(|common| common.look(now))))
-            }
-            SiblingsAsk::Records(answer) => {
-                drop(answer.send(self.common.as_ref().map_or(Vec::new(), |common| common.handed(now))))
+                drop(answer.send(self.replicated.as_ref().map(|replicated| replicated.status(now))))
             }
-            SiblingsAsk::Order(order, wait_for, answer) => match &mut self.common {
-                Some(common) => common.order(now, &order, wait_for, answer),
+            SiblingsAsk::Records(answer) => drop(
+                answer.send(
+                    self.replicated
+                        .as_ref()
+                        .map_or(Vec::new(), |replicated| replicated.records_to_hand_over(now)),
+                ),
+            ),
+            SiblingsAsk::Order(order, wait_for, answer) => match &mut self.replicated {
+                Some(replicated) => replicated.publish_order(now, &order, wait_for, answer),
                 None => drop(answer.send(None)),
             },
         }
     }
 
-    fn heard(&mut self, from: SocketAddr, datagram: &[u8]) -> Vec<OutgoingDatagram> {
-        match self.by_address.get(&from) {
+    fn handle_datagram(&mut self, from: SocketAddr, datagram: &[u8]) -> Vec<OutgoingDatagram> {
+        match self.node_by_address.get(&from) {
             Some(&node) if datagram.starts_with(&replica::MAGIC) => {
                 let now = self.clock.now();
-                // One that has given its name up to another process is silent.
-                let common = self.common.as_mut().filter(|_| !self.siblings.is_superseded());
-                let out = common.map_or(Vec::new(), |common| common.heard(now, node, datagram));
-                out.into_iter().map(worded).collect()
+                // A node that another process has superseded stays silent.
+                let replicated = self.replicated.as_mut().filter(|_| !self.membership.is_superseded());
+                let out = replicated
+                    .map_or(Vec::new(), |replicated| replicated.handle_datagram(now, node, datagram));
+                out.into_iter().map(to_outgoing).collect()
             }
-            Some(&node) => self.siblings.handle_datagram(self.clock.now(), wall(), node, datagram),
+            Some(&node) => self.membership.handle_datagram(self.clock.now(), unix_time_us(), node, datagram),
             None => {
-                self.unlisted += 1;
-                if self.unlisted == 1 {
+                self.unlisted_datagrams += 1;
+                if self.unlisted_datagrams == 1 {
                     warn!(
-                        "siblings: a datagram came from {from}, which is no node's address; such are dropped"
+                        "siblings: dropped a datagram from {from}, which is not the address of a node; further ones are only counted"
                     );
                 }
                 Vec::new()
@@ -334,61 +364,57 @@
 
     async fn send(&self, out: Vec<OutgoingDatagram>) {
         for OutgoingDatagram { to, datagram } in out {
-            // One that is lost is said again; what a network refuses is as lost.
+            // The protocol repeats what is lost; a datagram that cannot be sent counts as lost.
             let _: io::Result<usize> = self.socket.send_to(&datagram, self.site.nodes[to]).await;
         }
     }
 
-    /// Tells the rest of the node what it may use, if that is something else or holds for longer.
-    fn tell(&mut self, ties: &Ties) {
+    /// Gives the rest of the node its resource share and the counts of nodes, if they have changed or are valid for longer.
+    fn publish_summary(&mut self, task: &SiblingsTask) {
         let now = self.clock.now();
-        let part = self.siblings.resource_share(now);
-        let left = Duration::from_micros(part.until.saturating_sub(now)).min(LONG);
-        let fellows = MembershipSummary {
-            share_thousandths: part.thousandths_at(now),
-            valid_until: Instant::now() + left,
-            peer_counts: self.siblings.state_counts(),
+        let share = self.membership.resource_share(now);
+        let validity = Duration::from_micros(share.until.saturating_sub(now)).min(MAX_SHARE_VALIDITY);
+        let summary = MembershipSummary {
+            share_thousandths: share.thousandths_at(now),
+            valid_until: Instant::now() + validity,
+            peer_counts: self.membership.state_counts(),
         };
-        let renewed = |told: &MembershipSummary| {
-            (told.share_thousandths, told.peer_counts) == (fellows.share_thousandths, fellows.peer_counts)
-                && fellows.valid_until < told.valid_until + Duration::from_millis(100)
+        let is_unchanged = |last: &MembershipSummary| {
+            (last.share_thousandths, last.peer_counts) == (summary.share_thousandths, summary.peer_counts)
+                && summary.valid_until < last.valid_until + Duration::from_millis(100)
         };
-        if !self.told.as_ref().is_some_and(renewed) {
-            self.told = Some(fellows);
-            ties.orders.set_membership_summary(fellows);
-            ties.nodes.send_if_modified(|nodes| {
-                let changed = *nodes != fellows.node_count();
-                *nodes = fellows.node_count();
+        if !self.last_summary.as_ref().is_some_and(is_unchanged) {
+            self.last_summary = Some(summary);
+            task.core.set_membership_summary(summary);
+            task.node_count.send_if_modified(|node_count| {
+                let changed = *node_count != summary.node_count();
+                *node_count = summary.node_count();
                 changed
             });
         }
     }
 
-    fn log(&mut self) {
-        let changes = self.siblings.take_events();
-        let states =
-            changes.iter().filter(|change| matches!(change, MembershipEvent::StateChanged { .. })).count();
-        if states > NAMED {
-            let [here, gone, unknown] = self.siblings.state_counts();
-            info!(here, gone, unknown, "siblings: {states} changes at once");
+    /// Logs the events since the last call.
+    fn log_events(&mut self) {
+        let events = self.membership.take_events();
+        let state_changes =
+            events.iter().filter(|event| matches!(event, MembershipEvent::StateChanged { .. })).count();
+        if state_changes > MAX_LOGGED_CHANGES {
+            let [here, gone, unknown] = self.membership.state_counts();
+            info!(here, gone, unknown, "siblings: {state_changes} changes at once");
         }
-        for change in &changes {
-            match change {
-                MembershipEvent::StateChanged { .. } if states > NAMED => {}
-                MembershipEvent::StateChanged {
-                    node,
-                    previous: was,
-                    current: is,
-                    incarnation,
-                    reason: why,
-                } => {
-                    let (was, is, why) = (was.as_str(), is.as_str(), words(why));
-                    info!(incarnation, "siblings: node {node} is {is}, was {was}: {why}");
+        for event in &events {
+            match event {
+                MembershipEvent::StateChanged { .. } if state_changes > MAX_LOGGED_CHANGES => {}
+                MembershipEvent::StateChanged { node, previous, current, incarnation, reason } => {
+                    let (previous, current) = (previous.as_str(), current.as_str());
+                    let reason = reason_text(reason);
+                    info!(incarnation, "siblings: node {node} is {current}, was {previous}: {reason}");
                 }
-                MembershipEvent::Paused { duration: time } => {
+                MembershipEvent::Paused { duration } => {
                     warn!(
-                        ms = time / 1_000,
-                        "siblings: this node was paused; it accuses nobody and asks again"
+                        ms = duration / 1_000,
+                        "siblings: this node was paused; it reports no node as failed and asks again"
                     )
                 }
                 MembershipEvent::IncarnationStarted { incarnation, denials: denied } => {
@@ -396,33 +422,36 @@
                 }
                 MembershipEvent::ConfirmationChanged(true) => info!("siblings: this node is confirmed"),
                 MembershipEvent::ConfirmationChanged(false) => {
-                    warn!("siblings: too few confirm this node; it uses nothing shared until they do")
+                    warn!(
+                        "siblings: too few nodes confirm this node; it uses no shared resources until they do"
+                    )
                 }
                 MembershipEvent::Superseded => error!(
-                    "siblings: another process runs as node {}; this one gives way and uses nothing shared; end one of them",
+                    "siblings: another process runs as node {}; this one steps back and uses no shared resources; end one of the two",
                     self.site.me
                 ),
             }
         }
     }
 
-    /// What it sees, in words.
-    fn sight(&self) -> Sight {
+    /// The membership view for operators.
+    fn status(&self) -> Sight {
         let now = self.clock.now();
-        let [here, gone, unknown] = self.siblings.state_counts();
-        let (part, counts) = (self.siblings.resource_share(now), self.siblings.counters());
-        let fellow = |fellow: PeerStatus| self.fellow(now, fellow);
-        let way = |way: lilacquay_siblings::LinkState| WayNow { from: way.from, to: way.to, open: way.is_up };
+        let [here, gone, unknown] = self.membership.state_counts();
+        let (share, counts) = (self.membership.resource_share(now), self.membership.counters());
+        let peer = |peer: PeerStatus| self.peer_status(now, peer);
+        let link =
+            |link: lilacquay_siblings::LinkState| WayNow { from: link.from, to: link.to, open: link.is_up };
         Sight {
             site: self.site.name.clone(),
             me: self.site.me,
             nodes: self.site.nodes.len(),
-            incarnation: self.siblings.incarnation(),
-            epoch: format!("{:08x}", self.siblings.view_digest()),
-            confirmed: self.siblings.is_confirmed(now),
-            superseded: self.siblings.is_superseded(),
-            part: f64::from(part.thousandths_at(now)) / 1e3,
-            doubt: self.siblings.health_penalty(),
+            incarnation: self.membership.incarnation(),
+            epoch: format!("{:08x}", self.membership.view_digest()),
+            confirmed: self.membership.is_confirmed(now),
+            superseded: self.membership.is_superseded(),
+            part: f64::from(share.thousandths_at(now)) / 1e3,
+            doubt: self.membership.health_penalty(),
             pauses: counts.pauses,
             here,
             gone,
@@ -432,58 +461,60 @@
             read: counts.accepted,
             unread: counts.invalid,
             strangers: counts.other_site,
-            unlisted: self.unlisted,
-            fellows: self.siblings.peers(now).into_iter().map(fellow).collect(),
-            ways: self.siblings.link_states(now).into_iter().map(way).collect(),
+            unlisted: self.unlisted_datagrams,
+            fellows: self.membership.peers(now).into_iter().map(peer).collect(),
+            ways: self.membership.link_states(now).into_iter().map(link).collect(),
         }
     }
 
-    fn fellow(&self, now: Micros, fellow: PeerStatus) -> FellowNow {
-        let ago = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
+    fn peer_status(&self, now: Micros, peer: PeerStatus) -> FellowNow {
+        let seconds_since = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
         FellowNow {
-            node: fellow.node,
-            address: self.site.nodes[fellow.node].to_string(),
-            state: fellow.state.as_str().into(),
-            since_s: ago(fellow.since),
-            why: words(&fellow.reason),
-            incarnation: fellow.incarnation,
-            heard_s: fellow.last_heard.map(|(at, _)| ago(at)),
-            heard_by: fellow.last_heard.map(|(_, by)| by),
-            we_hear: fellow.we_hear,
-            hears_us: fellow.hears_us,
-            suspected: fellow.is_suspected && fellow.state != NodeState::Gone,
+            node: peer.node,
+            address: self.site.nodes[peer.node].to_string(),
+            state: peer.state.as_str().into(),
+            since_s: seconds_since(peer.since),
+            why: reason_text(&peer.reason),
+            incarnation: peer.incarnation,
+            heard_s: peer.last_heard.map(|(at, _)| seconds_since(at)),
+            heard_by: peer.last_heard.map(|(_, by)| by),
+            we_hear: peer.we_hear,
+            hears_us: peer.hears_us,
+            suspected: peer.is_suspected && peer.state != NodeState::Gone,
         }
     }
 }
 
-/// One that the copy sends goes the same way.
-fn worded(out: lilacquay_replica::OutgoingDatagram) -> OutgoingDatagram {
+/// Converts a datagram of the replica, which goes through the same socket.
+fn to_outgoing(out: lilacquay_replica::OutgoingDatagram) -> OutgoingDatagram {
     OutgoingDatagram { to: out.to, datagram: out.datagram }
 }
 
-/// On what evidence.
-fn words(why: &StateReason) -> String {
-    match why {
-        StateReason::NeverHeard => "nothing was heard of it yet".into(),
-        StateReason::Heard { via: by } => format!("its word came through node {by}"),
-        StateReason::NewIncarnation { previous: than, via: by } => {
-            format!("it began anew after incarnation {than}, by word through node {by}")
+/// The reason of a peer's state, as logged and shown to operators.
+fn reason_text(reason: &StateReason) -> String {
+    match reason {
+        StateReason::NeverHeard => "nothing has been heard of it yet".into(),
+        StateReason::Heard { via } => format!("news of it came through node {via}"),
+        StateReason::NewIncarnation { previous, via } => {
+            format!("it started over after incarnation {previous}, as reported through node {via}")
+        }
+        StateReason::Left => "it announced that it leaves".into(),
+        StateReason::LeaseExpired { reported_by } => {
+            format!("its lease has run out at nodes {reported_by:?}")
         }
-        StateReason::Left => "it said that it leaves".into(),
-        StateReason::LeaseExpired { reported_by: by } => format!("its lease has run out at nodes {by:?}"),
-        StateReason::Silent => "nothing new was heard of it for too long".into(),
-        StateReason::Unconfirmed => "it is not confirmed, by its own word".into(),
+        StateReason::Silent => "nothing new has been heard of it for too long".into(),
+        StateReason::Unconfirmed => "it reports that it is not confirmed".into(),
         StateReason::DoesNotHearUs => "it has not confirmed hearing this node".into(),
     }
 }
 
-/// Unix time in microseconds, as the system has it now: it may be put forward or back.
-fn wall() -> Micros {
+/// The system clock's Unix time in microseconds, which may jump forward or back.
+fn unix_time_us() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// For whoever asks what the node sees, with the receiver's half.
-pub fn asks() -> (Arc<mpsc::Sender<SiblingsAsk>>, Asks) {
-    let (to, asks) = mpsc::channel(16);
-    (Arc::new(to), asks)
+/// A channel for requests to the siblings task.
+pub fn request_channel() -> (Arc<mpsc::Sender<SiblingsAsk>>, RequestReceiver) {
+    let (sender, requests) = mpsc::channel(16);
+    (Arc::new(sender), requests)
 }
--- a/crates/lilacquay/tests/handover.rs
+++ b/crates/lilacquay/tests/handover.rs
@@ -140,7 +140,7 @@
         let (new, _) = platform.start();
         new.signal("-KILL");
         drop(new); // waited for, as the platform does
-        old.logged("the process that was to follow has ended");
+        old.logged("the successor process has ended");
         served(&platform, &old);
     }
     let (new, _) = platform.start();
@@ -170,8 +170,8 @@
     let (mut second, second_admin) = platform.start();
     first.terminate();
     let first_ends = std::thread::spawn(move || {
-        first.logged("asks to follow"); // the second one
-        first.logged("asks to follow"); // the third, which must wait
+        first.logged("requests a takeover"); // the second one
+        first.logged("requests a takeover"); // the third, which must wait
         call.value("v");
         assert_eq!(client.answer().as_deref(), Some("v"));
         assert!(first.exit());
--- a/crates/lilacquay/tests/replica.rs
+++ b/crates/lilacquay/tests/replica.rs
@@ -133,7 +133,7 @@
         |trial: &Trial| drained(trial, &all(), "box-0", false) && drained(trial, &all(), "box-1", true);
     site.until("4 has caught up", caught_up);
     site.until("4 says so", |_| {
-        site.said(4, "this node was away") >= 1 && site.said(4, "this node is level") >= 1
+        site.said(4, "this node was away") >= 1 && site.said(4, "this node is up to date") >= 1
     });
     site.split(&[3], &others(3));
     std::thread::sleep(Duration::from_secs(4)); // longer than a lease
