--- a/crates/lilacquay/src/admin.rs
+++ b/crates/lilacquay/src/admin.rs
@@ -1,4 +1,5 @@
-//! Answers calls on the admin address (the second address, of the table `[admin]`): health, metrics, and orders to leave or join service.
+//! Answers calls on the admin address, which logs call the second address: health, metrics, and orders to leave or join
+//! service.
 
 use lilacquay_admin::CallHandler;
 use lilacquay_admin::call::{Answer, Call};
--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -1,4 +1,5 @@
-//! `status`, `orders`, `drain` and `undrain`: what operators say to a running node.
+//! The commands that operators give a running node through its control socket (`status`, `events`, `orders`, `siblings`,
+//! `replica`, `drain`, `undrain`, `level`, `reload` and others), and the text that they print.
 
 use std::process::ExitCode;
 use std::thread::sleep;
@@ -10,54 +11,58 @@
 use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaOrder, UndrainArgs};
 use crate::replica;
 
-/// The node did not obey; nothing has changed.
-const REFUSED: u8 = 3;
-/// No node listens there.
-const NO_NODE: u8 = 4;
-/// How long a drain is followed, and how often it is looked at.
-const LONGEST_DRAIN: Duration = Duration::from_secs(60);
-const STEP: Duration = Duration::from_millis(100);
-/// A node that answers nothing for so long is held to be stuck.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Exit code if the node refused the order; nothing has changed then.
+const EXIT_REFUSED: u8 = 3;
+/// Exit code if no node listens at the state folder.
+const EXIT_NO_NODE: u8 = 4;
+/// How long `drain --wait` waits for the requests in progress to end.
+const DRAIN_WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which `drain --wait` asks for the requests in progress.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// A node that does not answer within this time is taken to be stuck.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Prints the status of the node.
 pub fn status(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Look))
+    exit_code(ask(args, Verb::Look))
 }
 
-/// Gives an order on the node itself.
+/// Sends a command about the node itself.
 pub fn node_command(args: &ControlArgs, verb: Verb) -> ExitCode {
-    code(ask(args, verb))
+    exit_code(ask(args, verb))
 }
 
+/// Sets the log level, at this node or at all.
 pub fn level(args: LevelArgs) -> ExitCode {
-    code(ask(&args.control, Verb::Level { level: args.level, everywhere: args.everywhere }))
+    exit_code(ask(&args.control, Verb::Level { level: args.level, everywhere: args.everywhere }))
 }
 
-/// Shows events; with `--follow` until it is ended, or the node is.
+/// Prints events; with `--follow` until this process or the node ends.
 pub fn events(args: &EventsArgs) -> ExitCode {
     let EventsArgs { control, follow, after, search } = args;
-    let search = search.as_ref().map(|words| words.to_lowercase());
-    let shown = || {
+    let search = search.as_ref().map(|text| text.to_lowercase());
+    let print_events = || {
         let verb = Verb::Events { after: *after, follow: *follow };
-        let mut stream =
-            connect(control)?.stream(verb, if *follow { None } else { Some(PATIENCE) }).map_err(other)?;
+        let mut stream = connect(control)?
+            .stream(verb, if *follow { None } else { Some(ANSWER_TIMEOUT) })
+            .map_err(client_failure)?;
         loop {
-            let Answer::Events { told } = stream.next_answer().map_err(other)? else {
-                return Err(Failure::Other("the node told no events".into()));
+            let Answer::Events { told } = stream.next_answer().map_err(client_failure)? else {
+                return Err(Failure::Other("the node answered with something other than events".into()));
             };
             if told.missed > 0 && !control.json {
-                eprintln!("lilacquay: {} events before these are no longer kept", told.missed);
+                eprintln!("lilacquay: {} earlier events are no longer kept", told.missed);
             }
-            let wanted = |event: &&Event| {
-                search.as_ref().is_none_or(|words| event.text.to_lowercase().contains(words))
+            let matches_search = |event: &&Event| {
+                search.as_ref().is_none_or(|search| event.text.to_lowercase().contains(search))
             };
-            for event in told.events.iter().filter(wanted) {
+            for event in told.events.iter().filter(matches_search) {
                 match control.json {
                     true => println!("{}", serde_json::to_string(event).unwrap_or_default()),
                     false => println!(
                         "{:6} {} {:5} {}",
                         event.number,
-                        clock(event.at_ms),
+                        format_time(event.at_ms),
                         event.level,
                         event.text.escape_debug()
                     ),
@@ -68,68 +73,75 @@
             }
         }
     };
-    code(shown())
+    exit_code(print_events())
 }
 
-fn clock(at_ms: u64) -> String {
+/// Formats a Unix time in milliseconds.
+fn format_time(at_ms: u64) -> String {
     let at = UNIX_EPOCH + Duration::from_millis(at_ms);
     humantime::format_rfc3339_seconds(at).to_string()
 }
 
+/// Prints the orders in effect.
 pub fn orders(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Orders))
+    exit_code(ask(args, Verb::Orders))
 }
 
+/// Prints what the node knows of the other nodes.
 pub fn siblings(args: &ControlArgs) -> ExitCode {
-    code(ask(args, Verb::Siblings))
+    exit_code(ask(args, Verb::Siblings))
 }
 
-/// Shows a node's copy of what all hold in common, or compares two.
+/// Prints a node's copy of the replicated state, or compares two copies.
 pub fn replica(args: &ReplicaArgs) -> ExitCode {
     match (&args.order, &args.state) {
         (Some(ReplicaOrder::Diff { one, other }), _) => replica::diff(one, other),
         (None, Some(state)) => {
-            code(ask(&ControlArgs { state: state.clone(), json: args.json }, Verb::Replica))
+            exit_code(ask(&ControlArgs { state: state.clone(), json: args.json }, Verb::Replica))
         }
-        (None, None) => ExitCode::FAILURE, // the command line asks for it
+        (None, None) => ExitCode::FAILURE, // the command-line parser requires one of the two
     }
 }
 
+/// Puts a server back into service.
 pub fn undrain(args: UndrainArgs) -> ExitCode {
     let UndrainArgs { server, control, seen, wait_for } = args;
-    code(ask(&control, Verb::Undrain { server, seen, wait_for }))
+    exit_code(ask(&control, Verb::Undrain { server, seen, wait_for }))
 }
 
+/// Takes a server out of service, and waits for its requests to end if asked to.
 pub fn drain(args: DrainArgs) -> ExitCode {
     let DrainArgs { server, control, time, lasting, force, wait, seen, wait_for } = args;
     let seconds = time.map(|time| time.as_secs_f64().ceil() as u64);
     let verb = Verb::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
-    let obeyed = ask(&control, verb);
-    match obeyed {
-        Ok(()) if wait => code(until_free(&control, &server)),
-        other => code(other),
+    let result = ask(&control, verb);
+    match result {
+        Ok(()) if wait => exit_code(wait_until_drained(&control, &server)),
+        result => exit_code(result),
     }
 }
 
-/// Follows a drain to its end.
-fn until_free(args: &ControlArgs, name: &str) -> Result<(), Failure> {
-    let (until, mut last) = (Instant::now() + LONGEST_DRAIN, None);
+/// Waits until no request of the node is in progress at a drained server.
+fn wait_until_drained(args: &ControlArgs, name: &str) -> Result<(), Failure> {
+    let (deadline, mut last_printed) = (Instant::now() + DRAIN_WAIT_TIMEOUT, None);
     loop {
-        let Answer::Servers { servers } = answer(args, Verb::Servers)? else {
-            return Err(Failure::Other("the node told no servers".into()));
+        let Answer::Servers { servers } = send(args, Verb::Servers)? else {
+            return Err(Failure::Other("the node answered with something other than servers".into()));
         };
-        // One that has left the list holds nothing of ours that it could still finish for the list's sake.
-        let out = servers.iter().find(|server| server.server == name).map_or(0, |server| server.out);
-        if last.replace(out) != Some(out) {
-            eprintln!("{}: {out} requests are out there yet", name.escape_debug());
+        // A server that is no longer listed counts as drained: the list no longer asks for its requests to be finished.
+        let in_progress = servers.iter().find(|server| server.server == name).map_or(0, |server| server.out);
+        if last_printed.replace(in_progress) != Some(in_progress) {
+            eprintln!("{}: {in_progress} requests still in progress", name.escape_debug());
         }
-        if out == 0 {
+        if in_progress == 0 {
             return Ok(());
         }
-        if Instant::now() >= until {
-            return Err(Failure::Other(format!("{out} requests are still out there; the order holds")));
+        if Instant::now() >= deadline {
+            return Err(Failure::Other(format!(
+                "{in_progress} requests are still in progress; the order stays in effect"
+            )));
         }
-        sleep(STEP);
+        sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
@@ -140,36 +152,37 @@
     Other(String),
 }
 
-fn code(done: Result<(), Failure>) -> ExitCode {
-    let (code, what) = match done {
+fn exit_code(result: Result<(), Failure>) -> ExitCode {
+    let (code, message) = match result {
         Ok(()) => return ExitCode::SUCCESS,
-        Err(Failure::Refused(why)) => (ExitCode::from(REFUSED), format!("refused: {why}")),
-        Err(Failure::NoNode(what)) => (ExitCode::from(NO_NODE), what),
-        Err(Failure::Other(what)) => (ExitCode::FAILURE, what),
+        Err(Failure::Refused(why)) => (ExitCode::from(EXIT_REFUSED), format!("refused: {why}")),
+        Err(Failure::NoNode(message)) => (ExitCode::from(EXIT_NO_NODE), message),
+        Err(Failure::Other(message)) => (ExitCode::FAILURE, message),
     };
-    eprintln!("lilacquay: {what}");
+    eprintln!("lilacquay: {message}");
     code
 }
 
-fn answer(args: &ControlArgs, verb: Verb) -> Result<Answer, Failure> {
-    connect(args)?.ask(verb).map_err(other)
+/// Sends a command and returns the answer.
+fn send(args: &ControlArgs, verb: Verb) -> Result<Answer, Failure> {
+    connect(args)?.ask(verb).map_err(client_failure)
 }
 
 fn connect(args: &ControlArgs) -> Result<Client, Failure> {
-    Client::connect(&args.state).map_err(other)
+    Client::connect(&args.state).map_err(client_failure)
 }
 
-fn other(error: ClientError) -> Failure {
+fn client_failure(error: ClientError) -> Failure {
     match error {
         ClientError::NoNode(_) => Failure::NoNode(error.to_string()),
         other => Failure::Other(other.to_string()),
     }
 }
 
-/// Asks, and prints the answer.
+/// Sends a command and prints the answer.
 fn ask(args: &ControlArgs, verb: Verb) -> Result<(), Failure> {
-    let wanted = verb.wait_for();
-    let answer = answer(args, verb)?;
+    let required_holders = verb.wait_for();
+    let answer = send(args, verb)?;
     if args.json {
         println!("{}", serde_json::to_string(&answer).unwrap_or_default());
     }
@@ -178,12 +191,12 @@
         _ if args.json => {}
         other => print(other),
     }
-    match (wanted, &answer) {
-        (Some(wanted), Answer::Obeyed { held, .. }) if held.is_none_or(|held| held.nodes < wanted) => {
+    match (required_holders, &answer) {
+        (Some(required), Answer::Obeyed { held, .. }) if held.is_none_or(|held| held.nodes < required) => {
             let held =
-                held.map_or("this node alone holds it".into(), |held| format!("{} hold it", held.nodes));
+                held.map_or("only this node holds it".into(), |held| format!("{} hold it", held.nodes));
             Err(Failure::Other(format!(
-                "it is obeyed, but not yet by {wanted} nodes: {held}; look at `replica`"
+                "it is obeyed, but not yet by {required} nodes: {held}; see `replica`"
             )))
         }
         _ => Ok(()),
@@ -192,77 +205,87 @@
 
 fn print(answer: &Answer) {
     match answer {
-        Answer::Orders { orders } if orders.is_empty() => println!("no orders hold"),
-        Answer::Orders { orders } => orders.iter().for_each(|order| println!("{}", words(order))),
+        Answer::Orders { orders } if orders.is_empty() => println!("no orders are in effect"),
+        Answer::Orders { orders } => orders.iter().for_each(|order| println!("{}", order_text(order))),
         Answer::Obeyed { number, replaced, unrecorded, held } => {
             println!("obeyed as order {number}");
             if let Some(held) = held {
                 println!("held by {} of {} nodes after {} ms", held.nodes, held.of, held.after_ms);
                 if held.conflict {
-                    println!("another order that had not seen this one contradicts it: look at `replica`");
+                    println!("an order issued concurrently contradicts it: see `replica`");
                 }
             }
             if let Some(replaced) = replaced {
-                println!("in place of: {}", words(replaced));
+                println!("replaces: {}", order_text(replaced));
             }
             if let Some(why) = unrecorded {
                 eprintln!(
-                    "lilacquay: the order holds but is not recorded: {why}; make room in the state folder"
+                    "lilacquay: the order holds but is not recorded: {why}; free space in the state folder"
                 );
             }
         }
-        Answer::Snapshot { snapshot } => overview(snapshot),
-        Answer::Siblings { sight } => fellows(sight),
+        Answer::Snapshot { snapshot } => print_status(snapshot),
+        Answer::Siblings { sight } => print_siblings(sight),
         Answer::Replica { copy } => replica::print(copy),
         Answer::Done { what, unrecorded } => {
             println!("{}", what.escape_debug());
             if let Some(why) = unrecorded {
-                eprintln!("lilacquay: it is done but not recorded: {why}; make room in the state folder");
+                eprintln!("lilacquay: it is done but not recorded: {why}; free space in the state folder");
             }
         }
-        Answer::Servers { .. } | Answer::Events { .. } => {} // asked for elsewhere
-        Answer::Refused { .. } | Answer::Error { .. } => {}  // told as failures
+        Answer::Servers { .. } | Answer::Events { .. } => {} // printed where they are asked for
+        Answer::Refused { .. } | Answer::Error { .. } => {}  // reported as failures
     }
 }
 
-fn overview(now: &Snapshot) {
-    println!("version {}, up since {}", now.version.escape_debug(), clock(now.started_ms));
+fn print_status(snapshot: &Snapshot) {
+    println!("version {}, up since {}", snapshot.version.escape_debug(), format_time(snapshot.started_ms));
     println!(
         "{} requests open, {} connections to servers, {} of {} descriptors, {} KiB",
-        now.open, now.connections, now.descriptors, now.descriptor_limit, now.memory_kb
+        snapshot.open,
+        snapshot.connections,
+        snapshot.descriptors,
+        snapshot.descriptor_limit,
+        snapshot.memory_kb
     );
-    let counted = now.since_start;
+    let totals = snapshot.since_start;
     println!(
-        "{} served, {} refused, {} failed since then, by {} attempts",
-        counted.served, counted.busy, counted.failed, now.tries
+        "{} served, {} refused, {} failed since the start, with {} attempts",
+        totals.served, totals.busy, totals.failed, snapshot.tries
     );
-    let failures = if now.list.failures > 0 {
-        format!(", {} calls failed since", now.list.failures)
+    let failures = if snapshot.list.failures > 0 {
+        format!(", {} calls failed since then", snapshot.list.failures)
     } else {
         String::new()
     };
-    if let Some(siblings) = now.siblings {
+    if let Some(siblings) = snapshot.siblings {
         println!(
-            "siblings: {} here, {} gone, {} unknown; this node may use {:.3} of its part",
+            "siblings: {} here, {} gone, {} unknown; this node may use {:.3} of its share",
             siblings.here, siblings.gone, siblings.unknown, siblings.part
         );
     }
-    if let Some(common) = now.common {
+    if let Some(common) = snapshot.common {
         println!(
-            "in common: {}, {} records, {} orders contradict, {} servers left out on others' word",
+            "replicated state: {}, {} records, {} conflicting orders, {} servers excluded by other nodes' reports",
             if common.behind { "BEHIND" } else { "level" },
             common.records,
             common.conflicts,
             common.left_out
         );
     }
-    println!("list from {}, told {:.0} s ago{failures}", now.list.source.escape_debug(), now.list.told_s);
+    println!(
+        "list from {}, received {:.0} s ago{failures}",
+        snapshot.list.source.escape_debug(),
+        snapshot.list.told_s
+    );
     println!("{:24} {:8} {:10} {:>5} {:>5}  state", "server", "zone", "kind", "out", "idle");
-    now.boxes.iter().for_each(row);
+    snapshot.boxes.iter().for_each(print_server);
 }
 
-fn fellows(sight: &Sight) {
-    let yes = |yes: bool, word: &'static str, no: &'static str| if yes { word } else { no };
+fn print_siblings(sight: &Sight) {
+    let choose = |condition: bool, text: &'static str, otherwise: &'static str| {
+        if condition { text } else { otherwise }
+    };
     println!(
         "node {} of {} in {:?}, incarnation {}, view {}: {}{}",
         sight.me,
@@ -270,62 +293,62 @@
         sight.site,
         sight.incarnation,
         sight.epoch.escape_debug(),
-        yes(sight.confirmed, "confirmed", "NOT CONFIRMED, it uses nothing shared"),
-        yes(sight.superseded, "; ANOTHER PROCESS HAS ITS NAME", "")
+        choose(sight.confirmed, "confirmed", "NOT CONFIRMED, it uses no shared resources"),
+        choose(sight.superseded, "; SUPERSEDED BY ANOTHER PROCESS", "")
     );
     println!(
-        "{} here, {} gone, {} unknown; it may use {:.3} of its part; {} pauses of its own, doubt {} of 8",
+        "{} here, {} gone, {} unknown; it may use {:.3} of its share; {} pauses of this node, health penalty {} of 8",
         sight.here, sight.gone, sight.unknown, sight.part, sight.pauses, sight.doubt
     );
     println!(
-        "{} datagrams sent with {} bytes, {} read, {} could not be read, {} of strangers, {} from nobody's address",
+        "{} datagrams sent with {} bytes, {} read, {} could not be read, {} of other sites, {} from unknown addresses",
         sight.sent, sight.sent_bytes, sight.read, sight.unread, sight.strangers, sight.unlisted
     );
     println!("{:>5} {:21} {:8} {:>8} {:>8}  ways     evidence", "node", "address", "state", "for", "heard");
-    for fellow in &sight.fellows {
-        let (in_, out) = (fellow.we_hear, fellow.hears_us);
-        let arrow = |open: Option<bool>, drawn: &'static str| match open {
-            Some(true) => drawn,
+    for peer in &sight.fellows {
+        let link = |is_up: Option<bool>, name: &'static str| match is_up {
+            Some(true) => name,
             Some(false) => "cut",
             None => "-",
         };
-        let heard = fellow.heard_s.map_or("-".to_owned(), |ago| format!("{ago:.1} s"));
-        let suspected = if fellow.suspected { " (suspected)" } else { "" };
+        let heard = peer.heard_s.map_or("-".to_owned(), |ago| format!("{ago:.1} s"));
+        let suspected = if peer.suspected { " (suspected)" } else { "" };
         println!(
             "{:>5} {:21} {:8} {:>6.0} s {heard:>8}  {:3} {:3}  {}{suspected}",
-            fellow.node,
-            fellow.address.escape_debug().to_string(),
-            fellow.state.escape_debug().to_string(),
-            fellow.since_s,
-            arrow(in_, "in"),
-            arrow(out, "out"),
-            fellow.why.escape_debug()
+            peer.node,
+            peer.address.escape_debug().to_string(),
+            peer.state.escape_debug().to_string(),
+            peer.since_s,
+            link(peer.we_hear, "in"),
+            link(peer.hears_us, "out"),
+            peer.why.escape_debug()
         );
     }
-    for way in sight.ways.iter().filter(|way| !way.open) {
-        println!("node {} doesn't hear node {}", way.to, way.from);
+    for link in sight.ways.iter().filter(|link| !link.open) {
+        println!("node {} does not receive from node {}", link.to, link.from);
     }
 }
 
-fn row(server: &BoxNow) {
-    let plain = |text: &str| text.escape_debug().to_string();
-    let (name, zone, kind) = (plain(&server.name), plain(&server.zone), plain(&server.kind));
+fn print_server(server: &BoxNow) {
+    let escape = |text: &str| text.escape_debug().to_string();
+    let (name, zone, kind) = (escape(&server.name), escape(&server.zone), escape(&server.kind));
     let order = server.order.as_ref().map(|order| format!(" (order {})", order.number)).unwrap_or_default();
     let state = match (server.serves, server.listed) {
         (true, _) => "serves",
         (false, true) => "out of service",
-        (false, false) => "drains by the list",
+        (false, false) => "draining by the list",
     };
     println!("{name:24} {zone:8} {kind:10} {:>5} {:>5}  {state}{order}", server.out, server.idle);
 }
 
-/// A server's name comes from the list and may hold anything: none of it reaches the terminal as a command.
-fn words(order: &Standing) -> String {
+/// An order as text. The server's name comes from the list and may contain any characters; it is escaped, so that none
+/// reaches the terminal as a control sequence.
+fn order_text(order: &Standing) -> String {
     let server = order.server.escape_debug();
-    let until = match order.seconds_left {
-        None => "until it is lifted".to_owned(),
-        Some(left) => format!("for {left:.0} s yet"),
+    let duration = match order.seconds_left {
+        None => "until it is withdrawn".to_owned(),
+        Some(seconds) => format!("for another {seconds:.0} s"),
     };
-    let lasting = if order.lasting { ", over a restart" } else { "" };
-    format!("{server}: out of service {until}{lasting} (order {})", order.number)
+    let lasting = if order.lasting { ", across restarts" } else { "" };
+    format!("{server}: out of service {duration}{lasting} (order {})", order.number)
 }
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -38,10 +38,12 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Delay before another attempt to listen after a failed one.
 const LISTEN_RETRY_DELAY: Duration = Duration::from_secs(10);
-/// Format versions of the parts of the state that is handed over.
-const LIST_VERSION: u32 = 1;
-const LEARNED_VERSION: u32 = 1;
-const COPY_VERSION: u32 = 1;
+/// Format version of the server list that is handed over.
+const LIST_FORMAT_VERSION: u32 = 1;
+/// Format version of what was learned about the servers.
+const LEARNED_FORMAT_VERSION: u32 = 1;
+/// Format version of the replicated records.
+const RECORDS_FORMAT_VERSION: u32 = 1;
 
 /// Paths of the handover socket and of the lock file.
 #[derive(Debug, Clone)]
@@ -145,7 +147,7 @@
         resource_share: ResourceShare,
     ) -> io::Result<(HandoverSession, Received)> {
         let lock_file = paths.open_lock_file()?;
-        let mut this = HandoverSession {
+        let mut session = HandoverSession {
             paths,
             resource_split: ResourceSplit::default(),
             resource_share,
@@ -157,28 +159,29 @@
         };
         let (deadline, mut received) = (Instant::now() + TAKEOVER_TIMEOUT, Received::default());
         loop {
-            if this.is_alone() {
-                this.handle_event(Event::NoPredecessor).await;
+            if session.is_alone() {
+                session.handle_event(Event::NoPredecessor).await;
                 break;
             }
-            let result = timeout(ANSWER_TIMEOUT, this.request_takeover(&mut received)).await;
+            let result = timeout(ANSWER_TIMEOUT, session.request_takeover(&mut received)).await;
             match result {
                 Ok(Ok(true)) => break,
                 // Told to wait, or no process listens yet.
-                Ok(Ok(false) | Err(_)) if this.predecessor.is_none() && Instant::now() < deadline => {
+                Ok(Ok(false) | Err(_)) if session.predecessor.is_none() && Instant::now() < deadline => {
                     sleep(TAKEOVER_RETRY_DELAY).await
                 }
                 _ => {
                     warn!(
                         "another process of this node is alive but hands nothing over; serving with the reserved share of resources"
                     );
-                    this.predecessor.iter_mut().for_each(|predecessor| predecessor.disconnected = true); // so that its death is checked
-                    this.handle_event(Event::PredecessorUnresponsive).await;
+                    // Marked as disconnected, so that its death is checked for.
+                    session.predecessor.iter_mut().for_each(|predecessor| predecessor.disconnected = true);
+                    session.handle_event(Event::PredecessorUnresponsive).await;
                     break;
                 }
             }
         }
-        Ok((this, received))
+        Ok((session, received))
     }
 
     /// Whether no other process of the node is alive. Leaves the shared lock in place, by which others see this process.
@@ -203,7 +206,7 @@
             match receive(&mut self.predecessor).await? {
                 Message::StatePart { name, version, body } => received.accept_part(&name, version, body),
                 Message::Grant(share) => self.handle_event(Event::Granted(share)).await,
-                // With no share granted this process could serve nobody: it waits until the predecessor has released one.
+                // With no share granted this process could serve nobody: the predecessor has to release one first.
                 Message::StateComplete if self.resource_split.limit() > 0 => return Ok(true),
                 Message::StateComplete
                 | Message::Wait
@@ -236,9 +239,9 @@
         let (mut stopping, mut checks) = (false, interval(CHECK_INTERVAL));
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let must_not_listen =
-                self.listener.is_some() || stopping || Instant::now() < self.next_listen_attempt_at;
-            if self.resource_split.predecessor() == PredecessorState::Absent && !must_not_listen {
+            let may_listen =
+                self.listener.is_none() && !stopping && Instant::now() >= self.next_listen_attempt_at;
+            if self.resource_split.predecessor() == PredecessorState::Absent && may_listen {
                 self.listen();
             }
             tokio::select! {
@@ -246,7 +249,9 @@
                     self.handle_event(Event::InUse(thousandths_in_use())).await;
                     self.check_for_deaths().await;
                 }
-                Ok(stream) = accept(&self.listener) => self.handle_takeover_request(stream, &core, siblings.as_ref()).await,
+                Ok(stream) = accept(&self.listener) => {
+                    self.handle_takeover_request(stream, &core, siblings.as_ref()).await
+                }
                 message = receive(&mut self.predecessor) => match message {
                     Ok(Message::Grant(share)) => self.handle_event(Event::Granted(share)).await,
                     Ok(_) => {}
@@ -359,7 +364,9 @@
             && let Ok(Some(records)) = timeout(ANSWER_TIMEOUT, replicated_records(siblings)).await
         {
             let body = serde_json::to_value(records).unwrap_or_default(); // cannot fail: only text and numbers
-            successor.send(&Message::StatePart { name: "copy".into(), version: COPY_VERSION, body }).await?;
+            successor
+                .send(&Message::StatePart { name: "copy".into(), version: RECORDS_FORMAT_VERSION, body })
+                .await?;
         }
         successor.send(&Message::StateComplete).await
     }
@@ -368,15 +375,14 @@
 impl Received {
     fn accept_part(&mut self, name: &str, version: u32, body: Value) {
         let result = match name {
-            "list" => messages::decode_part::<DiscoveryResponse>(version, LIST_VERSION, body.clone()).map(
-                |response| {
+            "list" => messages::decode_part::<DiscoveryResponse>(version, LIST_FORMAT_VERSION, body.clone())
+                .map(|response| {
                     let version = body["version"].as_u64();
                     self.list = Some((ServerList { full: true, ..response.list }, version));
-                },
-            ),
-            "copy" => messages::decode_part(version, COPY_VERSION, body)
+                }),
+            "copy" => messages::decode_part(version, RECORDS_FORMAT_VERSION, body)
                 .map(|records| self.replicated_records = records),
-            "learned" => messages::decode_part(version, LEARNED_VERSION, body)
+            "learned" => messages::decode_part(version, LEARNED_FORMAT_VERSION, body)
                 .map(|learned| self.learned = Some(learned)),
             _ => Err("unknown part".into()),
         };
@@ -403,8 +409,8 @@
     let list = json!({ "version": state.version, "full": true, "servers": servers });
     // A part that can't be serialized becomes null, which the successor declines.
     [
-        ("list", LIST_VERSION, list),
-        ("learned", LEARNED_VERSION, serde_json::to_value(&state.learned).unwrap_or_default()),
+        ("list", LIST_FORMAT_VERSION, list),
+        ("learned", LEARNED_FORMAT_VERSION, serde_json::to_value(&state.learned).unwrap_or_default()),
     ]
 }
 
@@ -454,10 +460,10 @@
     #[test]
     fn replicated_records_are_accepted_and_only_those_of_another_format_are_declined() {
         let mut received = Received::default();
-        received.accept_part("copy", COPY_VERSION, json!([["4c52", 5], ["4c53", null]]));
+        received.accept_part("copy", RECORDS_FORMAT_VERSION, json!([["4c52", 5], ["4c53", null]]));
         assert_eq!(received.replicated_records, [("4c52".to_owned(), Some(5)), ("4c53".to_owned(), None)]);
-        received.accept_part("copy", COPY_VERSION + 1, json!([]));
-        received.accept_part("copy", COPY_VERSION, json!({ "no": "copy" }));
+        received.accept_part("copy", RECORDS_FORMAT_VERSION + 1, json!([]));
+        received.accept_part("copy", RECORDS_FORMAT_VERSION, json!({ "no": "copy" }));
         assert_eq!(received.replicated_records.len(), 2);
     }
 }
--- a/crates/lilacquay/src/load.rs
+++ b/crates/lilacquay/src/load.rs
@@ -1,4 +1,4 @@
-//! `lilacquay load`: an open loop, with what came of it.
+//! `lilacquay load`: sends an open-loop load to a node and reports the outcomes and latencies.
 
 use std::io::{self, IsTerminal, Write};
 use std::process::ExitCode;
@@ -13,10 +13,10 @@
 
 use crate::cli::LoadArgs;
 
-/// How often a terminal is told how far it is.
-const TICK: Duration = Duration::from_millis(500);
+/// Interval between progress updates on a terminal.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Runs a load; a success if no rule was broken and the node was reached.
+/// Runs a load. The exit code is a success if no rule was broken and the node was always reached.
 pub fn run(args: LoadArgs) -> ExitCode {
     let mut load = Load::usual(args.to, args.time, args.seed);
     (load.rate, load.keys, load.skew) = (args.rate, args.keys, args.skew);
@@ -31,9 +31,9 @@
             return ExitCode::FAILURE;
         }
     };
-    let report = runtime.block_on(watched(load));
+    let report = runtime.block_on(run_with_progress(load));
     let unreached: u64 = report.classes.iter().map(|class| class.unreached).sum();
-    // A closed pipe is no failure of the load.
+    // A closed output pipe is not a failure of the load.
     let _ = print(&report, unreached);
     match report.broken() + unreached {
         0 => ExitCode::SUCCESS,
@@ -41,21 +41,21 @@
     }
 }
 
-/// Runs it, and shows how far it is where somebody can see it.
-async fn watched(load: Load) -> Report {
+/// Runs the load, and prints the progress if standard error is a terminal.
+async fn run_with_progress(load: Load) -> Report {
     let progress = Arc::<Progress>::default();
     let mut running = tokio::spawn(clients::run(load, Clock::default(), progress.clone()));
-    let (mut ticks, shown) = (interval(TICK), io::stderr().is_terminal());
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
+    let (mut updates, is_terminal) = (interval(PROGRESS_INTERVAL), io::stderr().is_terminal());
+    updates.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         tokio::select! {
             report = &mut running => {
-                if shown {
+                if is_terminal {
                     eprint!("\r\x1b[K");
                 }
                 return report.expect("the load does not panic");
             }
-            _ = ticks.tick(), if shown => {
+            _ = updates.tick(), if is_terminal => {
                 let Progress { asked, served, turned_away, broken } = &*progress;
                 let counts = [asked, served, turned_away, broken].map(|count| count.load(Relaxed));
                 let [asked, served, turned_away, broken] = counts;
@@ -73,17 +73,18 @@
         "class       served refused  failed  broken     p50     p99   p99.9     max  (ms, from when due)"
     )?;
     for class in &report.classes {
-        line(&mut out, class)?;
+        print_class(&mut out, class)?;
     }
-    writeln!(out, "answers that nobody asked for: {}", report.doubled)?;
+    writeln!(out, "answers without a request: {}", report.doubled)?;
     if unreached > 0 {
         writeln!(out, "the node was not reached by {unreached} requests")?;
     }
-    let lag = report.lag as f64 / 1000.0;
-    writeln!(out, "the load itself ran late by {lag:.1} ms at most")
+    let max_lag_ms = report.lag as f64 / 1000.0;
+    writeln!(out, "the load itself ran late by {max_lag_ms:.1} ms at most")
 }
 
-fn line(out: &mut impl Write, class: &ClassReport) -> io::Result<()> {
+/// Prints one class of requests; latencies are in milliseconds.
+fn print_class(out: &mut impl Write, class: &ClassReport) -> io::Result<()> {
     let ms = |quantile| class.served.value_at_quantile(quantile) as f64 / 1000.0;
     let ClassReport { name, served, refused, failed, broken, .. } = class;
     write!(out, "{name:<10} {:>7} {refused:>7} {failed:>7} {broken:>7}", served.len())?;
--- a/crates/lilacquay/src/members.rs
+++ b/crates/lilacquay/src/members.rs
@@ -1,4 +1,4 @@
-//! `lilacquay members`: the list of servers in etcd, shown and changed.
+//! `lilacquay members`: prints and changes the list of servers in etcd.
 
 use std::fmt;
 use std::io::{self, Write};
@@ -15,16 +15,16 @@
 use crate::config_error::Mistake;
 use crate::etcd::Etcd;
 
-/// After a failed renewal it is tried again this soon.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Delay before another attempt to renew a lease after a failed connection.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Why an order was not carried out.
+/// Why a command failed.
 pub enum MembersError {
-    /// Mistakes in the file, or files that it names.
+    /// Mistakes in the options file, or in files that it names.
     Mistakes(Vec<Mistake>),
-    /// The registry's.
+    /// An error of the registry.
     Registry(RegistryError),
-    /// The system's.
+    /// An I/O error.
     Io(io::Error),
 }
 
@@ -32,8 +32,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MembersError::Mistakes(mistakes) => {
-                let words: Vec<String> = mistakes.iter().map(Mistake::to_string).collect();
-                f.write_str(&words.join("\n"))
+                let lines: Vec<String> = mistakes.iter().map(Mistake::to_string).collect();
+                f.write_str(&lines.join("\n"))
             }
             MembersError::Registry(error) => write!(f, "{error}"),
             MembersError::Io(error) => write!(f, "{error}"),
@@ -53,10 +53,10 @@
     }
 }
 
-type Done = Result<(), MembersError>;
+type CommandResult = Result<(), MembersError>;
 
-/// Carries out an order.
-pub fn run(args: MembersArgs) -> Done {
+/// Runs a command.
+pub fn run(args: MembersArgs) -> CommandResult {
     let etcd = Etcd::read(&args.etcd).map_err(MembersError::Mistakes)?;
     let settings = etcd.settings().map_err(MembersError::Mistakes)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -64,23 +64,23 @@
         match args.order.unwrap_or(MembersOrder::List) {
             MembersOrder::List => list(&etcd, &settings).await,
             MembersOrder::Put(put) => match put.lease {
-                Some(seconds) => hold(&etcd, &settings, &entry(&put), seconds).await,
+                Some(seconds) => register_with_lease(&etcd, &settings, &entry(&put), seconds).await,
                 None => {
                     let revision = connect(&etcd, &settings).await?.put(&entry(&put), 0).await?;
-                    said(&put.id, "is listed", revision)
+                    print_change(&put.id, "is listed", revision)
                 }
             },
             MembersOrder::Drain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Draining).await?;
-                said(&id, "drains", revision)
+                print_change(&id, "drains", revision)
             }
             MembersOrder::Undrain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Serving).await?;
-                said(&id, "serves", revision)
+                print_change(&id, "serves", revision)
             }
             MembersOrder::Remove { id } => {
                 let revision = connect(&etcd, &settings).await?.remove(&id).await?;
-                said(&id, "is removed", revision)
+                print_change(&id, "is removed", revision)
             }
         }
     })
@@ -90,10 +90,12 @@
     Registry::connect(settings, &etcd.prefix).await
 }
 
-fn said(id: &str, what: &str, revision: i64) -> Done {
-    Ok(writeln!(io::stdout(), "{id} {what}, revision {revision}")?)
+/// Prints what has become of a server, with the revision of the change.
+fn print_change(id: &str, change: &str, revision: i64) -> CommandResult {
+    Ok(writeln!(io::stdout(), "{id} {change}, revision {revision}")?)
 }
 
+/// The registry entry that `members put` describes.
 fn entry(put: &PutArgs) -> ServerEntry {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     ServerEntry {
@@ -108,8 +110,8 @@
     }
 }
 
-/// Prints the list as the store has it, or else as it is kept.
-async fn list(etcd: &Etcd, settings: &Settings) -> Done {
+/// Prints the list from etcd, or the locally kept list if etcd can't be reached.
+async fn list(etcd: &Etcd, settings: &Settings) -> CommandResult {
     let read = async {
         let registry = connect(etcd, settings).await?;
         let (revision, listed) = registry.list().await?;
@@ -124,23 +126,25 @@
     writeln!(io::stderr(), "lilacquay: {error}; this is the kept list")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let age = now.saturating_sub(Duration::from_micros(kept.as_of)).as_secs();
-    let listed = |(entry, revision): (ServerEntry, i64)| RegistryEntry {
+    let to_registry_entry = |(entry, revision): (ServerEntry, i64)| RegistryEntry {
         id: entry.id.clone(),
         entry: Ok(entry),
         revision,
         lease: 0,
     };
-    let listed: Vec<RegistryEntry> = kept.servers.into_iter().map(listed).collect();
+    let listed: Vec<RegistryEntry> = kept.servers.into_iter().map(to_registry_entry).collect();
     print(kept.revision, &format!("{age} s old"), &folder.display().to_string(), &listed)
 }
 
-fn print(revision: i64, age: &str, source: &str, listed: &[RegistryEntry]) -> Done {
+fn print(revision: i64, age: &str, source: &str, listed: &[RegistryEntry]) -> CommandResult {
     let mut out = io::BufWriter::new(io::stdout().lock());
     writeln!(out, "revision {revision}, {age}, from {source}: {} servers", listed.len())?;
-    let longest = listed.iter().map(|one| one.id.chars().count()).max().unwrap_or(0).max(2);
-    let head = ("ADDRESS", "ZONE", "KIND", "STATE", "WEIGHT", "STARTED", "REVISION", "LEASE");
-    let (a, z, k, s, w, t, r, l) = head;
-    writeln!(out, "{:longest$}  {a:<21}  {z:<8}  {k:<10}  {s:<8}  {w:>6}  {t:>13}  {r:>8}  {l:>5}", "ID")?;
+    let id_width = listed.iter().map(|entry| entry.id.chars().count()).max().unwrap_or(0).max(2);
+    writeln!(
+        out,
+        "{:id_width$}  {:<21}  {:<8}  {:<10}  {:<8}  {:>6}  {:>13}  {:>8}  {:>5}",
+        "ID", "ADDRESS", "ZONE", "KIND", "STATE", "WEIGHT", "STARTED", "REVISION", "LEASE"
+    )?;
     for RegistryEntry { id, entry, revision, lease } in listed {
         match entry {
             Ok(ServerEntry { addr, zone, kind, state, weight, started_ms, .. }) => {
@@ -150,67 +154,74 @@
                 let lease = if *lease == 0 { "-".into() } else { format!("{lease:x}") };
                 writeln!(
                     out,
-                    "{id:longest$}  {addr:<21}  {zone:<8}  {kind:<10}  {state:<8}  {weight:>6}  {started_ms:>13}  \
+                    "{id:id_width$}  {addr:<21}  {zone:<8}  {kind:<10}  {state:<8}  {weight:>6}  {started_ms:>13}  \
                      {revision:>8}  {lease:>5}"
                 )?;
             }
-            Err(why) => writeln!(out, "{id:longest$}  can't be read, nodes keep it as it was: {why}")?,
+            Err(why) => writeln!(out, "{id:id_width$}  can't be read, nodes keep it as it was: {why}")?,
         }
     }
     Ok(out.flush()?)
 }
 
-/// Holds a server on a lease until this process is told to end.
-async fn hold(etcd: &Etcd, settings: &Settings, entry: &ServerEntry, seconds: i64) -> Done {
+/// Registers a server with a lease and renews it until this process is told to end; the lease is revoked then.
+async fn register_with_lease(
+    etcd: &Etcd,
+    settings: &Settings,
+    entry: &ServerEntry,
+    seconds: i64,
+) -> CommandResult {
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let registry = connect(etcd, settings).await?;
-    let mut held = Some((registry.grant_lease(seconds).await?, registry));
-    if let Some((lease, registry)) = &held {
-        said(&entry.id, "is listed while this runs", registry.put(entry, *lease).await?)?;
+    let mut registration = Some((registry.grant_lease(seconds).await?, registry));
+    if let Some((lease, registry)) = &registration {
+        print_change(&entry.id, "is listed while this runs", registry.put(entry, *lease).await?)?;
     }
-    let mut beat = interval(Duration::from_secs(seconds as u64) / 3);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut renewals = interval(Duration::from_secs(seconds as u64) / 3);
+    renewals.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = interrupt.recv() => break,
             _ = terminate.recv() => break,
-            _ = beat.tick() => {}
+            _ = renewals.tick() => {}
         }
-        let renewed = match &held {
+        let renewed = match &registration {
             Some((lease, registry)) => registry.renew_lease(*lease).await,
             None => Ok(false),
         };
         match renewed {
             Ok(true) => {}
-            // Gone with its lease, or never there: listed anew.
-            Ok(false) => held = listed_anew(etcd, settings, entry, seconds).await,
+            // The lease has expired, or the registration has failed so far: register again.
+            Ok(false) => registration = register_again(etcd, settings, entry, seconds).await,
             Err(error) => {
-                writeln!(io::stderr(), "lilacquay: {error}; trying again")?;
-                let lease = held.take().map(|(lease, _)| lease);
-                held = connect(etcd, settings).await.ok().and_then(|registry| Some((lease?, registry)));
-                if held.is_none() {
-                    sleep(AGAIN).await;
+                writeln!(io::stderr(), "lilacquay: {error}; retrying")?;
+                let lease = registration.take().map(|(lease, _)| lease);
+                registration =
+                    connect(etcd, settings).await.ok().and_then(|registry| Some((lease?, registry)));
+                if registration.is_none() {
+                    sleep(RENEWAL_RETRY_DELAY).await;
                 }
             }
         }
     }
-    match held {
+    match registration {
         Some((lease, registry)) => Ok(registry.revoke_lease(lease).await?),
-        None => Ok(()), // its lease runs out
+        None => Ok(()), // the lease expires by itself
     }
 }
 
-async fn listed_anew(
+/// Registers the server with a new lease; `None` if that failed, which is printed.
+async fn register_again(
     etcd: &Etcd,
     settings: &Settings,
     entry: &ServerEntry,
     seconds: i64,
 ) -> Option<(i64, Registry)> {
-    let put = async {
+    let registration = async {
         let registry = connect(etcd, settings).await?;
         let lease = registry.grant_lease(seconds).await?;
         registry.put(entry, lease).await?;
         Ok::<_, RegistryError>((lease, registry))
     };
-    put.await.inspect_err(|error| _ = writeln!(io::stderr(), "lilacquay: {error}; trying again")).ok()
+    registration.await.inspect_err(|error| _ = writeln!(io::stderr(), "lilacquay: {error}; retrying")).ok()
 }
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -229,7 +229,7 @@
             core_handle.shut_down_at(deadline);
             core_has_deadline = true;
         }
-        // Read before the check for emptiness: every connection accepted until now is counted by then.
+        // Read before the acceptor is checked for emptiness: a connection accepted before the change is counted by then.
         let accepts_connections = service_mode.borrow_and_update().accepts_connections;
         tokio::select! {
             _ = stop.recv() => lifecycle.shut_down(),
@@ -248,12 +248,16 @@
     if let Err(reason) = ended {
         let _ = lifecycle.handle_event(Event::Failed); // never refused
         listener_tasks.shutdown().await;
-        let _ = timeout_at(Instant::now() + WRITE_TIME_AFTER_CORE_FAILURE, acceptor.wait_until_empty()).await; // open requests fail with the core
+        // Open requests fail with the core.
+        let write_deadline = Instant::now() + WRITE_TIME_AFTER_CORE_FAILURE;
+        let _ = timeout_at(write_deadline, acceptor.wait_until_empty()).await;
         return Err(Failure::Core(reason));
     }
     // A process that was paused may get here before the core has given its last answers.
     core_handle.shut_down_at(Instant::now());
-    let _ = timeout_at(Instant::now() + WRITE_TIME_AFTER_DEADLINE, acceptor.wait_until_empty()).await; // it is killed soon after
+    // The process is killed soon after this, so that connections that are still open are not waited for.
+    let write_deadline = Instant::now() + WRITE_TIME_AFTER_DEADLINE;
+    let _ = timeout_at(write_deadline, acceptor.wait_until_empty()).await;
     Ok(())
 }
 
@@ -282,7 +286,7 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// A number that is almost surely unique to this process: other nodes have other seeds, and a restart has another start
+/// A number that is almost certainly unique to this process: other nodes have other seeds, and a restart has another start
 /// time.
 fn nonce(seed: u64) -> u64 {
     let start_ns = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
@@ -316,8 +320,8 @@
                             false => (Event::Leave, "the node leaves service and keeps running"),
                         };
                         let result = self.lifecycle.handle_event(event);
-                        let _ =
-                            answer.send(result.map(|()| message.into()).map_err(|refusal| refusal.to_string()));
+                        let outcome = result.map(|()| message.into()).map_err(|refusal| refusal.to_string());
+                        let _ = answer.send(outcome);
                     }
                     Command::Stop(answer) => {
                         let message = "the node is draining: it answers the requests it has accepted, then ends";
--- a/crates/lilacquay/src/replica.rs
+++ b/crates/lilacquay/src/replica.rs
@@ -1,4 +1,4 @@
-//! `replica`: what a node holds of what all hold in common, and in what two nodes differ.
+//! `lilacquay replica`: prints a node's copy of the replicated state, and compares the copies of two nodes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,10 +6,11 @@
 
 use lilacquay_control::{Answer, Client, CopyNow, RecordNow, Verb};
 
-/// The copies differ.
-const DIFFER: u8 = 5;
+/// Exit code if two copies differ.
+const EXIT_DIFFERENT: u8 = 5;
 
-/// Prints a copy. Names come from the list and may hold anything: none of it reaches the terminal as a command.
+/// Prints a copy. Names come from the server list and may contain any characters; they are escaped, so that none reaches
+/// the terminal as a control sequence.
 pub fn print(copy: &CopyNow) {
     println!(
         "node {} of {}: {} for {:.0} s, copy {}",
@@ -20,64 +21,67 @@
         copy.root.escape_debug()
     );
     for kind in &copy.kinds {
-        let off = if kind.on { "" } else { " (off: kept and passed on)" };
+        let off = if kind.on { "" } else { " (off: stored and forwarded only)" };
         println!("{:>6} records of {}{off}", kind.records, kind.kind.escape_debug());
     }
     println!(
-        "{} datagrams sent with {} bytes, {} read, {} could not be read, {} records kept out by a bound",
+        "{} datagrams sent with {} bytes, {} read, {} could not be read, {} records rejected by a limit",
         copy.sent, copy.sent_bytes, copy.read, copy.unread, copy.dropped
     );
     for order in &copy.orders {
-        let of = if order.server.is_empty() {
+        let subject = if order.server.is_empty() {
             "all nodes".into()
         } else {
             order.server.escape_debug().to_string()
         };
-        let left = order.seconds_left.map_or(String::new(), |left| format!(", {left:.0} s yet"));
-        let over = if order.tombstone { " (kept for what it lifted)" } else { "" };
-        println!("{of}: {} by node {}{left}{over}", order.action.escape_debug(), order.node);
-        for beside in &order.beside {
-            println!("    beside: {}", beside.escape_debug());
+        let remaining = order.seconds_left.map_or(String::new(), |seconds| format!(", {seconds:.0} s left"));
+        let tombstone =
+            if order.tombstone { " (no longer in effect, kept to cancel earlier orders)" } else { "" };
+        println!("{subject}: {} by node {}{remaining}{tombstone}", order.action.escape_debug(), order.node);
+        for concurrent in &order.beside {
+            println!("    concurrent: {}", concurrent.escape_debug());
         }
         if order.conflict {
             println!(
-                "    CONFLICT: these had not seen each other; the first stands until somebody orders anew"
+                "    CONFLICT: these were issued concurrently; the first applies until a new order is given"
             );
         }
     }
     for server in &copy.left_out {
-        println!("{}: left out on the word of other nodes", server.escape_debug());
+        println!("{}: excluded because of other nodes' reports", server.escape_debug());
     }
     for (server, slowness) in &copy.believed {
-        println!("{}: {slowness:.1} times slower, as others have seen", server.escape_debug());
+        println!("{}: {slowness:.1} times slower, as other nodes have observed", server.escape_debug());
     }
     for peer in copy.peers.iter().filter(|peer| peer.behind || !peer.same) {
-        let what = if peer.behind { "is behind" } else { "held another copy" };
-        println!("node {} {what} {:.1} s ago", peer.node, peer.ago_s);
+        let state = if peer.behind { "was behind" } else { "held a different copy" };
+        println!("node {} {state} {:.1} s ago", peer.node, peer.ago_s);
     }
 }
 
-/// What a node tells, or what one has told into a file.
-fn copy(place: &Path) -> Result<CopyNow, String> {
-    let wrong = |what: String| format!("{}: {what}", place.display());
-    let answer = if place.is_dir() {
-        let mut client = Client::connect(place).map_err(|error| wrong(error.to_string()))?;
-        client.ask(Verb::Replica).map_err(|error| wrong(error.to_string()))?
+/// Reads a copy from the node with the state folder `path`, or from a file with the output of `replica --json`.
+fn read_copy(path: &Path) -> Result<CopyNow, String> {
+    let with_path = |error: String| format!("{}: {error}", path.display());
+    let answer = if path.is_dir() {
+        let mut client = Client::connect(path).map_err(|error| with_path(error.to_string()))?;
+        client.ask(Verb::Replica).map_err(|error| with_path(error.to_string()))?
     } else {
-        let text = std::fs::read_to_string(place).map_err(|error| wrong(error.to_string()))?;
-        let mend = "; name a state folder, or what `replica --json` has printed";
-        serde_json::from_str(&text).map_err(|error| wrong(format!("{error}{mend}")))?
+        let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+        let remedy = "; name a state folder, or a file with the output of `replica --json`";
+        serde_json::from_str(&text).map_err(|error| with_path(format!("{error}{remedy}")))?
     };
     match answer {
         Answer::Replica { copy } => Ok(*copy),
-        Answer::Refused { why } => Err(wrong(why)),
-        _ => Err(wrong("it tells no copy; name a state folder, or what `replica --json` has printed".into())),
+        Answer::Refused { why } => Err(with_path(why)),
+        _ => Err(with_path(
+            "this is not a copy; name a state folder, or a file with the output of `replica --json`".into(),
+        )),
     }
 }
 
-/// Tells in which records two copies differ.
+/// Prints the records in which two copies differ; the exit code says whether any do.
 pub fn diff(one: &Path, other: &Path) -> ExitCode {
-    let (one, other) = match (copy(one), copy(other)) {
+    let (one, other) = match (read_copy(one), read_copy(other)) {
         (Ok(one), Ok(other)) => (one, other),
         (Err(error), _) | (_, Err(error)) => {
             eprintln!("lilacquay: {error}");
@@ -90,29 +94,29 @@
         println!("nodes {} and {} hold the same, {} records", one.me, other.me, one.records.len());
         return ExitCode::SUCCESS;
     }
-    ExitCode::from(DIFFER)
+    ExitCode::from(EXIT_DIFFERENT)
 }
 
-/// In what two copies differ, a line each.
+/// One line for each record that differs between two copies.
 fn differences(one: &CopyNow, other: &CopyNow) -> Vec<String> {
     let by_id = |copy: &CopyNow| -> BTreeMap<u64, RecordNow> {
         copy.records.iter().map(|record| (record.id, record.clone())).collect()
     };
-    let (ours, theirs) = (by_id(one), by_id(other));
-    let mut ids: Vec<u64> = ours.keys().chain(theirs.keys()).copied().collect();
+    let (records_of_one, records_of_other) = (by_id(one), by_id(other));
+    let mut ids: Vec<u64> = records_of_one.keys().chain(records_of_other.keys()).copied().collect();
     ids.sort_unstable();
     ids.dedup();
     let line = |id: u64| {
-        let (here, there) = (ours.get(&id), theirs.get(&id));
-        let what = match (here, there) {
-            (Some(here), Some(there)) if here.sum == there.sum => return None,
-            (Some(here), Some(there)) if here.version > there.version => format!("newer at node {}", one.me),
+        let (in_one, in_other) = (records_of_one.get(&id), records_of_other.get(&id));
+        let difference = match (in_one, in_other) {
+            (Some(a), Some(b)) if a.sum == b.sum => return None,
+            (Some(a), Some(b)) if a.version > b.version => format!("newer at node {}", one.me),
             (Some(_), Some(_)) => format!("newer at node {}", other.me),
-            (Some(_), None) => format!("at node {} alone", one.me),
-            _ => format!("at node {} alone", other.me),
+            (Some(_), None) => format!("only at node {}", one.me),
+            _ => format!("only at node {}", other.me),
         };
-        let record = here.or(there)?;
-        Some(format!("{} {id:012x} of node {}: {what}", record.kind.escape_debug(), record.origin))
+        let record = in_one.or(in_other)?;
+        Some(format!("{} {id:012x} of node {}: {difference}", record.kind.escape_debug(), record.origin))
     };
     ids.into_iter().filter_map(line).collect()
 }
@@ -122,7 +126,7 @@
     use super::*;
 
     #[test]
-    fn what_differs_is_named_with_the_side_that_has_it() {
+    fn differing_records_are_listed_with_the_node_that_has_them() {
         let record = |id: u64, counter: u32, sum: u32| RecordNow {
             id,
             kind: "order".into(),
@@ -130,16 +134,16 @@
             version: (1, counter),
             sum,
         };
-        let of = |me: usize, records: Vec<RecordNow>| CopyNow { me, records, ..CopyNow::default() };
-        let one = of(0, vec![record(1, 1, 1), record(2, 2, 9), record(3, 1, 1)]);
-        let other = of(1, vec![record(1, 1, 1), record(2, 1, 8), record(4, 1, 1)]);
-        let told = differences(&one, &other);
+        let copy = |me: usize, records: Vec<RecordNow>| CopyNow { me, records, ..CopyNow::default() };
+        let one = copy(0, vec![record(1, 1, 1), record(2, 2, 9), record(3, 1, 1)]);
+        let other = copy(1, vec![record(1, 1, 1), record(2, 1, 8), record(4, 1, 1)]);
+        let lines = differences(&one, &other);
         assert_eq!(
-            told,
+            lines,
             [
                 "order 000000000002 of node 3: newer at node 0",
-                "order 000000000003 of node 3: at node 0 alone",
-                "order 000000000004 of node 3: at node 1 alone",
+                "order 000000000003 of node 3: only at node 0",
+                "order 000000000004 of node 3: only at node 1",
             ]
         );
         assert!(differences(&one, &one).is_empty());
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -34,6 +34,7 @@
 /// The kinds of records that a node publishes and applies. It stores and forwards records of the other kinds as well.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Kinds {
+    /// Orders of operators.
     pub orders: bool,
     /// Reports on servers from the nodes' own lists; `words` in the configuration.
     pub endpoint_reports: bool,
@@ -67,6 +68,7 @@
         kinds
     }
 
+    /// Whether any kind is published and applied.
     pub fn any(&self) -> bool {
         self.orders || self.endpoint_reports || self.evidence
     }
@@ -140,9 +142,10 @@
     own_list.apply_update(update.list.full, update.version, update.list.servers.into_iter().map(listed))
 }
 
-/// An order whose sender waits until enough nodes hold it.
+/// An order whose requester waits until enough nodes hold it.
 struct PendingOrder {
     id: u64,
+    /// Name of the server that the order is about; empty if it is about all nodes.
     subject: Vec<u8>,
     /// Number of nodes that must hold the order; all reachable ones if `None`.
     required_holders: Option<usize>,
@@ -170,7 +173,7 @@
     excluded_servers: BTreeSet<String>,
     /// Corroborated slowness by server, as other nodes have observed it.
     peer_slowness: BTreeMap<String, f64>,
-    /// Kinds of records to apply anew: their records have changed, or for reports, the node's own list has.
+    /// Kinds of records to apply again: their records have changed, or for reports, the node's own list has.
     changed_kinds: BTreeSet<u8>,
     /// The core's answer to the last request for its observations.
     observations: Option<oneshot::Receiver<BTreeMap<String, f64>>>,
@@ -354,7 +357,8 @@
             let conflict = effective.is_some_and(|(effective, _)| effective.is_conflict());
             let after_ms = (now - issued_at) / 1_000;
             let nodes = self.replica.holder_count(id);
-            let _ = answer.send(Some(HeldBy { nodes, of: node_count.max(nodes), after_ms, conflict })); // the receiver may have been dropped
+            let held_by = HeldBy { nodes, of: node_count.max(nodes), after_ms, conflict };
+            let _ = answer.send(Some(held_by)); // the receiver may have been dropped
         }
     }
 
@@ -435,7 +439,8 @@
             self.log_level = log_level;
             let name = LOG_LEVELS[usize::from(number).min(LOG_LEVELS.len() - 1)];
             info!("common: all nodes log from {name} on, by an order given at another node");
-            let _ = self.commands.try_send(Command::Level(name.into(), oneshot::channel().0)); // the outcome is not awaited
+            let ignored_outcome = oneshot::channel().0;
+            let _ = self.commands.try_send(Command::Level(name.into(), ignored_outcome));
         }
     }
 
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Runs until the list changes.
+    /// Runs until the list of nodes changes.
     async fn run(mut self, task: &mut SiblingsTask) {
         let mut service_mode = task.lifecycle.service_mode();
         let (mut datagram, mut leaving) = ([0; LONGEST + 1], false);
@@ -261,7 +261,8 @@
                     let now = self.clock.now();
                     let leave_datagrams = self.membership.leave(now);
                     info!("siblings: the list of nodes has changed; starting over");
-                    task.saved_records = self.replicated.as_ref().map_or(Vec::new(), |replicated| replicated.orders_to_save(now));
+                    let replicated = self.replicated.as_ref();
+                    task.saved_records = replicated.map_or(Vec::new(), |state| state.orders_to_save(now));
                     return self.send(leave_datagrams).await;
                 }
                 // Last, so that a flood of datagrams delays none of the branches above.
@@ -325,13 +326,10 @@
             SiblingsAsk::Copy(answer) => {
                 drop(answer.send(self.replicated.as_ref().map(|replicated| replicated.status(now))))
             }
-            SiblingsAsk::Records(answer) => drop(
-                answer.send(
-                    self.replicated
-                        .as_ref()
-                        .map_or(Vec::new(), |replicated| replicated.records_to_hand_over(now)),
-                ),
-            ),
+            SiblingsAsk::Records(answer) => {
+                let replicated = self.replicated.as_ref();
+                drop(answer.send(replicated.map_or(Vec::new(), |state| state.records_to_hand_over(now))))
+            }
             SiblingsAsk::Order(order, wait_for, answer) => match &mut self.replicated {
                 Some(replicated) => replicated.publish_order(now, &order, wait_for, answer),
                 None => drop(answer.send(None)),
@@ -354,7 +352,7 @@
                 self.unlisted_datagrams += 1;
                 if self.unlisted_datagrams == 1 {
                     warn!(
-                        "siblings: dropped a datagram from {from}, which is not the address of a node; further ones are only counted"
+                        "siblings: dropped a datagram from {from}, which is no node's address; further ones are dropped without a log line"
                     );
                 }
                 Vec::new()
--- a/crates/lilacquay/tests/control.rs
+++ b/crates/lilacquay/tests/control.rs
@@ -153,7 +153,7 @@
         assert!(start.elapsed() < PATIENCE);
     }
     let drain = drain.join().unwrap();
-    assert!(drain.status.success() && said(&drain).contains("0 requests are out there yet"), "{drain:?}");
+    assert!(drain.status.success() && said(&drain).contains("0 requests still in progress"), "{drain:?}");
     let text = String::from_utf8(s.run(&["status"]).stdout).unwrap();
     assert!(text.lines().any(|l| l.starts_with("s-1 ") && l.ends_with("out of service (order 1)")), "{text}");
 }
