--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -247,8 +247,13 @@
         });
         let (seed, setup) = (seed.ok()?, setup.ok()?);
         let site_name = setup.names.all_classes().join(",");
-        let siblings =
-            Site::of_platform(setup.peers_allowed, peer_listen, peers, setup.node_index, site_name);
+        let siblings = Site::from_platform_settings(
+            setup.peers_allowed,
+            peer_listen,
+            peers,
+            setup.node_index,
+            site_name,
+        );
         let (limits, initial_list) = (file.limits, file.known);
         Some(PlatformConfig { listen, discovery, admin, seed, limits, initial_list, setup, siblings })
     }
--- a/crates/lilacquay/src/control.rs
+++ b/crates/lilacquay/src/control.rs
@@ -5,10 +5,10 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use lilacquay_control::{Answer, Client, ClientError, Sight, Standing, Verb};
-use lilacquay_observe::{BoxNow, Event, Snapshot};
+use lilacquay_control::{Answer, Client, ClientError, ControlRequest, OrderReport, SiblingsReport};
+use lilacquay_observe::{BoxStatus, Event, Snapshot};
 
-use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaOrder, UndrainArgs};
+use crate::cli::{ControlArgs, DrainArgs, EventsArgs, LevelArgs, ReplicaArgs, ReplicaCommand, UndrainArgs};
 use crate::replica;
 
 /// Exit code if the node refused the order; nothing has changed then.
@@ -24,17 +24,17 @@
 
 /// Prints the status of the node.
 pub fn status(args: &ControlArgs) -> ExitCode {
-    exit_code(ask(args, Verb::Look))
+    exit_code(ask(args, ControlRequest::Snapshot))
 }
 
 /// Sends a command about the node itself.
-pub fn node_command(args: &ControlArgs, verb: Verb) -> ExitCode {
+pub fn node_command(args: &ControlArgs, verb: ControlRequest) -> ExitCode {
     exit_code(ask(args, verb))
 }
 
 /// Sets the log level, at this node or at all.
 pub fn level(args: LevelArgs) -> ExitCode {
-    exit_code(ask(&args.control, Verb::Level { level: args.level, everywhere: args.everywhere }))
+    exit_code(ask(&args.control, ControlRequest::Level { level: args.level, everywhere: args.everywhere }))
 }
 
 /// Prints events; with `--follow` until this process or the node ends.
@@ -42,21 +42,21 @@
     let EventsArgs { control, follow, after, search } = args;
     let search = search.as_ref().map(|text| text.to_lowercase());
     let print_events = || {
-        let verb = Verb::Events { after: *after, follow: *follow };
+        let verb = ControlRequest::Events { after: *after, follow: *follow };
         let mut stream = connect(control)?
             .stream(verb, if *follow { None } else { Some(ANSWER_TIMEOUT) })
             .map_err(client_failure)?;
         loop {
-            let Answer::Events { told } = stream.next_answer().map_err(client_failure)? else {
+            let Answer::Events { batch } = stream.next_answer().map_err(client_failure)? else {
                 return Err(Failure::Other("the node answered with something other than events".into()));
             };
-            if told.missed > 0 && !control.json {
-                eprintln!("lilacquay: {} earlier events are no longer kept", told.missed);
+            if batch.missed > 0 && !control.json {
+                eprintln!("lilacquay: {} earlier events are no longer kept", batch.missed);
             }
             let matches_search = |event: &&Event| {
                 search.as_ref().is_none_or(|search| event.text.to_lowercase().contains(search))
             };
-            for event in told.events.iter().filter(matches_search) {
+            for event in batch.events.iter().filter(matches_search) {
                 match control.json {
                     true => println!("{}", serde_json::to_string(event).unwrap_or_default()),
                     false => println!(
@@ -84,20 +84,20 @@
 
 /// Prints the orders in effect.
 pub fn orders(args: &ControlArgs) -> ExitCode {
-    exit_code(ask(args, Verb::Orders))
+    exit_code(ask(args, ControlRequest::Orders))
 }
 
 /// Prints what the node knows of the other nodes.
 pub fn siblings(args: &ControlArgs) -> ExitCode {
-    exit_code(ask(args, Verb::Siblings))
+    exit_code(ask(args, ControlRequest::Siblings))
 }
 
 /// Prints a node's copy of the replicated state, or compares two copies.
 pub fn replica(args: &ReplicaArgs) -> ExitCode {
-    match (&args.order, &args.state) {
-        (Some(ReplicaOrder::Diff { one, other }), _) => replica::diff(one, other),
+    match (&args.command, &args.state) {
+        (Some(ReplicaCommand::Diff { first, second }), _) => replica::diff(first, second),
         (None, Some(state)) => {
-            exit_code(ask(&ControlArgs { state: state.clone(), json: args.json }, Verb::Replica))
+            exit_code(ask(&ControlArgs { state: state.clone(), json: args.json }, ControlRequest::Replica))
         }
         (None, None) => ExitCode::FAILURE, // the command-line parser requires one of the two
     }
@@ -106,14 +106,14 @@
 /// Puts a server back into service.
 pub fn undrain(args: UndrainArgs) -> ExitCode {
     let UndrainArgs { server, control, seen, wait_for } = args;
-    exit_code(ask(&control, Verb::Undrain { server, seen, wait_for }))
+    exit_code(ask(&control, ControlRequest::Undrain { server, seen, wait_for }))
 }
 
 /// Takes a server out of service, and waits for its requests to end if asked to.
 pub fn drain(args: DrainArgs) -> ExitCode {
-    let DrainArgs { server, control, time, lasting, force, wait, seen, wait_for } = args;
-    let seconds = time.map(|time| time.as_secs_f64().ceil() as u64);
-    let verb = Verb::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
+    let DrainArgs { server, control, duration, lasting, force, wait, seen, wait_for } = args;
+    let seconds = duration.map(|duration| duration.as_secs_f64().ceil() as u64);
+    let verb = ControlRequest::Drain { server: server.clone(), seconds, lasting, force, seen, wait_for };
     let result = ask(&control, verb);
     match result {
         Ok(()) if wait => exit_code(wait_until_drained(&control, &server)),
@@ -125,7 +125,7 @@
 fn wait_until_drained(args: &ControlArgs, name: &str) -> Result<(), Failure> {
     let (deadline, mut last_printed) = (Instant::now() + DRAIN_WAIT_TIMEOUT, None);
     loop {
-        let Answer::Servers { servers } = send(args, Verb::Servers)? else {
+        let Answer::Servers { servers } = send(args, ControlRequest::Servers)? else {
             return Err(Failure::Other("the node answered with something other than servers".into()));
         };
         // A server that is no longer listed counts as drained: the list no longer asks for its requests to be finished.
@@ -164,8 +164,8 @@
 }
 
 /// Sends a command and returns the answer.
-fn send(args: &ControlArgs, verb: Verb) -> Result<Answer, Failure> {
-    connect(args)?.ask(verb).map_err(client_failure)
+fn send(args: &ControlArgs, verb: ControlRequest) -> Result<Answer, Failure> {
+    connect(args)?.request(verb).map_err(client_failure)
 }
 
 fn connect(args: &ControlArgs) -> Result<Client, Failure> {
@@ -180,7 +180,7 @@
 }
 
 /// Sends a command and prints the answer.
-fn ask(args: &ControlArgs, verb: Verb) -> Result<(), Failure> {
+fn ask(args: &ControlArgs, verb: ControlRequest) -> Result<(), Failure> {
     let required_holders = verb.wait_for();
     let answer = send(args, verb)?;
     if args.json {
@@ -192,7 +192,7 @@
         other => print(other),
     }
     match (required_holders, &answer) {
-        (Some(required), Answer::Obeyed { held, .. }) if held.is_none_or(|held| held.nodes < required) => {
+        (Some(required), Answer::Accepted { held, .. }) if held.is_none_or(|held| held.nodes < required) => {
             let held =
                 held.map_or("only this node holds it".into(), |held| format!("{} hold it", held.nodes));
             Err(Failure::Other(format!(
@@ -207,7 +207,7 @@
     match answer {
         Answer::Orders { orders } if orders.is_empty() => println!("no orders are in effect"),
         Answer::Orders { orders } => orders.iter().for_each(|order| println!("{}", order_text(order))),
-        Answer::Obeyed { number, replaced, unrecorded, held } => {
+        Answer::Accepted { number, replaced, unrecorded, held } => {
             println!("obeyed as order {number}");
             if let Some(held) = held {
                 println!("held by {} of {} nodes after {} ms", held.nodes, held.of, held.after_ms);
@@ -282,7 +282,7 @@
     snapshot.boxes.iter().for_each(print_server);
 }
 
-fn print_siblings(sight: &Sight) {
+fn print_siblings(sight: &SiblingsReport) {
     let choose = |condition: bool, text: &'static str, otherwise: &'static str| {
         if condition { text } else { otherwise }
     };
@@ -329,7 +329,7 @@
     }
 }
 
-fn print_server(server: &BoxNow) {
+fn print_server(server: &BoxStatus) {
     let escape = |text: &str| text.escape_debug().to_string();
     let (name, zone, kind) = (escape(&server.name), escape(&server.zone), escape(&server.kind));
     let order = server.order.as_ref().map(|order| format!(" (order {})", order.number)).unwrap_or_default();
@@ -343,7 +343,7 @@
 
 /// An order as text. The server's name comes from the list and may contain any characters; it is escaped, so that none
 /// reaches the terminal as a control sequence.
-fn order_text(order: &Standing) -> String {
+fn order_text(order: &OrderReport) -> String {
     let server = order.server.escape_debug();
     let duration = match order.seconds_left {
         None => "until it is withdrawn".to_owned(),
--- a/crates/lilacquay/src/fleet.rs
+++ b/crates/lilacquay/src/fleet.rs
@@ -8,7 +8,7 @@
 
 use lilacquay_fleet::script::Script;
 use lilacquay_fleet::verdict::check;
-use lilacquay_fleet::{Fleet, Plan};
+use lilacquay_fleet::{Fleet, FleetConfig};
 use rustix::process::{Pid, Signal as Kill, kill_process};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::sleep;
@@ -44,13 +44,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let signals = runtime.block_on(async { Signals::new() })?;
     let FleetArgs { boxes, seed, etcd, listen, memcached, .. } = args;
-    let plan = Plan { boxes, seed, etcd, memcached: memcached.unwrap_or(0), ..Plan::default() };
+    let plan = FleetConfig {
+        boxes,
+        seed,
+        etcd_endpoints: etcd,
+        memcached_boxes: memcached.unwrap_or(0),
+        ..FleetConfig::default()
+    };
     let fleet = Fleet::start(plan)?;
     let (mut node, addresses) = Node::start(&fleet, listen, memcached.is_some())?;
     print_addresses(&fleet, &node, addresses)?;
     runtime.block_on(async {
         tokio::select! {
-            () = signals.wait_for_end(args.time) => Ok(()),
+            () = signals.wait_for_end(args.duration) => Ok(()),
             result = run_script(&fleet, script) => result,
             result = node.wait_for_exit() => result,
         }
--- a/crates/lilacquay/src/handover.rs
+++ b/crates/lilacquay/src/handover.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use lilacquay_control::SiblingsAsk;
+use lilacquay_control::SiblingsQuery;
 use lilacquay_core::{CoreHandle, HandoverState, Learned, ResourceShare, ServerList, ServerState};
 use lilacquay_handover::messages::{self, Decoded, Message};
 use lilacquay_handover::resource_split::{Action, Event, PredecessorState, ResourceSplit};
@@ -76,7 +76,7 @@
 }
 
 /// Sends requests to the siblings task, which holds the replicated records.
-pub type SiblingsSender = Arc<mpsc::Sender<SiblingsAsk>>;
+pub type SiblingsSender = Arc<mpsc::Sender<SiblingsQuery>>;
 
 /// One process's side of the handovers with its predecessor and its successor.
 pub struct HandoverSession {
@@ -417,7 +417,7 @@
 /// The records that the process replicates with other nodes; `None` if the siblings task has ended.
 async fn replicated_records(siblings: &SiblingsSender) -> Option<Vec<(String, Option<u64>)>> {
     let (answer, records) = oneshot::channel();
-    siblings.send(SiblingsAsk::Records(answer)).await.ok()?;
+    siblings.send(SiblingsQuery::Records(answer)).await.ok()?;
     records.await.ok()
 }
 
--- a/crates/lilacquay/src/load.rs
+++ b/crates/lilacquay/src/load.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lilacquay_fleet::Clock;
-use lilacquay_fleet::cache::Speaks;
+use lilacquay_fleet::cache::CacheProtocol;
 use lilacquay_fleet::clients::{self, ClassReport, Load, Progress, Report};
 use tokio::time::{MissedTickBehavior, interval};
 
@@ -18,12 +18,12 @@
 
 /// Runs a load. The exit code is a success if no rule was broken and the node was always reached.
 pub fn run(args: LoadArgs) -> ExitCode {
-    let mut load = Load::usual(args.to, args.time, args.seed);
+    let mut load = Load::standard(args.to, args.duration, args.seed);
     (load.rate, load.keys, load.skew) = (args.rate, args.keys, args.skew);
     if args.memcached {
-        load.speaks = Speaks::Memcached;
+        load.protocol = CacheProtocol::Memcached;
     }
-    load.classes.iter_mut().zip(args.mix.0).for_each(|(class, share)| class.share = share);
+    load.classes.iter_mut().zip(args.mix.0).for_each(|(class, share)| class.weight = share);
     let runtime = match tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
@@ -56,7 +56,7 @@
                 return report.expect("the load does not panic");
             }
             _ = updates.tick(), if is_terminal => {
-                let Progress { asked, served, turned_away, broken } = &*progress;
+                let Progress { started: asked, served, rejected: turned_away, broken } = &*progress;
                 let counts = [asked, served, turned_away, broken].map(|count| count.load(Relaxed));
                 let [asked, served, turned_away, broken] = counts;
                 eprint!("\r\x1b[Kasked {asked}  served {served}  turned away {turned_away}  broken {broken}");
@@ -75,11 +75,11 @@
     for class in &report.classes {
         print_class(&mut out, class)?;
     }
-    writeln!(out, "answers without a request: {}", report.doubled)?;
+    writeln!(out, "answers without a request: {}", report.unsolicited_answers)?;
     if unreached > 0 {
         writeln!(out, "the node was not reached by {unreached} requests")?;
     }
-    let max_lag_ms = report.lag as f64 / 1000.0;
+    let max_lag_ms = report.max_send_lag_us as f64 / 1000.0;
     writeln!(out, "the load itself ran late by {max_lag_ms:.1} ms at most")
 }
 
--- a/crates/lilacquay/src/main.rs
+++ b/crates/lilacquay/src/main.rs
@@ -53,12 +53,12 @@
         Some(Command::Status(args)) => control::status(&args),
         Some(Command::Console(args)) => run_console(args),
         Some(Command::Events(args)) => control::events(&args),
-        Some(Command::Reload(args)) => control::node(&args, ControlRequest::Reload),
+        Some(Command::Reload(args)) => control::node_command(&args, ControlRequest::Reload),
         Some(Command::Level(args)) => control::level(args),
-        Some(Command::Leave(args)) => control::node(&args, ControlRequest::Leave),
-        Some(Command::Join(args)) => control::node(&args, ControlRequest::Join),
-        Some(Command::Stop(args)) => control::node(&args, ControlRequest::Stop),
-        Some(Command::Diagnose(args)) => control::node(&args, ControlRequest::Diagnose),
+        Some(Command::Leave(args)) => control::node_command(&args, ControlRequest::Leave),
+        Some(Command::Join(args)) => control::node_command(&args, ControlRequest::Join),
+        Some(Command::Stop(args)) => control::node_command(&args, ControlRequest::Stop),
+        Some(Command::Diagnose(args)) => control::node_command(&args, ControlRequest::Diagnose),
         Some(Command::Siblings(args)) => control::siblings(&args),
         Some(Command::Replica(args)) => control::replica(&args),
         Some(Command::Orders(args)) => control::orders(&args),
@@ -127,7 +127,7 @@
             };
             match result {
                 Err(Failure::Core(cause)) => {
-                    let pause = backoff.failed(start.elapsed());
+                    let pause = backoff.delay_after_failure(start.elapsed());
                     error!(
                         pause_ms = pause.as_millis() as u64,
                         "the node has failed and is started again: {cause}"
--- a/crates/lilacquay/src/members.rs
+++ b/crates/lilacquay/src/members.rs
@@ -11,9 +11,9 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use crate::cli::{MembersArgs, MembersOrder, PutArgs};
-use crate::config_error::Mistake;
-use crate::etcd::Etcd;
+use crate::cli::{MembersArgs, MembersCommand, PutArgs};
+use crate::config_error::ConfigIssue;
+use crate::etcd::EtcdConfig;
 
 /// Delay before another attempt to renew a lease after a failed connection.
 const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -21,7 +21,7 @@
 /// Why a command failed.
 pub enum MembersError {
     /// Mistakes in the options file, or in files that it names.
-    Mistakes(Vec<Mistake>),
+    Mistakes(Vec<ConfigIssue>),
     /// An error of the registry.
     Registry(RegistryError),
     /// An I/O error.
@@ -32,7 +32,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             MembersError::Mistakes(mistakes) => {
-                let lines: Vec<String> = mistakes.iter().map(Mistake::to_string).collect();
+                let lines: Vec<String> = mistakes.iter().map(ConfigIssue::to_string).collect();
                 f.write_str(&lines.join("\n"))
             }
             MembersError::Registry(error) => write!(f, "{error}"),
@@ -57,28 +57,28 @@
 
 /// Runs a command.
 pub fn run(args: MembersArgs) -> CommandResult {
-    let etcd = Etcd::read(&args.etcd).map_err(MembersError::Mistakes)?;
+    let etcd = EtcdConfig::read(&args.etcd).map_err(MembersError::Mistakes)?;
     let settings = etcd.settings().map_err(MembersError::Mistakes)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        match args.order.unwrap_or(MembersOrder::List) {
-            MembersOrder::List => list(&etcd, &settings).await,
-            MembersOrder::Put(put) => match put.lease {
+        match args.command.unwrap_or(MembersCommand::List) {
+            MembersCommand::List => list(&etcd, &settings).await,
+            MembersCommand::Put(put) => match put.lease {
                 Some(seconds) => register_with_lease(&etcd, &settings, &entry(&put), seconds).await,
                 None => {
                     let revision = connect(&etcd, &settings).await?.put(&entry(&put), 0).await?;
                     print_change(&put.id, "is listed", revision)
                 }
             },
-            MembersOrder::Drain { id } => {
+            MembersCommand::Drain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Draining).await?;
                 print_change(&id, "drains", revision)
             }
-            MembersOrder::Undrain { id } => {
+            MembersCommand::Undrain { id } => {
                 let revision = connect(&etcd, &settings).await?.set_state(&id, ServerState::Serving).await?;
                 print_change(&id, "serves", revision)
             }
-            MembersOrder::Remove { id } => {
+            MembersCommand::Remove { id } => {
                 let revision = connect(&etcd, &settings).await?.remove(&id).await?;
                 print_change(&id, "is removed", revision)
             }
@@ -86,7 +86,7 @@
     })
 }
 
-async fn connect(etcd: &Etcd, settings: &Settings) -> Result<Registry, RegistryError> {
+async fn connect(etcd: &EtcdConfig, settings: &Settings) -> Result<Registry, RegistryError> {
     Registry::connect(settings, &etcd.prefix).await
 }
 
@@ -111,7 +111,7 @@
 }
 
 /// Prints the list from etcd, or the locally kept list if etcd can't be reached.
-async fn list(etcd: &Etcd, settings: &Settings) -> CommandResult {
+async fn list(etcd: &EtcdConfig, settings: &Settings) -> CommandResult {
     let read = async {
         let registry = connect(etcd, settings).await?;
         let (revision, listed) = registry.list().await?;
@@ -121,7 +121,7 @@
         Ok((revision, listed, endpoint)) => return print(revision, "0 s old", &endpoint, &listed),
         Err(error) => error,
     };
-    let Some(folder) = &etcd.keep else { return Err(error.into()) };
+    let Some(folder) = &etcd.cache_folder else { return Err(error.into()) };
     let Some(kept) = CachedList::read(folder)? else { return Err(error.into()) };
     writeln!(io::stderr(), "lilacquay: {error}; this is the kept list")?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -166,7 +166,7 @@
 
 /// Registers a server with a lease and renews it until this process is told to end; the lease is revoked then.
 async fn register_with_lease(
-    etcd: &Etcd,
+    etcd: &EtcdConfig,
     settings: &Settings,
     entry: &ServerEntry,
     seconds: i64,
@@ -212,7 +212,7 @@
 
 /// Registers the server with a new lease; `None` if that failed, which is printed.
 async fn register_again(
-    etcd: &Etcd,
+    etcd: &EtcdConfig,
     settings: &Settings,
     entry: &ServerEntry,
     seconds: i64,
--- a/crates/lilacquay/src/node.rs
+++ b/crates/lilacquay/src/node.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_admin::Admin;
-use lilacquay_control::{Command, Control, Folder, Host, Outcome};
+use lilacquay_control::{CommandResult, Control, NodeCommand, NodeContext, StateDir};
 use lilacquay_core::{CoreHandle, Driver, Handles, MembershipHandle, Options, ResourceShare, ServerList};
 use lilacquay_etcd::Settings;
 use lilacquay_fronts::Acceptor;
@@ -15,7 +15,7 @@
 use lilacquay_fronts::resp::RespProtocol;
 use lilacquay_lifecycle::Event;
 use lilacquay_members::{discovery, etcd};
-use lilacquay_metrics::Book;
+use lilacquay_metrics::Metrics;
 use lilacquay_replica::endpoint_reports::LocalServerList;
 use lilacquay_upstreams::ServerConnector;
 use paddlefold::setup::Names;
@@ -28,13 +28,13 @@
 use tracing::{info, warn};
 
 use crate::admin::AdminHandler;
-use crate::config::{Config, Source};
-use crate::etcd::Etcd;
+use crate::config::{Config, ConfigSource};
+use crate::etcd::EtcdConfig;
 use crate::handover::{self, HandoverPaths};
 use crate::lifecycle::NodeLifecycle;
 use crate::logging::Logging;
-use crate::memcached::Memcached;
-use crate::quota::Quota;
+use crate::memcached::MemcachedConfig;
+use crate::quota::QuotaConfig;
 use crate::replicated_state::SavedRecord;
 use crate::siblings::{self, SiblingsTask, Site};
 use crate::supervisor::supervise;
@@ -75,14 +75,15 @@
 ///
 /// # Errors
 /// If the node cannot start, or its core or a listener fails.
-pub async fn run(config: Config, source: Source, logging: &Logging) -> Result<(), Failure> {
+pub async fn run(config: Config, source: ConfigSource, logging: &Logging) -> Result<(), Failure> {
     let mut stop = signal(SignalKind::terminate())?;
     // Without a handler, SIGHUP would end the process. From here to the process's end its only effect is a reload.
     let reload = signal(SignalKind::hangup())?;
-    let state_folder = config.control.as_deref().map(Folder::new).transpose().map_err(state_folder_error)?;
+    let state_folder =
+        config.state_folder.as_deref().map(StateDir::new).transpose().map_err(state_folder_error)?;
     let persisted_orders =
-        state_folder.as_ref().map(Folder::orders).transpose().map_err(state_folder_error)?;
-    let listener = match &config.passed {
+        state_folder.as_ref().map(StateDir::load_orders).transpose().map_err(state_folder_error)?;
+    let listener = match &config.inherited_socket {
         Some(passed) => TcpListener::from_std(passed.listener(config.listen)?)?,
         None => bind(config.listen)?,
     };
@@ -90,9 +91,11 @@
         Some(address) => Some(bind(address)?),
         None => None,
     };
-    let lifecycle =
-        NodeLifecycle::new(Duration::from_micros(config.setup.longest_deadline), config.passed.is_some());
-    let metrics = Book::new(config.setup.names.all_classes());
+    let lifecycle = NodeLifecycle::new(
+        Duration::from_micros(config.setup.longest_deadline),
+        config.inherited_socket.is_some(),
+    );
+    let metrics = Metrics::new(config.setup.names.all_classes());
     // All tasks end with this function, so that none is left running after a core failure.
     let mut tasks = JoinSet::new();
     // Started before the handover, so that admin calls don't wait for as long as the predecessor takes to hand over.
@@ -101,20 +104,21 @@
         let handler = AdminHandler {
             lifecycle: lifecycle.clone(),
             metrics: metrics.clone(),
-            prometheus: config.prometheus,
+            prometheus: config.prometheus_format,
             audit_folder: state_folder.clone(),
         };
         tasks.spawn(Admin::new(admin_listener, handler).run());
     }
-    let (max_connections, request_memory_bytes) = (config.server_connections(), config.request_memory());
+    let (max_connections, request_memory_bytes) =
+        (config.max_server_connections(), config.request_memory_bytes());
     let resource_share = ResourceShare::default();
-    let shared_folder = config.passed.as_ref().and_then(|_| config.shared_folder.clone());
+    let shared_folder = config.inherited_socket.as_ref().and_then(|_| config.shared_folder.clone());
     let handover_paths = shared_folder.map(|folder| HandoverPaths::new(folder, config.listen.port()));
     let (handover_session, received) = handover::begin(handover_paths, &resource_share).await;
     // The predecessor's list is newer than the one that the platform passed at the start.
     let (initial_list, version) = match received.list {
         Some((list, version)) => (list, version),
-        None => (config.known.list.clone(), Some(config.known.version)),
+        None => (config.initial_list.list.clone(), Some(config.initial_list.version)),
     };
     let version = version.filter(|_| !initial_list.servers.is_empty());
     let quotas = config.quota.as_ref().map(|quota| quota.admission(&config.setup.names));
@@ -141,13 +145,13 @@
         list_updates: replicates.then_some(list_updates_sender),
     };
     let names = config.setup.names.clone();
-    let kinds = config.memcached.as_ref().map(|(_, memcached)| memcached.kinds.clone());
+    let kinds = config.memcached.as_ref().map(|(_, memcached)| memcached.server_kinds.clone());
     let connector = ServerConnector::new(kinds.unwrap_or_default());
     let (driver, Handles { requests, members, core }) = Driver::new(options, connector);
     let gauges = driver.gauges();
     let acceptor = Acceptor::new(
         requests,
-        config.client_bounds(gauges.clone(), resource_share),
+        config.client_limits(gauges.clone(), resource_share),
         lifecycle.service_mode(),
     );
     let mut memcached_listeners = Vec::new();
@@ -176,12 +180,12 @@
         site_sender
     });
     if let Some(state_folder) = state_folder {
-        let host = Host {
+        let host = NodeContext {
             events: logging.events.clone(),
             commands: command_sender.clone(),
-            described: config.described(),
+            redacted_config: config.diagnostic_summary(),
             siblings: site_sender.is_some().then(|| siblings_requests.clone()),
-            descriptor_limit: config.sockets,
+            descriptor_limit: config.max_descriptors,
         };
         let listen = {
             let core = core.clone();
@@ -200,7 +204,8 @@
     }
     info!("listening on {}", listener.local_addr()?);
     if let Some(handover_session) = handover_session {
-        let (acceptor, gauges, max_connections) = (acceptor.clone(), gauges.clone(), config.connections());
+        let (acceptor, gauges, max_connections) =
+            (acceptor.clone(), gauges.clone(), config.max_connections());
         let thousandths_in_use =
             move || ((acceptor.connection_count() + gauges.connections()) * 1000 / max_connections) as u32;
         let siblings_requests = site_sender.is_some().then(|| siblings_requests.clone());
@@ -218,7 +223,7 @@
     let nonce = nonce(config.seed);
     for (socket, listener) in memcached_listeners {
         info!("memcached {:?} is listening on {}", listener.name, socket.local_addr()?);
-        let protocol = listener.front(gauges.clone(), nonce);
+        let protocol = listener.frontend(gauges.clone(), nonce);
         listener_tasks.spawn(acceptor.clone().accept(socket, move || protocol.connection()));
     }
     let _ = lifecycle.handle_event(Event::Ready); // refused only if the node has been told to stop already
@@ -295,26 +300,26 @@
 
 /// Carries out SIGHUP and operators' commands while the node runs.
 struct CommandLoop<'a> {
-    commands: mpsc::Receiver<Command>,
+    commands: mpsc::Receiver<NodeCommand>,
     lifecycle: NodeLifecycle,
     logging: &'a Logging,
 }
 
 impl CommandLoop<'_> {
     /// Carries out commands one at a time; never returns.
-    async fn run(mut self, reloadable: Reloadable, mut reload: Signal, source: Source) {
+    async fn run(mut self, reloadable: Reloadable, mut reload: Signal, source: ConfigSource) {
         loop {
             tokio::select! {
                 Some(()) = reload.recv() => {
                     let _ = reloadable.reload(&source); // it has logged its outcome
                 }
                 Some(command) = self.commands.recv() => match command {
-                    Command::Reload(answer) => drop(answer.send(reloadable.reload(&source))),
-                    Command::Level(level, answer) => {
+                    NodeCommand::Reload(answer) => drop(answer.send(reloadable.reload(&source))),
+                    NodeCommand::SetLogLevel(level, answer) => {
                         let result = self.logging.set_level(&level);
                         let _ = answer.send(result.map(|()| format!("logs from {level} on")));
                     }
-                    Command::Service(join, answer) => {
+                    NodeCommand::SetInService(join, answer) => {
                         let (event, message) = match join {
                             true => (Event::Join, "the node is in service"),
                             false => (Event::Leave, "the node leaves service and keeps running"),
@@ -323,7 +328,7 @@
                         let outcome = result.map(|()| message.into()).map_err(|refusal| refusal.to_string());
                         let _ = answer.send(outcome);
                     }
-                    Command::Stop(answer) => {
+                    NodeCommand::Stop(answer) => {
                         let message = "the node is draining: it answers the requests it has accepted, then ends";
                         let _ = answer.send(Ok(message.into()));
                         self.lifecycle.shut_down();
@@ -338,8 +343,8 @@
 /// restart, whose changes are only warned about.
 struct Reloadable {
     discovery: Option<watch::Sender<SocketAddr>>,
-    etcd: Option<(Etcd, watch::Sender<Settings>)>,
-    memcached: Option<Memcached>,
+    etcd: Option<(EtcdConfig, watch::Sender<Settings>)>,
+    memcached: Option<MemcachedConfig>,
     /// Carries a new list of nodes to the siblings task.
     siblings: Option<watch::Sender<Site>>,
     /// The core, which receives new quotas, and the names that they are parsed with.
@@ -371,10 +376,10 @@
             (address_sender, tasks.spawn(supervise("discovery", watch_discovery)))
         });
         let (discovery, discovery_task) = discovery.unzip();
-        let fixed_list = config.fixed.then(|| members.clone());
+        let fixed_list = config.has_fixed_list.then(|| members.clone());
         let etcd = config.etcd.clone().map(|(etcd, settings)| {
             let (settings_sender, current_settings) = watch::channel(settings.clone());
-            let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.keep.clone(), config.seed);
+            let (prefix, folder, seed) = (etcd.prefix.clone(), etcd.cache_folder.clone(), config.seed);
             let members = members.with_source("etcd");
             tasks.spawn(supervise("etcd", move || {
                 let (members, settings) = (members.clone(), current_settings.borrow().clone());
@@ -390,12 +395,12 @@
     }
 
     /// Reads the configuration again and applies the parts of it that may change while the node runs.
-    fn reload(&self, source: &Source) -> Outcome {
-        let new = Config::sources_anew(source).map_err(|error| {
+    fn reload(&self, source: &ConfigSource) -> CommandResult {
+        let new = Config::read_reloadable(source).map_err(|error| {
             warn!("configuration not reloaded, kept as it was: {error}");
             format!("the configuration is kept as it was: {error}")
         })?;
-        self.update_fixed_list(new.fixed);
+        self.update_fixed_list(new.fixed_list);
         self.update_discovery(new.discovery);
         self.update_etcd(new.etcd);
         self.update_quotas(new.quota);
@@ -440,7 +445,7 @@
         }
     }
 
-    fn update_quotas(&self, new: Option<Quota>) {
+    fn update_quotas(&self, new: Option<QuotaConfig>) {
         match (&self.quotas, new) {
             (Some((core, names)), Some(new)) => core.set_quotas(new.admission(names)),
             (None, None) => {}
@@ -448,10 +453,10 @@
         }
     }
 
-    fn update_etcd(&self, new: Option<(Etcd, Settings)>) {
+    fn update_etcd(&self, new: Option<(EtcdConfig, Settings)>) {
         match (&self.etcd, new) {
             (Some((old, settings_sender)), Some((new, settings))) => {
-                if (&new.prefix, &new.keep) != (&old.prefix, &old.keep) {
+                if (&new.prefix, &new.cache_folder) != (&old.prefix, &old.cache_folder) {
                     warn!("etcd's prefix and `keep` change only with a restart; kept as they were");
                 }
                 info!("etcd is at {}", settings.endpoints.join(", "));
--- a/crates/lilacquay/src/options.rs
+++ b/crates/lilacquay/src/options.rs
@@ -242,7 +242,7 @@
             ),
             (
                 "node = \"n\"\n[siblings]\nsite = \"s\"\nlisten = \"127.0.0.1:1\"\nme = 1\nnodes = [\"127.0.0.1:1\", \"127.0.0.1:1\"]",
-                "6: siblings.nodes: 127.0.0.1:1 stands there twice; list each node once",
+                "6: siblings.nodes: 127.0.0.1:1 is listed twice; list each node once",
             ),
             (
                 "node = \"n\"\n[siblings]\nsite = \"s\"\nlisten = \"127.0.0.1:1\"\nme = 1\nnodes = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\ncommon = [\"rumours\"]",
--- a/crates/lilacquay/src/replica.rs
+++ b/crates/lilacquay/src/replica.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-use lilacquay_control::{Answer, Client, CopyNow, RecordNow, Verb};
+use lilacquay_control::{Answer, Client, ControlRequest, RecordSummary, ReplicaReport};
 
 /// Exit code if two copies differ.
 const EXIT_DIFFERENT: u8 = 5;
 
 /// Prints a copy. Names come from the server list and may contain any characters; they are escaped, so that none reaches
 /// the terminal as a control sequence.
-pub fn print(copy: &CopyNow) {
+pub fn print(copy: &ReplicaReport) {
     println!(
         "node {} of {}: {} for {:.0} s, copy {}",
         copy.me,
@@ -60,11 +60,11 @@
 }
 
 /// Reads a copy from the node with the state folder `path`, or from a file with the output of `replica --json`.
-fn read_copy(path: &Path) -> Result<CopyNow, String> {
+fn read_copy(path: &Path) -> Result<ReplicaReport, String> {
     let with_path = |error: String| format!("{}: {error}", path.display());
     let answer = if path.is_dir() {
         let mut client = Client::connect(path).map_err(|error| with_path(error.to_string()))?;
-        client.ask(Verb::Replica).map_err(|error| with_path(error.to_string()))?
+        client.request(ControlRequest::Replica).map_err(|error| with_path(error.to_string()))?
     } else {
         let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
         let remedy = "; name a state folder, or a file with the output of `replica --json`";
@@ -98,8 +98,8 @@
 }
 
 /// One line for each record that differs between two copies.
-fn differences(one: &CopyNow, other: &CopyNow) -> Vec<String> {
-    let by_id = |copy: &CopyNow| -> BTreeMap<u64, RecordNow> {
+fn differences(one: &ReplicaReport, other: &ReplicaReport) -> Vec<String> {
+    let by_id = |copy: &ReplicaReport| -> BTreeMap<u64, RecordSummary> {
         copy.records.iter().map(|record| (record.id, record.clone())).collect()
     };
     let (records_of_one, records_of_other) = (by_id(one), by_id(other));
@@ -127,14 +127,18 @@
 
     #[test]
     fn differing_records_are_listed_with_the_node_that_has_them() {
-        let record = |id: u64, counter: u32, sum: u32| RecordNow {
+        let record = |id: u64, counter: u32, sum: u32| RecordSummary {
             id,
             kind: "order".into(),
             origin: 3,
             version: (1, counter),
             sum,
         };
-        let copy = |me: usize, records: Vec<RecordNow>| CopyNow { me, records, ..CopyNow::default() };
+        let copy = |me: usize, records: Vec<RecordSummary>| ReplicaReport {
+            me,
+            records,
+            ..ReplicaReport::default()
+        };
         let one = copy(0, vec![record(1, 1, 1), record(2, 2, 9), record(3, 1, 1)]);
         let other = copy(1, vec![record(1, 1, 1), record(2, 1, 8), record(4, 1, 1)]);
         let lines = differences(&one, &other);
--- a/crates/lilacquay/src/replicated_state.rs
+++ b/crates/lilacquay/src/replicated_state.rs
@@ -5,10 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use lilacquay_codec::replica::{Part, Record, Said, Sent, put, read};
-use lilacquay_control::{Command, CommonOrder, CopyNow, HeldBy, KindNow, OrderHeld, PeerCopy, RecordNow};
+use lilacquay_codec::replica::{Message, Part, Record, RecordUpdate, decode, encode};
+use lilacquay_control::{
+    ClusterOrder, NodeCommand, OrderAcks, PeerReplicaStatus, RecordKindStatus, RecordSummary, ReplicaReport,
+    ReplicatedOrder,
+};
 use lilacquay_core::{CoreHandle, ListUpdate, Micros, ReplicatedUpdate, ServerState};
-use lilacquay_observe::CommonNow;
+use lilacquay_observe::ReplicaSummary;
 use lilacquay_overrides::{Order as RequestedOrder, OrderEffect, OrderRequest, PersistentOrder};
 use lilacquay_replica::endpoint_reports::{self, LocalServerList, ServerEntry, WithdrawnServer};
 use lilacquay_replica::orders::{Action, EffectiveOrder, Order, TOMBSTONE_RETENTION_US};
@@ -50,18 +53,18 @@
 
     /// Reads the key `common`; orders and reports on servers if it is missing.
     pub fn read(section: &mut Section) -> Kinds {
-        if !section.has("common") {
+        if !section.has_key("common") {
             return Kinds { orders: true, endpoint_reports: true, evidence: false };
         }
         let mut kinds = Kinds::default();
-        for (position, name) in section.texts("common").unwrap_or_default() {
+        for (position, name) in section.strings("common").unwrap_or_default() {
             match name {
                 "orders" => kinds.orders = true,
                 "words" => kinds.endpoint_reports = true,
                 "evidence" => kinds.evidence = true,
                 other => {
                     let remedy = format!("name some of {}", Kinds::NAMES.join(", "));
-                    section.note(position, "common", format!("{other:?} is no such kind"), &remedy);
+                    section.report_at(position, "common", format!("{other:?} is no such kind"), &remedy);
                 }
             }
         }
@@ -115,16 +118,20 @@
 
 /// Encodes a record as hexadecimal text.
 fn encode_record(record: &Record) -> String {
-    let mut message = Said::default();
-    message.add(Part::Record(Sent { record: record.clone(), left: None, asks: false }));
-    put(0, &message).iter().map(|byte| format!("{byte:02x}")).collect()
+    let mut message = Message::default();
+    message.add(Part::Record(RecordUpdate {
+        record: record.clone(),
+        remaining_tenths: None,
+        ack_requested: false,
+    }));
+    encode(0, &message).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 /// Decodes a record from the text of [`encode_record`]; `None` if it is not valid.
 fn decode_record(text: &str) -> Option<Record> {
     let byte = |offset: usize| u8::from_str_radix(text.get(offset..offset + 2)?, 16).ok();
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
-    match read(0, &bytes?).ok()?.parts.pop()? {
+    match decode(0, &bytes?).ok()?.parts.pop()? {
         Part::Record(sent) => Some(sent.record),
         _ => None,
     }
@@ -151,7 +158,7 @@
     required_holders: Option<usize>,
     issued_at: Micros,
     deadline: Micros,
-    answer: oneshot::Sender<Option<HeldBy>>,
+    answer: oneshot::Sender<Option<OrderAcks>>,
 }
 
 /// The replica with what this node derives from it.
@@ -160,7 +167,7 @@
     setup: Setup,
     kinds: Kinds,
     core: CoreHandle,
-    commands: mpsc::Sender<Command>,
+    commands: mpsc::Sender<NodeCommand>,
     pending_orders: Vec<PendingOrder>,
     reachable_peers: usize,
     /// The synchronisation state at the last call of `apply_changes`.
@@ -179,7 +186,7 @@
     observations: Option<oneshot::Receiver<BTreeMap<String, f64>>>,
     observations_requested_at: Micros,
     evidence_applied_at: Micros,
-    last_statistics: Option<CommonNow>,
+    last_statistics: Option<ReplicaSummary>,
 }
 
 impl ReplicatedState {
@@ -188,7 +195,7 @@
         kinds: Kinds,
         now: Micros,
         core: CoreHandle,
-        commands: mpsc::Sender<Command>,
+        commands: mpsc::Sender<NodeCommand>,
     ) -> ReplicatedState {
         ReplicatedState {
             replica: Replica::new(setup.clone(), now),
@@ -295,17 +302,17 @@
     pub fn publish_order(
         &mut self,
         now: Micros,
-        order: &CommonOrder,
+        order: &ClusterOrder,
         required_holders: Option<usize>,
-        answer: oneshot::Sender<Option<HeldBy>>,
+        answer: oneshot::Sender<Option<OrderAcks>>,
     ) {
         let (subject, action, lifetime) = match order {
-            CommonOrder::Server(OrderRequest { server, order, .. }) => match order {
+            ClusterOrder::Server(OrderRequest { server, order, .. }) => match order {
                 RequestedOrder::Drain => (server.as_bytes(), Action::Drain, None),
                 RequestedOrder::Exclude(duration) => (server.as_bytes(), Action::LeaveOut, Some(*duration)),
                 RequestedOrder::Undrain => (server.as_bytes(), Action::Undrain, None),
             },
-            CommonOrder::Level(level) => {
+            ClusterOrder::Level(level) => {
                 let level = LOG_LEVELS.iter().position(|name| name == level).unwrap_or(2);
                 (&b""[..], Action::LogLevel(level as u8), None)
             }
@@ -357,7 +364,7 @@
             let conflict = effective.is_some_and(|(effective, _)| effective.is_conflict());
             let after_ms = (now - issued_at) / 1_000;
             let nodes = self.replica.holder_count(id);
-            let held_by = HeldBy { nodes, of: node_count.max(nodes), after_ms, conflict };
+            let held_by = OrderAcks { nodes, of: node_count.max(nodes), after_ms, conflict };
             let _ = answer.send(Some(held_by)); // the receiver may have been dropped
         }
     }
@@ -395,7 +402,7 @@
                 _ => {}
             }
         }
-        let statistics = CommonNow {
+        let statistics = ReplicaSummary {
             behind: matches!(sync_state, SyncState::Behind(_)),
             records: self.replica.len(),
             conflicts: self.conflicts.len(),
@@ -420,7 +427,7 @@
             let Some(effect) = order_effect(effective.order, now, remaining) else { continue };
             let Ok(server) = String::from_utf8(effective.subject.to_vec()) else { continue };
             let Some(stored) = self.replica.record(effective.id) else { continue };
-            orders.push(lilacquay_overrides::SharedOrder {
+            orders.push(lilacquay_overrides::ReplicatedOrder {
                 server,
                 effect,
                 mark: encode_record(&stored.record),
@@ -440,7 +447,7 @@
             let name = LOG_LEVELS[usize::from(number).min(LOG_LEVELS.len() - 1)];
             info!("common: all nodes log from {name} on, by an order given at another node");
             let ignored_outcome = oneshot::channel().0;
-            let _ = self.commands.try_send(Command::Level(name.into(), ignored_outcome));
+            let _ = self.commands.try_send(NodeCommand::SetLogLevel(name.into(), ignored_outcome));
         }
     }
 
@@ -471,7 +478,7 @@
     }
 
     /// The replicated state for operators.
-    pub fn status(&self, now: Micros) -> CopyNow {
+    pub fn status(&self, now: Micros) -> ReplicaReport {
         let seconds_since = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
         let (stage, since) = match self.replica.sync_state() {
             SyncState::Behind(since) => ("behind", since),
@@ -483,19 +490,19 @@
         for (_, _, stored) in self.replica.records() {
             *record_counts.entry(stored.record.kind).or_default() += 1;
         }
-        let kind_status = |(kind, records): (u8, usize)| KindNow {
+        let kind_status = |(kind, records): (u8, usize)| RecordKindStatus {
             kind: kind_name(kind),
             records,
             on: self.kinds.includes(kind),
         };
-        let record = |(id, sum, stored): (u64, u32, &lilacquay_replica::StoredRecord)| RecordNow {
+        let record = |(id, sum, stored): (u64, u32, &lilacquay_replica::StoredRecord)| RecordSummary {
             id,
             kind: kind_name(stored.record.kind),
             origin: stored.record.origin.into(),
             version: (stored.record.version.incarnation, stored.record.version.counter),
             sum,
         };
-        CopyNow {
+        ReplicaReport {
             me: self.setup.own_index,
             nodes: self.setup.node_count,
             stage: stage.into(),
@@ -513,7 +520,7 @@
                 .replica
                 .peers()
                 .iter()
-                .map(|(&node, peer)| PeerCopy {
+                .map(|(&node, peer)| PeerReplicaStatus {
                     node,
                     same: peer.root == root,
                     behind: peer.behind,
@@ -543,7 +550,7 @@
 }
 
 /// An order as shown to operators.
-fn order_status(effective: &EffectiveOrder, remaining: Option<Micros>) -> OrderHeld {
+fn order_status(effective: &EffectiveOrder, remaining: Option<Micros>) -> ReplicatedOrder {
     let EffectiveOrder { subject, order, concurrent, .. } = effective;
     let tombstone = order.is_tombstone(remaining);
     let seconds_left = remaining
@@ -552,7 +559,7 @@
     let description = |order: &&Order| {
         format!("{} by node {} at {}", order.action.name(), order.dot.origin, order.issued_at_unix_s)
     };
-    OrderHeld {
+    ReplicatedOrder {
         server: String::from_utf8_lossy(subject).into(),
         action: order.action.name(),
         node: order.dot.origin.into(),
--- a/crates/lilacquay/src/siblings.rs
+++ b/crates/lilacquay/src/siblings.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use lilacquay_codec::replica;
-use lilacquay_codec::siblings::{LONGEST, site};
-use lilacquay_control::{Command, FellowNow, SiblingsAsk, Sight, WayNow};
+use lilacquay_codec::siblings::{MAX_DATAGRAM_BYTES, site_id};
+use lilacquay_control::{LinkStatus, NodeCommand, SiblingReport, SiblingsQuery, SiblingsReport};
 use lilacquay_core::{Clock, CoreHandle, ListUpdate, MembershipSummary, Micros};
 use lilacquay_lifecycle::State as LifecycleState;
 use lilacquay_replica::endpoint_reports::LocalServerList;
@@ -72,49 +72,54 @@
 
     /// Reads the table `[siblings]`; `None` if it is missing or has a mistake, which is noted in `root`.
     pub fn read(root: &mut Section) -> Option<Site> {
-        if !root.has("siblings") {
+        if !root.has_key("siblings") {
             return None;
         }
         let mut section = root.section("siblings");
-        section.only(&["site", "listen", "nodes", "me", "common"]);
+        section.reject_unknown_keys(&["site", "listen", "nodes", "me", "common"]);
         for (key, remedy) in [
             ("site", "name the site, the same at all its nodes"),
             ("listen", "give the address on which datagrams of the other nodes arrive"),
             ("nodes", "list all nodes in one order, as in [\"10.0.0.1:7946\", \"10.0.0.2:7946\"]"),
             ("me", "give this node's place in the list, from 0"),
         ] {
-            if !section.has(key) {
-                section.missing(key, remedy);
+            if !section.has_key(key) {
+                section.report_missing(key, remedy);
             }
         }
-        let (name, listen) = (section.text("site").map(str::to_owned), section.address("listen"));
-        let texts = section.texts("nodes")?;
+        let (name, listen) = (section.string("site").map(str::to_owned), section.socket_address("listen"));
+        let texts = section.strings("nodes")?;
         let mut nodes = Vec::with_capacity(texts.len());
         for (position, text) in texts {
             match text.parse() {
                 Ok(node) => nodes.push(node),
-                Err(_) => section.note(
+                Err(_) => section.report_at(
                     position,
                     "nodes",
-                    format!("{text:?} is no address with a port"),
+                    format!("{text:?} is not an address with a port"),
                     "write it as 10.0.0.1:7946 or [fd00::1]:7946",
                 ),
             }
         }
-        let position = section.place("nodes");
+        let position = section.value_offset("nodes");
         if nodes.len() < 2 || nodes.len() > MAX_NODES {
-            section.note(
+            section.report_at(
                 position,
                 "nodes",
                 "too few or too many",
                 "list 2 to 65535 nodes, this one among them",
             );
         }
-        let me = section.number("me", 0..=nodes.len().saturating_sub(1));
+        let me = section.integer("me", 0..=nodes.len().saturating_sub(1));
         let replicated_kinds = Kinds::read(&mut section);
         let site = Site { name: name?, listen: listen?, nodes, me: me?, replicated_kinds };
         if let Some(duplicate) = site.duplicate_node() {
-            section.note(position, "nodes", format!("{duplicate} is listed twice"), "list each node once");
+            section.report_at(
+                position,
+                "nodes",
+                format!("{duplicate} is listed twice"),
+                "list each node once",
+            );
         }
         Some(site)
     }
@@ -127,7 +132,7 @@
 }
 
 /// Receives queries about the other nodes, and orders that all nodes are to apply.
-pub type RequestReceiver = mpsc::Receiver<SiblingsAsk>;
+pub type RequestReceiver = mpsc::Receiver<SiblingsQuery>;
 
 /// The task that communicates with the other nodes, with its channels to the rest of the node.
 pub struct SiblingsTask {
@@ -143,7 +148,7 @@
     /// Updates of the server list from the node's own membership source.
     pub list_updates: mpsc::UnboundedReceiver<ListUpdate>,
     /// Carries commands to the node's command loop.
-    pub commands: mpsc::Sender<Command>,
+    pub commands: mpsc::Sender<NodeCommand>,
     /// Replicated records kept across a restart, a change of the list of nodes, or a handover.
     pub saved_records: Vec<SavedRecord>,
     /// The server list of the node's own membership source.
@@ -192,7 +197,7 @@
         let setup = Setup {
             own_index: site.me,
             node_count: site.nodes.len(),
-            site_id: self::site(&site.name, site.nodes.len()),
+            site_id: self::site_id(&site.name, site.nodes.len()),
             seed: task.seed ^ unix_time_us(),
             parameters: Parameters::default(),
         };
@@ -202,7 +207,7 @@
             let setup = lilacquay_replica::Setup {
                 own_index: site.me,
                 node_count: site.nodes.len(),
-                site_id: self::site(&site.name, site.nodes.len()),
+                site_id: self::site_id(&site.name, site.nodes.len()),
                 seed: task.seed ^ unix_time_us() ^ 1,
                 incarnation: membership.incarnation(),
             };
@@ -228,7 +233,7 @@
     /// Runs until the list of nodes changes.
     async fn run(mut self, task: &mut SiblingsTask) {
         let mut service_mode = task.lifecycle.service_mode();
-        let (mut datagram, mut leaving) = ([0; LONGEST + 1], false);
+        let (mut datagram, mut leaving) = ([0; MAX_DATAGRAM_BYTES + 1], false);
         loop {
             let replication_tick_at =
                 self.replicated.as_ref().map_or(Micros::MAX, ReplicatedState::next_tick_at);
@@ -318,19 +323,19 @@
     }
 
     /// Answers a query, or publishes an order.
-    fn handle_request(&mut self, request: SiblingsAsk) {
+    fn handle_request(&mut self, request: SiblingsQuery) {
         let now = self.clock.now();
         // The receiver of each answer may have been dropped.
         match request {
-            SiblingsAsk::Sight(answer) => drop(answer.send(self.status())),
-            SiblingsAsk::Copy(answer) => {
+            SiblingsQuery::Siblings(answer) => drop(answer.send(self.status())),
+            SiblingsQuery::Replica(answer) => {
                 drop(answer.send(self.replicated.as_ref().map(|replicated| replicated.status(now))))
             }
-            SiblingsAsk::Records(answer) => {
+            SiblingsQuery::Records(answer) => {
                 let replicated = self.replicated.as_ref();
                 drop(answer.send(replicated.map_or(Vec::new(), |state| state.records_to_hand_over(now))))
             }
-            SiblingsAsk::Order(order, wait_for, answer) => match &mut self.replicated {
+            SiblingsQuery::ReplicateOrder(order, wait_for, answer) => match &mut self.replicated {
                 Some(replicated) => replicated.publish_order(now, &order, wait_for, answer),
                 None => drop(answer.send(None)),
             },
@@ -433,14 +438,17 @@
     }
 
     /// The membership view for operators.
-    fn status(&self) -> Sight {
+    fn status(&self) -> SiblingsReport {
         let now = self.clock.now();
         let [here, gone, unknown] = self.membership.state_counts();
         let (share, counts) = (self.membership.resource_share(now), self.membership.counters());
         let peer = |peer: PeerStatus| self.peer_status(now, peer);
-        let link =
-            |link: lilacquay_siblings::LinkState| WayNow { from: link.from, to: link.to, open: link.is_up };
-        Sight {
+        let link = |link: lilacquay_siblings::LinkState| LinkStatus {
+            from: link.from,
+            to: link.to,
+            open: link.is_up,
+        };
+        SiblingsReport {
             site: self.site.name.clone(),
             me: self.site.me,
             nodes: self.site.nodes.len(),
@@ -465,9 +473,9 @@
         }
     }
 
-    fn peer_status(&self, now: Micros, peer: PeerStatus) -> FellowNow {
+    fn peer_status(&self, now: Micros, peer: PeerStatus) -> SiblingReport {
         let seconds_since = |at: Micros| now.saturating_sub(at) as f64 / 1e6;
-        FellowNow {
+        SiblingReport {
             node: peer.node,
             address: self.site.nodes[peer.node].to_string(),
             state: peer.state.as_str().into(),
@@ -512,7 +520,7 @@
 }
 
 /// A channel for requests to the siblings task.
-pub fn request_channel() -> (Arc<mpsc::Sender<SiblingsAsk>>, RequestReceiver) {
+pub fn request_channel() -> (Arc<mpsc::Sender<SiblingsQuery>>, RequestReceiver) {
     let (sender, requests) = mpsc::channel(16);
     (Arc::new(sender), requests)
 }
