--- a/crates/lilacquay/tests/etcd.rs
+++ b/crates/lilacquay/tests/etcd.rs
@@ -203,7 +203,7 @@
     let file = folder.path().join("etcd.toml");
     std::fs::write(&file, "endpoints = 7").unwrap();
     node.reload_files();
-    assert!(node.logged("kept as it was").contains("not a list of texts"));
+    assert!(node.logged("kept as it was").contains("not a list of strings"));
     std::fs::write(&file, format!("keep = \"state\"\n{settings}")).unwrap();
     node.reload_files();
     node.logged("etcd is at");
