--- a/crates/codec/src/siblings.rs
+++ b/crates/codec/src/siblings.rs
@@ -90,7 +90,7 @@
 pub struct Row {
     /// Index of the node in the list of nodes.
     pub origin: u16,
-    /// Incremented with each start of the node and whenever the others considered it gone. 48 bits.
+    /// Higher after each start of the node and whenever the others considered it gone (not necessarily by 1). 48 bits.
     pub incarnation: u64,
     /// Heartbeat counter, incremented with each row.
     pub heartbeat: u32,
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -8,7 +8,7 @@
 /// The version of the protocol. A node answers requests of this version and of all earlier ones, with answers that
 /// those versions understand.
 pub const VERSION: Version = 2;
-/// Maximum length of a request, in bytes.
+/// Maximum length of a request line, in bytes; answers are not limited.
 pub const MAX_LINE_BYTES: usize = 4096;
 
 /// A version of the protocol.
--- a/crates/fleet/src/origin.rs
+++ b/crates/fleet/src/origin.rs
@@ -28,7 +28,7 @@
 use crate::memcache::miss_id;
 use crate::record::{Event, Log, ReceivedRequest};
 
-/// Number of requests whose misses are remembered until the origin is asked for them.
+/// Largest number of requests whose misses are remembered until the origin is asked for them.
 const MAX_REMEMBERED_REQUESTS: usize = 1 << 16;
 
 /// Configuration of the origin.
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -39,7 +39,8 @@
     AnswerCut(ReceivedRequest),
     /// A malformed or unknown command was received, which no client sends in this form.
     InvalidCommand(String),
-    /// A cold box failed because it was sent more work than it could take.
+    /// A cold box failed because the work that it was sent, summed over `overload_window`, exceeded `overload_factor`
+    /// times its current capacity.
     Overloaded,
     /// A node requested the server list, or its changes.
     ListRequested {
--- a/crates/fleet/src/soak/pipelined.rs
+++ b/crates/fleet/src/soak/pipelined.rs
@@ -30,7 +30,8 @@
 /// node should have answered it. It is longer than the time for which an ending node stops reading, and than a node may be
 /// paused.
 const UNANSWERED_LIMIT: Duration = Duration::from_millis(400);
-/// How long a client waits for data before it gives the connection up: longer than any answer may take.
+/// How long a client waits for data before it gives the connection up: longer than any answer may take;
+/// silence this long means that the node has lost the request.
 const READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The largest answer that a client reads, in bytes.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -120,7 +120,8 @@
         Outcome::WrongValue | Outcome::ConnectionClosed | Outcome::TimedOut => {
             Some(Violation::Unanswered(request.id.clone(), request.outcome))
         }
-        // If the server truncated the answer, the node must still end it in time; if not, `check_truncated` reports it.
+        // If a server truncated the answer, the node must still end it in time; if no server truncated it,
+        // `check_truncated` reports it.
         Outcome::Truncated => {
             let late_by = request.ended.saturating_sub(request.sent + request.timeout);
             request
--- a/crates/lilacquay/src/cli.rs
+++ b/crates/lilacquay/src/cli.rs
@@ -255,7 +255,8 @@
     /// It has just started with an empty cache
     #[arg(long)]
     pub cold: bool,
-    /// Hold the entry on a lease of this many seconds: keep running and renew it; it is removed when the process ends
+    /// Hold the entry on a lease of this many seconds: keep running and renew it; on SIGINT or SIGTERM the entry
+    /// is removed if etcd can be reached, otherwise once the lease has run out
     #[arg(long, value_name = "SECONDS", value_parser = clap::value_parser!(i64).range(1..=86_400))]
     pub lease: Option<i64>,
 }
--- a/crates/lilacquay/src/config.rs
+++ b/crates/lilacquay/src/config.rs
@@ -315,7 +315,7 @@
         if hard_limit <= 0.0 || class["Aim"].as_f64().unwrap_or(0.0) > hard_limit {
             let field = format!("settings.Classes[{index}].HardLimit");
             let name = class["Name"].as_str().unwrap_or("");
-            let problem = format!("class {name} has no HardLimit, or one below its Aim");
+            let problem = format!("class {name} has no positive HardLimit, or one below its Aim");
             let offset = text.find(&format!("\"{name}\"")).unwrap_or(0);
             issues.report_at_offset(offset, &field, problem, "give a HardLimit of at least the Aim, in ms");
         }
--- a/crates/lilacquay/tests/cli.rs
+++ b/crates/lilacquay/tests/cli.rs
@@ -77,7 +77,11 @@
         ("\"safe\"", "\"sure\"", "settings.Classes: unknown effect \"sure\"; write safe, keyed or unsafe"),
         ("\"Zone\":\"a\"", "\"Zone\":\"b\"", "settings.Zone: \"b\" is not among Dcs; name one of Dcs"),
         ("\"OriginKind\":1", "\"OriginKind\":3", "settings.FamilyInfo.OriginKind: is not an index into Skus"),
-        ("\"HardLimit\":1000.0", "\"HardLimit\":1.0", "class lookup has no HardLimit, or one below its Aim"),
+        (
+            "\"HardLimit\":1000.0",
+            "\"HardLimit\":1.0",
+            "class lookup has no positive HardLimit, or one below its Aim",
+        ),
         ("\"sockets\":512", "\"sockets\":7", "limits.sockets: limit too low; set at least 48"),
         (
             "\"sockets\":512",
--- a/crates/observe/src/rules.rs
+++ b/crates/observe/src/rules.rs
@@ -5,7 +5,7 @@
 /// Whether a request may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may be repeated without effect.
+    /// Executing it more than once does no harm.
     Safe,
     /// Servers detect and discard repetitions. Which servers do so is not checked here.
     Deduplicated,
--- a/crates/observe/src/snapshot.rs
+++ b/crates/observe/src/snapshot.rs
@@ -207,7 +207,7 @@
     pub served: u64,
     /// The server had no value for the key.
     pub misses: u64,
-    /// Refused, failed, timed out, or without a connection.
+    /// Refused, answered with an error, timed out, no connection, or connection lost.
     pub bad: u64,
     /// Canceled because another attempt was answered first.
     pub canceled: u64,
--- a/crates/observe/src/trace.rs
+++ b/crates/observe/src/trace.rs
@@ -10,7 +10,7 @@
 pub enum AnswerKind {
     /// Served.
     Served,
-    /// Refused because of load; the client may retry later.
+    /// Refused without side effects; the client may retry.
     Busy,
     /// Failed.
     Failed,
