--- a/crates/lilacquay/tests/handover.rs
+++ b/crates/lilacquay/tests/handover.rs
@@ -124,7 +124,7 @@
     });
     old.terminate();
     assert!(old.exit());
-    new.logged("all is this one's");
+    new.logged("all resources are available to this process");
     served(&platform, &new);
     // The next one finds it where it found the one before.
     let (third, third_admin) = platform.start();
@@ -145,7 +145,7 @@
     }
     let (new, _) = platform.start();
     old.signal("-KILL");
-    new.logged("all is this one's");
+    new.logged("all resources are available to this process");
     drop(old);
     served(&platform, &new);
     let (next, _) = platform.start();
@@ -188,7 +188,7 @@
     assert_eq!(say(second_admin, "HEALTH"), "ACK\n");
     second.terminate();
     assert!(second.exit());
-    third.logged("all is this one's");
+    third.logged("all resources are available to this process");
     assert_eq!(say(third_admin, "HEALTH"), "ACK\n");
     served(&platform, &third);
 }
--- a/crates/lilacquay/tests/memcached.rs
+++ b/crates/lilacquay/tests/memcached.rs
@@ -598,7 +598,7 @@
     let file = stage.folder.path().join("memcached.toml");
     std::fs::write(&file, OPTIONS.replace("wait_ms = 1500", "wait_ms = 1501")).unwrap();
     stage.node.reload_files();
-    stage.node.logged("memcached's options change only with a restart");
+    stage.node.logged("the memcached options change only with a restart");
     std::fs::write(&file, "[[row]]\nread = \"none\"\n").unwrap();
     stage.node.reload_files();
     stage.node.logged("memcached.toml:2: row[0].read: no class \"none\"");
