--- a/crates/paddlefold/src/admission.rs
+++ b/crates/paddlefold/src/admission.rs
@@ -44,8 +44,8 @@
     }
 
     /// Until when a waiting request without an attempt in flight could still be sent: to the origin or to a
-    /// cache. In mode `Aside`, only writes and reads that missed count as waiting for a slot at the origin; all
-    /// others, including those that wait for another request's fetch, count as sent to a cache.
+    /// cache. In mode `Aside`, only writes and reads that missed count as waiting for a slot at the origin;
+    /// all others, including those that wait for another request's fetch, count as sent to a cache.
     pub(super) fn sendable_until(&self, request: &OpenRequest) -> Micros {
         let to_origin = request.wait == WaitState::ConcurrencySlot
             && self.settings.mode == Mode::Aside
