--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! A node's control socket: a Unix socket in its state folder, over which operators order servers away and read what
-//! holds. `docs/control.md` has the words.
+//! A node's control socket: a Unix socket in its state directory, over which operators take servers out of service and
+//! inspect the node. `docs/control.md` describes the messages.
 
 mod client;
 mod event_log;
@@ -11,9 +11,10 @@
 
 pub use client::{Client, ClientError, Stream};
 pub use event_log::EventLog;
-pub use folder::Folder;
+pub use folder::StateDir;
 pub use messages::{
-    Answer, CopyNow, FellowNow, HeldBy, KindNow, OrderHeld, PeerCopy, Question, RecordNow, Server, Sight,
-    Standing, Verb, Version, WayNow,
+    Answer, ControlRequest, LinkStatus, OrderAcks, OrderReport, PeerReplicaStatus, RecordKindStatus,
+    RecordSummary, ReplicaReport, ReplicatedOrder, RequestEnvelope, ServerReport, SiblingReport,
+    SiblingsReport, Version,
 };
-pub use server::{Command, CommonOrder, Control, Host, Outcome, SiblingsAsk};
+pub use server::{ClusterOrder, CommandResult, Control, NodeCommand, NodeContext, SiblingsQuery};
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lilacquay_observe::{CommonNow, Snapshot};
-use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, SharedOrder};
+use lilacquay_observe::{ReplicaSummary, Snapshot};
+use lilacquay_overrides::{AppliedOrder, OrderRequest, Refusal, ReplicatedOrder};
 use paddlefold::{Learned, RequestId};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -48,14 +48,14 @@
         /// Whether these are all orders, so that any missing one has been lifted.
         complete: bool,
         /// The orders by server.
-        orders: Vec<SharedOrder>,
+        orders: Vec<ReplicatedOrder>,
     },
     /// The names of servers that the lists of other nodes have removed.
     RemovedByPeers(BTreeSet<String>),
     /// How much slower than others servers are, as observed by other nodes, by server name.
     PeerSlowness(BTreeMap<String, f64>),
-    /// The size of the replicated state, for operators.
-    Statistics(CommonNow),
+    /// Statistics on the replicated state, for operators.
+    Statistics(ReplicaSummary),
 }
 
 /// A list that the node's own source has reported, for whoever passes it on to other nodes.
--- a/crates/core/tests/overrides.rs
+++ b/crates/core/tests/overrides.rs
@@ -67,21 +67,20 @@
             "Limits":{"Cancel":true,"MaxAttempts":3}}"#;
         let setup = Setup::try_from(serde_json::from_str::<RawSettings>(settings).unwrap()).unwrap();
         let servers = vec![entry("s1", 1, ServerState::Serving), entry("s2", 2, ServerState::Serving)];
-        let known = ServerList { full: true, servers };
+        let initial_list = ServerList { full: true, servers };
         let (connections, memory) = (1000, 8 << 20);
-        let book = lilacquay_metrics::Book::new(Vec::new());
-        let portion = ResourceShare::default();
+        let metrics = lilacquay_metrics::Metrics::new(Vec::new());
         let options = Options {
             setup,
             seed: 1,
-            initial_list: known,
+            initial_list,
             max_connections: connections,
             request_memory_bytes: memory,
             quotas: None,
-            metrics: book,
+            metrics,
             list_version: None,
             learned: None,
-            resource_share: portion,
+            resource_share: ResourceShare::default(),
             persisted_orders,
             list_updates: None,
         };
@@ -117,7 +116,7 @@
     }
 
     async fn order(&self, server: &str, order: Order) -> Result<AppliedOrder, Refusal> {
-        let ask = OrderRequest { server: server.into(), order, lasting: false, force: false, seen: None };
+        let ask = OrderRequest { server: server.into(), order, persistent: false, force: false, seen: None };
         self.handle.apply_order(ask).await.expect("a core that accepts orders")
     }
 }
@@ -165,7 +164,12 @@
         TestCore::new(Some(vec![PersistentOrder { server: "s2".into(), remaining: None, mark: None }]));
     assert_eq!(core.serve_fifty_reads().await, [50, 0]);
     let core = TestCore::new(None);
-    let ask =
-        OrderRequest { server: "s1".into(), order: Order::Drain, lasting: false, force: false, seen: None };
+    let ask = OrderRequest {
+        server: "s1".into(),
+        order: Order::Drain,
+        persistent: false,
+        force: false,
+        seen: None,
+    };
     assert!(core.handle.apply_order(ask).await.is_err());
 }
--- a/crates/replica/src/evidence.rs
+++ b/crates/replica/src/evidence.rs
@@ -1,13 +1,13 @@
 //! Evidence of slow servers: what each node has observed of servers by its own requests.
 //!
-//! A node publishes only its own observations, never what it received, so that no rumour feeds itself. The slowness that is
-//! believed of a server is the second worst that any other node has observed, so that one node that is ill, cut off or
-//! lies has no effect.
+//! A node publishes only its own observations, never what it received, so that an observation never counts as
+//! confirmed by copies of itself. The slowness that is believed of a server is the second worst that any other node has
+//! observed, so that one node that is ill, cut off or lies has no effect.
 
 use std::collections::BTreeMap;
 
 use bytes::{Buf, BufMut};
-use lilacquay_codec::replica::MOST_NAME;
+use lilacquay_codec::replica::MAX_NAME_BYTES;
 
 use crate::store::{StoredRecord, record_id};
 use crate::{Micros, Replica, kind};
@@ -40,7 +40,7 @@
     mut observations: Vec<SlownessObservation>,
 ) {
     observations.retain(|observation| {
-        observation.slowness >= MIN_REPORTED_SLOWNESS && observation.server.len() <= MOST_NAME
+        observation.slowness >= MIN_REPORTED_SLOWNESS && observation.server.len() <= MAX_NAME_BYTES
     });
     observations.sort_by(|a, b| b.slowness.total_cmp(&a.slowness).then(a.server.cmp(&b.server)));
     for SlownessObservation { server, slowness } in observations.into_iter().take(MAX_REPORTED_SERVERS) {
--- a/crates/replica/src/leases.rs
+++ b/crates/replica/src/leases.rs
@@ -9,14 +9,14 @@
 
 use std::collections::BTreeMap;
 
-use lilacquay_codec::replica::Rights;
+use lilacquay_codec::replica::LeaseMessage;
 
 use crate::Micros;
 
 /// The interval between two requests of a borrower.
 const REQUEST_INTERVAL_US: Micros = 1_000_000;
-/// How many lenders are asked at a time.
-const LENDERS_PER_REQUEST: usize = 3;
+/// Most lenders that are asked at a time, or as many as the ledger has in `borrowed`, if these are more.
+const LENDERS_PER_ROUND: usize = 3;
 /// The part of its share that a node keeps for future demand, in thousandths.
 const RESERVE_PERMILLE: u32 = 250;
 /// The least amount that is worth a datagram, in thousandths.
@@ -87,13 +87,13 @@
 }
 
 /// A message to a node, with the node's index.
-pub type LeaseMessage = (usize, Rights);
+pub type AddressedLeaseMessage = (usize, LeaseMessage);
 
 impl LeaseLedger {
     /// The ledger of a process that starts. `first_request_number` must be above those of earlier processes of this node.
     pub fn new(limits: LeaseLimits, now: Micros, first_request_number: u32) -> LeaseLedger {
-        // A process that restarts has forgotten what it lent. Waiting for the longest lease prevents that it uses a share
-        // together with the borrower.
+        // A process that restarts has forgotten what it lent. Waiting for the longest lease keeps it from using a
+        // share together with the borrower.
         let unknown_loans_until =
             now + limits.max_duration * (1_000 + 2 * limits.max_drift_permille) / 1_000 + 10_000;
         let (lent, borrowed) = Default::default();
@@ -124,7 +124,7 @@
         if now < until && now >= self.unknown_loans_until { own } else { 0 }
     }
 
-    /// The time until which at least that much may be used: the first end of a borrowed share.
+    /// When the first borrowed share ends; until then what `usable` counts as borrowed does not shrink by expiry.
     pub fn until(&self, now: Micros) -> Micros {
         let ends = self.borrowed.values().map(|borrowed| borrowed.until).filter(|&until| until > now);
         ends.min().unwrap_or(Micros::MAX)
@@ -154,7 +154,7 @@
         own_until: Micros,
         reachable: &[usize],
         mut choose: impl FnMut(usize) -> usize,
-    ) -> Vec<LeaseMessage> {
+    ) -> Vec<AddressedLeaseMessage> {
         self.lent.retain(|_, lent| now < lent.ends_at());
         let max_duration = self.limits.max_duration;
         self.borrowed
@@ -169,7 +169,8 @@
         let lacking = self.demand.saturating_sub(own);
         if lacking < MIN_LOAN_PERMILLE {
             let give_back = |(&lender, borrowed): (&usize, &BorrowedShare)| {
-                (now < borrowed.until).then_some((lender, Rights::Back { number: borrowed.request_number }))
+                (now < borrowed.until)
+                    .then_some((lender, LeaseMessage::Release { number: borrowed.request_number }))
             };
             messages.extend(self.borrowed.iter().filter_map(give_back));
             self.borrowed.clear();
@@ -178,8 +179,8 @@
         self.requested_at = now;
         let mut lenders: Vec<usize> =
             self.borrowed.keys().copied().filter(|lender| reachable.contains(lender)).collect();
-        for _ in 0..4 * LENDERS_PER_REQUEST {
-            if lenders.len() >= LENDERS_PER_REQUEST.max(self.borrowed.len()) || reachable.is_empty() {
+        for _ in 0..4 * LENDERS_PER_ROUND {
+            if lenders.len() >= LENDERS_PER_ROUND.max(self.borrowed.len()) || reachable.is_empty() {
                 break;
             }
             let lender = reachable[choose(reachable.len())];
@@ -190,7 +191,10 @@
         let amount_each = lacking.div_ceil(lenders.len().max(1) as u32).max(MIN_LOAN_PERMILLE);
         for lender in lenders {
             self.last_request_number += 1;
-            messages.push((lender, Rights::Ask { number: self.last_request_number, amount: amount_each }));
+            messages.push((
+                lender,
+                LeaseMessage::Request { number: self.last_request_number, amount: amount_each },
+            ));
             let request_number = self.last_request_number;
             // What is borrowed of this lender stays valid until the new answer comes, or until its own end.
             let current =
@@ -208,12 +212,12 @@
         &mut self,
         now: Micros,
         from: usize,
-        message: Rights,
+        message: LeaseMessage,
         own: u32,
         own_until: Micros,
-    ) -> Option<LeaseMessage> {
+    ) -> Option<AddressedLeaseMessage> {
         match message {
-            Rights::Ask { number, amount } => {
+            LeaseMessage::Request { number, amount } => {
                 let previous = match self.lent.get(&from) {
                     // Ignores a request that arrives twice, or late, after a newer one.
                     Some(lent) if number <= lent.request_number => return None,
@@ -236,16 +240,19 @@
                 );
                 // The borrower counts from when it asked, which was before now, by a clock that may be too slow.
                 let time = duration - duration * 2 * self.limits.max_drift_permille / 1_000;
-                Some((from, Rights::Lend { number, amount, time: u32::try_from(time).unwrap_or(0) }))
+                Some((
+                    from,
+                    LeaseMessage::Grant { number, amount, duration_us: u32::try_from(time).unwrap_or(0) },
+                ))
             }
-            Rights::Lend { number, amount, time } => {
+            LeaseMessage::Grant { number, amount, duration_us: time } => {
                 let borrowed = self.borrowed.get_mut(&from)?;
                 if borrowed.request_number == number {
                     (borrowed.amount, borrowed.until) = (amount, borrowed.requested_at + Micros::from(time));
                 }
                 None
             }
-            Rights::Back { number } => {
+            LeaseMessage::Release { number } => {
                 if self.lent.get(&from).is_some_and(|lent| lent.request_number <= number) {
                     self.lent.remove(&from);
                 }
--- a/crates/replica/tests/virtual_time.rs
+++ b/crates/replica/tests/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lilacquay_codec::replica::{Part, Record, Rights, Said, Sent, Version, put};
+use lilacquay_codec::replica::{LeaseMessage, Message, Part, Record, RecordUpdate, Version, encode};
 use lilacquay_replica::endpoint_reports::{LocalServerList, ServerEntry, excluded_servers, publish};
 use lilacquay_replica::orders::{Action, TOMBSTONE_RETENTION_US};
 use lilacquay_replica::simulation::{MS, SEC, Simulation};
@@ -79,7 +79,7 @@
         (0..6).all(|node| effective_action(&sim, node, "box") == Some((Action::Drain, true))),
         "shown as a conflict"
     );
-    // The order that resolves the conflict was issued with both in sight.
+    // The order that resolves the conflict is issued at a node that had received both.
     issue_order(&mut sim, 5, "box", Action::Undrain);
     sim.run_until(3 * SEC, |sim| all_hold(sim, "box", None));
     sim.run(5 * SEC);
@@ -347,8 +347,9 @@
     assert!(evidence::corroborated(sim.replica(1), 1).is_empty());
 }
 
-/// Two different records of one origin, name and version must not stay apart. A node must be able to replace a record that an
-/// earlier process of it has written under a higher incarnation, as happens when its clock was put back.
+/// Two different records of one origin, name and version must converge to one of them. A node must be able to
+/// replace a record that an earlier process of it has written under a higher incarnation, as happens when its clock was
+/// put back.
 #[test]
 fn conflicting_records_of_one_version_converge_and_a_clock_put_back_is_overcome() {
     let mut sim = new_simulation(4, 9);
@@ -363,9 +364,9 @@
         }
     };
     let datagram_with = |record: Record| {
-        let mut message = Said::default();
-        message.add(Part::Record(Sent { record, left: Some(600), asks: false }));
-        put(7, &message)
+        let mut message = Message::default();
+        message.add(Part::Record(RecordUpdate { record, remaining_tenths: Some(600), ack_requested: false }));
+        encode(7, &message)
     };
     for (at, value) in [(0, 1), (1, 9), (3, 5)] {
         sim.with_replica(at, |replica, now| {
@@ -416,9 +417,9 @@
 #[test]
 fn lease_messages_that_are_not_fetched_do_not_pile_up() {
     let mut sim = new_simulation(3, 11);
-    let mut message = Said::default();
-    (0..10).for_each(|number| _ = message.add(Part::Rights(Rights::Ask { number, amount: 1 })));
-    let datagram = put(7, &message);
+    let mut message = Message::default();
+    (0..10).for_each(|number| _ = message.add(Part::Lease(LeaseMessage::Request { number, amount: 1 })));
+    let datagram = encode(7, &message);
     let pending = sim.with_replica(0, |replica, now| {
         (0..1_000).for_each(|_| _ = replica.handle_datagram(now, 1, &datagram));
         replica.take_lease_messages().len()
